--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -17,6 +17,7 @@
 	Machines int // all at first
 	Losses   int // disks that may be lost at once
 	End      time.Duration
+	Rate     int // bytes a second of each link, one way, to the very end; 0 for links that carry any number at once
 	Troubles []Trouble
 	Orders   []Order
 }
@@ -70,6 +71,7 @@
 	Orders           int // with an outcome
 	Tries            int
 	Judged, Unjudged int             // histories of a key that were searched for a linear order, and those that had too many tries without an answer
+	Backlog          time.Duration   // the longest that a message had to wait for a thin link, its own bytes included
 	Whole            []time.Duration // from each loss of a disk that counted to a set without it, as large as before
 }
 
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -16,6 +16,7 @@
 	pulse      = 300 * time.Millisecond // between two ticks of a keeper where nothing is due before
 	leaseFor   = 2 * time.Second
 	orderFor   = 3 * time.Second
+	along      = 9               // bytes of a body that rides along with the ballots: those that stand for a large one are longer
 	goingAfter = 5 * time.Second // after the last trouble everybody is to be going again
 	lastReads  = 4 * time.Second // after that, for what is read at the end
 	mostPlaces = 16
@@ -32,13 +33,15 @@
 	queue  events
 	lastEv uint64
 	places []*place
-	cut    [mostPlaces][mostPlaces]int // messages from one to another are lost while it is above 0
-	deaf   [mostPlaces]int             // operators do not reach it, nor it them
-	lossy  int                         // parts in 1,000 of the messages that are lost
-	twice  int                         // that come twice
-	slow   time.Duration               // at most, for each message
-	mutely int                         // answers to operators are lost while it is above 0
-	after1 []func(*place)              // at the next acknowledgement
+	cut    [mostPlaces][mostPlaces]int           // messages from one to another are lost while it is above 0
+	deaf   [mostPlaces]int                       // operators do not reach it, nor it them
+	lossy  int                                   // parts in 1,000 of the messages that are lost
+	twice  int                                   // that come twice
+	slow   time.Duration                         // at most, for each message
+	rate   int                                   // bytes a second that each link carries one way, in order; 0 for any number at once
+	free   [mostPlaces][mostPlaces]time.Duration // a link that is thin has carried by then all that was sent
+	mutely int                                   // answers to operators are lost while it is above 0
+	after1 []func(*place)                        // at the next acknowledgement
 	healed time.Duration
 	lost   []loss
 	lives  int
@@ -123,7 +126,7 @@
 }
 
 func (w *world) begin(p Plan, h hooks) *Report {
-	*w = world{plan: p, hooks: h, lot: rand.New(rand.NewPCG(p.Seed, 7)), history: newHistory(), slow: 2 * time.Millisecond}
+	*w = world{plan: p, hooks: h, lot: rand.New(rand.NewPCG(p.Seed, 7)), history: newHistory(), slow: 2 * time.Millisecond, rate: p.Rate}
 	defer func() {
 		if x := recover(); x != nil {
 			w.fault("panic: %v\n%s", x, debug.Stack())
@@ -190,7 +193,7 @@
 	if w.hooks.restart != nil {
 		held = w.hooks.restart(&set, held)
 	}
-	r := tide.NewReplica(m.member(), tide.Settings{Lease: leaseFor, Order: orderFor}, set, held)
+	r := tide.NewReplica(m.member(), tide.Settings{Lease: leaseFor, Order: orderFor, Along: along}, set, held)
 	for i, n := 0, 0; i < len(w.places) && n < 3; i++ {
 		if !w.places[i].gone {
 			r.Meet(w.places[i].addr)
@@ -233,8 +236,9 @@
 	return 100*time.Microsecond + w.upTo(400*time.Microsecond) + m.drag/2 + w.upTo(m.drag/2)
 }
 
-// carry has a message reach another, or not, or twice.
-func (w *world) carry(from, to *place, do func()) {
+// carry has a message of so many bytes reach another, or not, or twice. A thin link carries one after the other, and is reset if too much
+// waits for it.
+func (w *world) carry(from, to *place, bytes int, do func()) {
 	if w.cut[from.index][to.index] > 0 || w.chance(w.lossy) {
 		return
 	}
@@ -245,6 +249,13 @@
 		}
 		return d
 	}
+	if w.rate > 0 {
+		free := &w.free[from.index][to.index]
+		*free = max(*free, w.now) + time.Duration(float64(bytes)/float64(w.rate)*float64(time.Second))
+		whole, end := delay, *free-w.now
+		w.report.Backlog = max(w.report.Backlog, end)
+		delay = func() time.Duration { return end + whole() }
+	}
 	mark := from.resets + to.resets
 	whole := do
 	do = func() {
@@ -267,7 +278,7 @@
 	if w.hooks.send != nil {
 		w.hooks.send(&a)
 	}
-	w.carry(p.at, to, func() {
+	w.carry(p.at, to, askBytes(&a), func() {
 		q := to.proc
 		if q == nil {
 			return
@@ -281,10 +292,10 @@
 				if w.hooks.tell != nil {
 					w.hooks.tell(&a, &t)
 				}
-				if a.ID == 0 && len(t.Register) == 0 && t.Set == nil && !t.Behind {
+				if a.ID == 0 && len(t.Register) == 0 && t.Set == nil && !t.Behind && len(t.Body) == 0 {
 					return // nobody waits for it
 				}
-				w.carry(to, p.at, func() { w.told(p, t) })
+				w.carry(to, p.at, tellBytes(&t), func() { w.told(p, t) })
 			})
 		})
 	})
--- a/internal/tide/ballot.go
+++ b/internal/tide/ballot.go
@@ -50,6 +50,7 @@
 	Body  []byte
 	Past  []Past // the newest, with this one last; none in the register of the set
 	Set   *Set   // in the register of the set alone
+	Bare  uint64 // on the way, of a large body: its digest in its place; else 0
 }
 
 // Sum is a digest of a body.
--- a/internal/tide/replica.go
+++ b/internal/tide/replica.go
@@ -13,6 +13,7 @@
 type Settings struct {
 	Lease time.Duration // for which what a quorum said counts, from when it was asked
 	Order time.Duration // for an order: then its outcome is unclear
+	Along int           // bytes of a body that rides along with the ballots; 0 for the usual
 }
 
 const (
@@ -63,6 +64,7 @@
 	stuck    map[string]time.Time
 	told     []string        // keys that a quorum told of in this epoch; nil while none has
 	sealed   map[string]bool // of them, those that were decided anew, if the set is joint
+	bodies   bodies
 	out      Out
 }
 
@@ -117,6 +119,7 @@
 	r := &Replica{
 		me: me, settings: s, set: set, acceptor: NewAcceptor(held), chosen: map[string]Register{}, peers: map[string]*peer{},
 		orders: map[string]*round{}, waiting: map[string][]order{}, stuck: map[string]time.Time{}, sealed: map[string]bool{},
+		bodies: bodies{along: cmp.Or(s.Along, usualAlong), wanted: map[uint64]*want{}},
 	}
 	for _, m := range set.All() {
 		r.Meet(m.Addr)
@@ -162,6 +165,7 @@
 		return r.take()
 	}
 	p.epoch = 0
+	r.parted(addr)
 	if r.look != nil && r.Lease(now) == 0 {
 		r.askLook(p)
 	}
@@ -297,7 +301,7 @@
 		case accepting:
 			a.Query, a.Ballot, counts = Accept, o.ballot, true
 			if a.Same = o.best.Accepted; o.anew {
-				a.Value = o.value
+				a.Value = r.bare(o.value)
 			}
 		}
 		if counts {
@@ -326,6 +330,14 @@
 		r.adopt(now, a.Set)
 	}
 	t := Tell{ID: a.ID, From: r.me, Epoch: r.set.Epoch}
+	switch a.Query { // a body is the same in each epoch
+	case Give:
+		r.came(now, a.Body)
+		return t, r.take()
+	case Want:
+		t.Body, _ = r.body(a.Sum)
+		return t, r.take()
+	}
 	if a.Epoch != r.set.Epoch {
 		t.Behind = true
 		if a.Epoch < r.set.Epoch {
@@ -351,10 +363,10 @@
 		x := r.acceptor.Get(a.Key)
 		t.Head = x.Head
 		if x.Accepted.Compare(a.Have) > 0 {
-			t.Value = &x.Value
+			t.Value = r.bare(&x.Value)
 		}
 	case Accept:
-		r.answerAccept(a, &t)
+		r.answerAccept(now, a, &t)
 	case Chosen:
 		for _, h := range a.Heads {
 			r.learn(now, h.Key, h.Accepted)
@@ -365,6 +377,7 @@
 	case Fetch:
 		for _, key := range a.Keys {
 			if x := r.acceptor.Get(key); x.Accepted != (Ballot{}) {
+				x.Value = *r.bare(&x.Value)
 				t.Register = append(t.Register, x)
 			}
 		}
@@ -372,8 +385,11 @@
 	return t, r.take()
 }
 
-func (r *Replica) answerAccept(a *Ask, t *Tell) {
+func (r *Replica) answerAccept(now time.Time, a *Ask, t *Tell) {
 	v := a.Value
+	if t.Head = r.acceptor.Get(a.Key).Head; a.Ballot.Compare(t.Head.Promised) < 0 {
+		return
+	}
 	if v == nil {
 		held := r.acceptor.Get(a.Key)
 		if held.Accepted != a.Same && held.Accepted != a.Ballot {
@@ -382,6 +398,13 @@
 		}
 		v = &held.Value
 	}
+	v, ok := r.whole(v)
+	if !ok {
+		if r.wants(now, a.From.Addr, a.Value.Bare) {
+			t.Wants = a.Value.Bare
+		}
+		return
+	}
 	var changed bool
 	if t.Granted, changed = r.acceptor.Accept(a.Key, a.Ballot, *v); changed {
 		r.keep(a.Key)
@@ -399,10 +422,19 @@
 	if t.Set != nil {
 		r.adopt(now, t.Set)
 	}
+	if len(t.Body) > 0 {
+		r.came(now, t.Body)
+	}
 	if t.Behind || t.Epoch != r.set.Epoch {
 		return r.take()
 	}
 	for _, x := range t.Register {
+		v, ok := r.whole(&x.Value)
+		if !ok {
+			r.fetchBody(now, p, x.Value.Bare)
+			continue
+		}
+		x.Value = *v
 		if r.mend(x) && r.Lease(now) == 0 {
 			r.looked = time.Time{} // what was missing for a lease, perhaps
 		}
@@ -423,7 +455,13 @@
 func (r *Replica) voted(now time.Time, o *round, p *peer, t *Tell) {
 	switch {
 	case t.Lacks:
-		r.ask(p, Ask{ID: o.id, Query: Accept, Key: o.key, Ballot: o.ballot, Value: o.value})
+		r.ask(p, Ask{ID: o.id, Query: Accept, Key: o.key, Ballot: o.ballot, Value: r.bare(o.value)})
+		return
+	case t.Wants != 0:
+		if text, ok := r.body(t.Wants); ok {
+			r.ask(p, Ask{Query: Give, Body: text})
+			r.ask(p, Ask{ID: o.id, Query: Accept, Key: o.key, Ballot: o.ballot, Value: r.bare(o.value)})
+		}
 		return
 	case !t.Granted:
 		if t.Head.Promised.Compare(o.ballot) > 0 {
@@ -435,10 +473,15 @@
 		}
 		return
 	}
-	o.votes[t.From.Disk] = t.Head
 	if o.phase != accepting && t.Value != nil && t.Head.Accepted.Compare(o.best.Accepted) > 0 {
-		o.best = Register{t.Head, *t.Value}
+		v, ok := r.whole(t.Value)
+		if !ok { // its vote counts once that is here
+			r.fetchBody(now, p, t.Value.Bare)
+			return
+		}
+		o.best = Register{t.Head, *v}
 	}
+	o.votes[t.From.Disk] = t.Head
 	r.counted(now, o)
 }
 
--- a/internal/tide/wire.go
+++ b/internal/tide/wire.go
@@ -11,6 +11,8 @@
 	Accept                   // to accept a value at a ballot
 	Chosen                   // to hear what is chosen
 	Fetch                    // the registers of some keys
+	Want                     // the body that has a digest
+	Give                     // to take a body that the other said it lacks
 )
 
 // Ask is what one replica asks of another.
@@ -26,9 +28,10 @@
 	Have   Ballot // of Collect and Prepare: what the asker has accepted itself
 	Same   Ballot // of Accept: the value is what the other has accepted at this ballot
 	Value  *Value
-	Sum    uint64 // of Look: digest of the asker's heads
+	Sum    uint64 // of Look: digest of the asker's heads; of Want: of the body
 	Heads  []Head // of Chosen
 	Keys   []string
+	Body   []byte // of Give
 }
 
 // Tell is the answer to an Ask.
@@ -40,9 +43,11 @@
 	Behind   bool   // the asker goes by an older epoch, or by one that the other lacks the set of: nothing was done
 	Granted  bool   // promised, or accepted
 	Lacks    bool   // the other does not hold the value that was to be the same
+	Wants    uint64 // it does not hold the body of this digest, and has not asked for it of late
 	Head     Head   // of the key
 	Value    *Value // what it has accepted, if that is above what the asker has
 	Same     bool   // its heads have the digest that the asker told
 	Heads    []Head // else
 	Register []Register
+	Body     []byte // that was wanted
 }
