--- a/internal/tide/bodies.go
+++ b/internal/tide/bodies.go
@@ -106,6 +106,17 @@
 	}
 }
 
+// answerBody takes a body, or gives one. A body is the same in each epoch.
+func (r *Replica) answerBody(now time.Time, a *Ask) Tell {
+	t := Tell{ID: a.ID, From: r.me, Epoch: r.set.Epoch}
+	if a.Query == Give {
+		r.came(now, a.Body)
+	} else {
+		t.Body, _ = r.body(a.Sum)
+	}
+	return t
+}
+
 // came takes a body: what waits for it goes on.
 func (r *Replica) came(now time.Time, text []byte) {
 	sum := Sum(text)
--- a/internal/tide/replica.go
+++ b/internal/tide/replica.go
@@ -329,15 +329,10 @@
 	if a.Set != nil {
 		r.adopt(now, a.Set)
 	}
-	t := Tell{ID: a.ID, From: r.me, Epoch: r.set.Epoch}
-	switch a.Query { // a body is the same in each epoch
-	case Give:
-		r.came(now, a.Body)
-		return t, r.take()
-	case Want:
-		t.Body, _ = r.body(a.Sum)
-		return t, r.take()
+	if a.Query == Give || a.Query == Want {
+		return r.answerBody(now, a), r.take()
 	}
+	t := Tell{ID: a.ID, From: r.me, Epoch: r.set.Epoch}
 	if a.Epoch != r.set.Epoch {
 		t.Behind = true
 		if a.Epoch < r.set.Epoch {
