--- a/internal/tide/bodies.go
+++ b/internal/tide/bodies.go
@@ -37,9 +37,9 @@
 	wait map[string]time.Duration
 }
 
-// bare is a value as it is told: without its body, if that is large.
-func (r *Replica) bare(v *Value) *Value {
-	if len(v.Body) <= r.bodies.along {
+// bare is a value as it is told: without its body, if that is large, to one that takes bodies apart; programs of before do not.
+func (r *Replica) bare(v *Value, apart bool) *Value {
+	if !apart || len(v.Body) <= r.bodies.along {
 		return v
 	}
 	b := *v
@@ -108,7 +108,7 @@
 
 // answerBody takes a body, or gives one. A body is the same in each epoch.
 func (r *Replica) answerBody(now time.Time, a *Ask) Tell {
-	t := Tell{ID: a.ID, From: r.me, Epoch: r.set.Epoch}
+	t := Tell{ID: a.ID, From: r.me, Epoch: r.set.Epoch, Apart: true}
 	if a.Query == Give {
 		r.came(now, a.Body)
 	} else {
--- a/internal/tide/replica.go
+++ b/internal/tide/replica.go
@@ -75,6 +75,7 @@
 	epoch  uint64 // that it goes by
 	heard  time.Time
 	same   time.Time // it was last found to hold all that is known to be chosen
+	apart  bool      // it takes large bodies apart
 }
 
 // order is a change that somebody waits for.
@@ -301,7 +302,7 @@
 		case accepting:
 			a.Query, a.Ballot, counts = Accept, o.ballot, true
 			if a.Same = o.best.Accepted; o.anew {
-				a.Value = r.bare(o.value)
+				a.Value = r.bare(o.value, p.apart)
 			}
 		}
 		if counts {
@@ -312,7 +313,7 @@
 
 // ask asks another.
 func (r *Replica) ask(p *peer, a Ask) {
-	a.To, a.From, a.Epoch = p.addr, r.me, r.set.Epoch
+	a.To, a.From, a.Epoch, a.Apart = p.addr, r.me, r.set.Epoch, true
 	if p.epoch < r.set.Epoch {
 		set := r.set
 		a.Set = &set
@@ -324,7 +325,7 @@
 func (r *Replica) Answer(now time.Time, a *Ask) (Tell, Out) {
 	r.Meet(a.From.Addr)
 	if p := r.peers[a.From.Addr]; p != nil {
-		p.member, p.heard, p.epoch = a.From, now, max(p.epoch, a.Epoch)
+		p.member, p.heard, p.epoch, p.apart = a.From, now, max(p.epoch, a.Epoch), a.Apart
 	}
 	if a.Set != nil {
 		r.adopt(now, a.Set)
@@ -332,7 +333,7 @@
 	if a.Query == Give || a.Query == Want {
 		return r.answerBody(now, a), r.take()
 	}
-	t := Tell{ID: a.ID, From: r.me, Epoch: r.set.Epoch}
+	t := Tell{ID: a.ID, From: r.me, Apart: true, Epoch: r.set.Epoch}
 	if a.Epoch != r.set.Epoch {
 		t.Behind = true
 		if a.Epoch < r.set.Epoch {
@@ -358,7 +359,7 @@
 		x := r.acceptor.Get(a.Key)
 		t.Head = x.Head
 		if x.Accepted.Compare(a.Have) > 0 {
-			t.Value = r.bare(&x.Value)
+			t.Value = r.bare(&x.Value, a.Apart)
 		}
 	case Accept:
 		r.answerAccept(now, a, &t)
@@ -372,7 +373,7 @@
 	case Fetch:
 		for _, key := range a.Keys {
 			if x := r.acceptor.Get(key); x.Accepted != (Ballot{}) {
-				x.Value = *r.bare(&x.Value)
+				x.Value = *r.bare(&x.Value, a.Apart)
 				t.Register = append(t.Register, x)
 			}
 		}
@@ -413,7 +414,7 @@
 	if p == nil {
 		return r.take()
 	}
-	p.member, p.heard, p.epoch = t.From, now, t.Epoch
+	p.member, p.heard, p.epoch, p.apart = t.From, now, t.Epoch, t.Apart
 	if t.Set != nil {
 		r.adopt(now, t.Set)
 	}
@@ -450,12 +451,12 @@
 func (r *Replica) voted(now time.Time, o *round, p *peer, t *Tell) {
 	switch {
 	case t.Lacks:
-		r.ask(p, Ask{ID: o.id, Query: Accept, Key: o.key, Ballot: o.ballot, Value: r.bare(o.value)})
+		r.ask(p, Ask{ID: o.id, Query: Accept, Key: o.key, Ballot: o.ballot, Value: r.bare(o.value, p.apart)})
 		return
 	case t.Wants != 0:
 		if text, ok := r.body(t.Wants); ok {
 			r.ask(p, Ask{Query: Give, Body: text})
-			r.ask(p, Ask{ID: o.id, Query: Accept, Key: o.key, Ballot: o.ballot, Value: r.bare(o.value)})
+			r.ask(p, Ask{ID: o.id, Query: Accept, Key: o.key, Ballot: o.ballot, Value: r.bare(o.value, p.apart)})
 		}
 		return
 	case !t.Granted:
--- a/internal/tide/wire.go
+++ b/internal/tide/wire.go
@@ -32,6 +32,7 @@
 	Heads  []Head // of Chosen
 	Keys   []string
 	Body   []byte // of Give
+	Apart  bool   // the asker takes large bodies apart: values that it is told may be bare
 }
 
 // Tell is the answer to an Ask.
@@ -50,4 +51,5 @@
 	Heads    []Head // else
 	Register []Register
 	Body     []byte // that was wanted
+	Apart    bool   // it takes large bodies apart: values that it is asked about may be bare
 }
