--- a/internal/signal/signal.go
+++ b/internal/signal/signal.go
@@ -29,6 +29,10 @@
 	magic     = "milletmast 2\n" // both ends say it first: the version of this wire
 	writeTime = 2 * time.Second
 	dialTime  = 500 * time.Millisecond
+	piece     = 32 << 10 // bytes that pass within the time that a peer may be silent, or be slow to take; a link that carries less is dead
+	// Bytes that wait in the system for a peer. Room for more is told in steps of a third of that, so it bounds how thin a link may be;
+	// and what waits there is not looked at again.
+	writeRoom = 256 << 10
 
 	acceptPause = 10 * time.Millisecond
 )
@@ -53,6 +57,9 @@
 	c.ended, c.end = context.WithCancel(ctx)
 	context.AfterFunc(c.ended, func() { raw.Close() })
 	c.dec, c.enc = gob.NewDecoder(&c.in), gob.NewEncoder(&c.out)
+	if tcp, ok := raw.(*net.TCPConn); ok {
+		tcp.SetWriteBuffer(writeRoom)
+	}
 	raw.SetDeadline(time.Now().Add(silence))
 	if _, err := io.WriteString(raw, magic); err != nil {
 		c.Close()
@@ -124,15 +131,19 @@
 		return Foreign.New("a message of %d bytes is more than %d", len(frame), maxFrame)
 	}
 	binary.BigEndian.PutUint32(frame, uint32(len(frame)-4))
-	c.raw.SetWriteDeadline(time.Now().Add(min(writeTime, c.silence)))
-	if _, err := c.raw.Write(frame); err != nil {
-		c.Close()
-		return Broken.Wrap(err, "send")
+	for len(frame) > 0 {
+		n := min(len(frame), piece)
+		c.raw.SetWriteDeadline(time.Now().Add(min(writeTime, c.silence)))
+		if _, err := c.raw.Write(frame[:n]); err != nil {
+			c.Close()
+			return Broken.Wrap(err, "send")
+		}
+		frame = frame[n:]
 	}
 	return nil
 }
 
-// Receive waits for the next message, for as long as a peer may be silent.
+// Receive waits for the next message, for as long as a peer may be silent. A peer whose message is long is not silent while it comes.
 func (c *Conn) Receive(message any) error {
 	c.raw.SetReadDeadline(time.Now().Add(c.silence))
 	var length [4]byte
@@ -143,8 +154,11 @@
 	if n > maxFrame {
 		return Foreign.New("a message of %d bytes is more than %d", n, maxFrame)
 	}
-	if _, err := io.CopyN(&c.in, c.raw, int64(n)); err != nil {
-		return Broken.Wrap(err, "receive")
+	for left := int64(n); left > 0; left -= piece {
+		c.raw.SetReadDeadline(time.Now().Add(c.silence))
+		if _, err := io.CopyN(&c.in, c.raw, min(left, piece)); err != nil {
+			return Broken.Wrap(err, "receive")
+		}
 	}
 	if err := c.dec.Decode(message); err != nil {
 		return Foreign.Wrap(err, "decode")
--- a/internal/signal/signal_test.go
+++ b/internal/signal/signal_test.go
@@ -122,3 +122,52 @@
 		t.Fatalf("%v", err)
 	}
 }
+
+// A message that takes longer over a thin link than a peer may be silent, or slow to take, comes whole: neither end cuts the connection
+// while its bytes pass.
+func TestALongMessageOverAThinLink(t *testing.T) {
+	const silence, size = 300 * time.Millisecond, 4 << 20
+	a, near := pair(t)
+	far, b := pair(t)
+	go func() { // 16 KB each 5 ms one way, anything the other way
+		piece := make([]byte, 16<<10)
+		for tick := time.NewTicker(5 * time.Millisecond); ; <-tick.C {
+			n, err := near.Read(piece)
+			if err == nil {
+				_, err = far.Write(piece[:n])
+			}
+			if err != nil {
+				far.Close()
+				return
+			}
+		}
+	}()
+	go io.Copy(near, far)
+	got := make(chan error, 1)
+	go func() {
+		conn, err := New(t.Context(), b, silence)
+		if err == nil {
+			var m message
+			if err = conn.Receive(&m); err == nil && len(m.Text) != size {
+				err = io.ErrUnexpectedEOF
+			}
+			conn.Close()
+		}
+		got <- err
+	}()
+	conn, err := New(t.Context(), a, silence)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	began := time.Now()
+	if err := conn.Send(&message{Text: strings.Repeat("x", size)}); err != nil {
+		t.Error(err)
+	}
+	if err := <-got; err != nil {
+		t.Fatal(err)
+	}
+	if took := time.Since(began); took < 2*silence {
+		t.Fatalf("it took %v: the link was not thin", took)
+	}
+}
