--- a/internal/lighthouse/contact_test.go
+++ b/internal/lighthouse/contact_test.go
@@ -102,6 +102,7 @@
 	conn *signal.Conn
 	ack  uint64
 	last bool // it asks for the last that is known
+	want bool // it asks for the configuration
 }
 
 // meet has a new pilot connect.
@@ -122,7 +123,7 @@
 
 func (p *standinPilot) say() {
 	p.t.Helper()
-	if err := p.conn.Send(&lamp.Up{Main: true, Ack: p.ack, Last: p.last}); err != nil {
+	if err := p.conn.Send(&lamp.Up{Main: true, Ack: p.ack, Last: p.last, Want: p.want}); err != nil {
 		p.t.Fatal(err)
 	}
 }
@@ -185,6 +186,32 @@
 	meet(t, s, "fifth").hear("the keeper has gone back to an older version", told(true))
 }
 
+// A configuration goes once over one connection, however often a pilot asks while it is on its way; again under another epoch, as a pilot
+// refuses what is said under one that is over; and over another connection.
+func TestAConfigurationGoesOnceOverAConnection(t *testing.T) {
+	k, s := besideStandin(t)
+	k.lease.Store(int64(time.Minute))
+	k.word(&keeper.InForce{Config: []byte("r3"), Version: 3, Settled: true, Epoch: 2})
+	whole := func(version, epoch uint64) func(*lamp.Down) bool {
+		return func(d *lamp.Down) bool {
+			f := d.InForce
+			return f != nil && f.Version == version && f.Epoch == epoch && len(f.Config) > 0
+		}
+	}
+	p := meet(t, s, "first")
+	p.hear("its first picture", whole(3, 2))
+	for range 3 {
+		p.want = true
+		p.say()
+	}
+	p.hear("nothing comes for a while", func(d *lamp.Down) bool { return d.Number == 0 })
+	k.word(&keeper.InForce{Config: []byte("r3"), Version: 3, Settled: true, Epoch: 3})
+	p.hear("another epoch", whole(3, 3))
+	k.word(&keeper.InForce{Config: []byte("r4"), Version: 4, Settled: true, Epoch: 3})
+	p.hear("another version", whole(4, 3))
+	meet(t, s, "first").hear("another connection", whole(4, 3))
+}
+
 // What was ordered and waits to be sent when the lease ends is not sent, and remembered to be told again; the rest of the word is sent.
 func TestWhatWaitsInAQueueIsLookedAtAgain(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/lighthouse/lighthouse.go
+++ b/internal/lighthouse/lighthouse.go
@@ -84,10 +84,18 @@
 	main   bool      // it is told who is there, and configurations are sent to it whole
 	holds  uint64    // version that it goes by
 	last   uint64    // version that it was told without a lease, as it asked
+	whole  carried   // the configuration that was pushed to it last: over one connection it goes once
 	// Something that was ordered was not sent, as the lease had ended when its turn came.
 	missed atomic.Bool
 }
 
+// carried names a configuration as a lighthouse said it: a pilot refuses the word of an epoch that is over, and wants it again under the
+// one in force.
+type carried struct{ version, epoch uint64 }
+
+// covers tells whether nothing is to be pushed of what is in force.
+func (c carried) covers(f *keeper.InForce) bool { return c.version >= f.Version && c.epoch == f.Epoch }
+
 // machine is one of the core.
 type machine struct {
 	zone string
@@ -266,7 +274,7 @@
 	}
 	if f := l.inForce; f != nil && f.Version > k.holds {
 		switch sighted := l.sighted(); {
-		case up.Want && sighted:
+		case up.Want && sighted && !k.whole.covers(f):
 			l.push(k, lamp.Down{InForce: f, Sighted: true})
 		case up.Last && !sighted && f.Version > k.last: // it knows that this is of one without contact
 			k.last = f.Version
@@ -361,6 +369,9 @@
 func (l *Lighthouse) push(k *link, d lamp.Down) {
 	k.pushed++
 	d.Number = k.pushed
+	if f := d.InForce; f != nil && f.Settled && len(f.Config) > 0 {
+		k.whole = carried{f.Version, f.Epoch}
+	}
 	l.tell(k, d)
 }
 
@@ -398,7 +409,7 @@
 	if !l.sighted() {
 		return nil
 	}
-	if k.main && k.holds < l.inForce.Version {
+	if k.main && k.holds < l.inForce.Version && !k.whole.covers(l.inForce) {
 		return l.inForce
 	}
 	f := *l.inForce
@@ -448,6 +459,7 @@
 	for k := range l.pilots {
 		switch {
 		case l.sighted() && k.missed.Swap(false):
+			k.whole = carried{}
 			l.push(k, lamp.Down{InForce: l.orderFor(k), Sighted: true})
 		case k.sight != l.sighted():
 			l.push(k, lamp.Down{Sighted: l.sighted(), Core: l.machines()})
