--- a/internal/explore/check.go
+++ b/internal/explore/check.go
@@ -122,8 +122,14 @@
 	if !ok {
 		w.sets[s.Epoch] = s
 		if s.Epoch > w.newest.Epoch {
+			stepped := !slices.Equal(s.Members, w.newest.Members) || !slices.Equal(s.Next, w.newest.Next)
 			w.newest = s
 			w.repaired()
+			if stepped && len(w.atSet) > 0 {
+				strike := w.atSet[0]
+				w.atSet = w.atSet[1:]
+				strike()
+			}
 		}
 		for _, e := range []uint64{s.Epoch, s.Epoch + 1} {
 			if a, b := w.sets[e-1], w.sets[e]; a != nil && b != nil && !meet(a, b) {
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -28,8 +28,9 @@
 	How   string
 	At    time.Duration
 	For   time.Duration
-	Who   int // a machine, by its place
-	Count int
+	Who   int  // a machine, by its place
+	Count int  // machines that are struck; of a link_cut the machine at its other end
+	Step  bool // it strikes so long after the next step of the set that no other waits for, not after the beginning
 }
 
 // Order is one that an operator sends, and sends again elsewhere while its outcome is unclear.
@@ -43,7 +44,11 @@
 }
 
 func (t Trouble) String() string {
-	return fmt.Sprintf("%v %s %s who=%d count=%d for=%v", t.At, t.Kind, t.How, t.Who, t.Count, t.For)
+	at := t.At.String()
+	if t.Step {
+		at += " after a step of the set"
+	}
+	return fmt.Sprintf("%s %s %s who=%d count=%d for=%v", at, t.Kind, t.How, t.Who, t.Count, t.For)
 }
 
 func (o Order) String() string {
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -38,12 +38,17 @@
 )
 
 // TestTroubles plays runs drawn from seeds.
-func TestTroubles(t *testing.T) {
+func TestTroubles(t *testing.T) { huntFrom(t, Draw, *runs) }
+
+// TestSteps plays runs drawn from seeds that aim at changes of the set.
+func TestSteps(t *testing.T) { huntFrom(t, DrawStep, *runs/4) }
+
+func huntFrom(t *testing.T, draw func(uint64) Plan, runs int) {
 	began := time.Now()
-	all, failed := hunt(*first, *runs)
+	all, failed := hunt(draw, *first, runs)
 	took := time.Since(began)
 	t.Logf("%d runs in %v: %.0f a second, %d events, %d answers, %d histories searched, %d not; slowest (seed %d) going after %v",
-		*runs, took, float64(*runs)/took.Seconds(), all.Events, all.Orders, all.Judged, all.Unjudged, all.Epochs, all.Going)
+		runs, took, float64(runs)/took.Seconds(), all.Events, all.Orders, all.Judged, all.Unjudged, all.Epochs, all.Going)
 	for _, p := range failed {
 		fails := play(p, hooks{})
 		if *shrink {
@@ -56,7 +61,7 @@
 }
 
 // hunt plays runs, a few at a time, until some have failed.
-func hunt(first uint64, runs int) (all Report, failed []Plan) {
+func hunt(draw func(uint64) Plan, first uint64, runs int) (all Report, failed []Plan) {
 	var mu sync.Mutex
 	var workers sync.WaitGroup
 	next := first
@@ -71,7 +76,7 @@
 				if over {
 					return
 				}
-				p := Draw(seed)
+				p := draw(seed)
 				r := play(p, hooks{})
 				mu.Lock()
 				all.Events += r.Events
--- a/internal/explore/trouble.go
+++ b/internal/explore/trouble.go
@@ -49,6 +49,9 @@
 		w.after1 = append(w.after1, func(who *place) { w.afterAck(t, who) })
 	case "replace_core":
 		w.replaceCore(m, t)
+	case "link_cut":
+		other := t.Count % len(w.places)
+		w.part(t, func(i, j int) bool { return i != j && (i == m.index && j == other || j == m.index && i == other) })
 	case "roll_term":
 		w.term(m, func() { w.after(w.upTo(t.For), m.begin) })
 	case "core_cut":
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -42,6 +42,7 @@
 	free   [mostPlaces][mostPlaces]time.Duration // a link that is thin has carried by then all that was sent
 	mutely int                                   // answers to operators are lost while it is above 0
 	after1 []func(*place)                        // at the next acknowledgement
+	atSet  []func()                              // at the next step of the set, one for each
 	healed time.Duration
 	lost   []loss
 	lives  int
@@ -155,6 +156,10 @@
 		w.after(w.upTo(300*time.Millisecond), m.begin)
 	}
 	for _, t := range p.Troubles {
+		if t.Step {
+			w.atSet = append(w.atSet, func() { w.after(t.At, func() { w.strike(t) }) })
+			continue
+		}
 		w.at(t.At, func() { w.strike(t) })
 	}
 	for _, o := range p.Orders {
@@ -326,6 +331,7 @@
 		return
 	}
 	w.healed = w.now
+	w.atSet = nil
 	w.cut, w.deaf, w.lossy, w.twice, w.slow, w.mutely, w.after1 = [mostPlaces][mostPlaces]int{}, [mostPlaces]int{}, 0, 0, 2*time.Millisecond, 0, nil
 	for _, m := range w.places {
 		m.full, m.stalled, m.drag = 0, 0, 0
