--- a/internal/berth/berth.go
+++ b/internal/berth/berth.go
@@ -36,6 +36,29 @@
 	RetryRatio, RetrySlack, WarmupExcess, WarmupSlack                                                   float64
 }
 
+// The figures that the times of the system's own talk were chosen by.
+const (
+	usualContact  = 3 * time.Second
+	usualCatchUp  = 4 * time.Second
+	usualConverge = 2 * time.Second
+	leastPace     = 0.2 // round trips and syncs do not get shorter
+)
+
+// Pace is the part that is left of all times of the system's own talk (silences, beats, looks, turns), where the bounds leave less time than
+// the usual ones to be in touch again, to catch up, or to have a configuration everywhere: 1 at the most. A bound of 0 is not told.
+func (b *Bounds) Pace() float64 {
+	pace := 1.0
+	for _, x := range []struct{ told, usual time.Duration }{{b.Contact, usualContact}, {b.CatchUp, usualCatchUp}, {b.Converge, usualConverge}} {
+		if x.told > 0 {
+			pace = min(pace, float64(x.told)/float64(x.usual))
+		}
+	}
+	return max(pace, leastPace)
+}
+
+// Paced is a time of the system's own talk, by the pace.
+func (b *Bounds) Paced(d time.Duration) time.Duration { return time.Duration(b.Pace() * float64(d)) }
+
 // Settings is what one process is told.
 type Settings struct {
 	Path                                  string
--- a/internal/berth/berth_test.go
+++ b/internal/berth/berth_test.go
@@ -57,3 +57,22 @@
 		}
 	}
 }
+
+// With the usual bounds, longer ones, or none told, own talk keeps its times; the shortest bound has them all shortened, down to a least.
+func TestPace(t *testing.T) {
+	for _, c := range []struct {
+		b    Bounds
+		want float64
+	}{
+		{Bounds{}, 1},
+		{Bounds{Contact: 3 * time.Second, CatchUp: 4 * time.Second, Converge: 2 * time.Second}, 1},
+		{Bounds{Contact: 9 * time.Second, CatchUp: 6 * time.Second, Converge: 5 * time.Second}, 1},
+		{Bounds{Contact: 1500 * time.Millisecond, CatchUp: 4 * time.Second, Converge: 2 * time.Second}, 0.5},
+		{Bounds{Contact: 3 * time.Second, CatchUp: 3 * time.Second, Converge: time.Second}, 0.5},
+		{Bounds{Converge: time.Millisecond}, leastPace},
+	} {
+		if got := c.b.Pace(); got != c.want {
+			t.Errorf("%+v: %v, want %v", c.b, got, c.want)
+		}
+	}
+}
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -17,7 +17,8 @@
 	Machines int // all at first
 	Losses   int // disks that may be lost at once
 	End      time.Duration
-	Rate     int // bytes a second of each link, one way, to the very end; 0 for links that carry any number at once
+	Rate     int     // bytes a second of each link, one way, to the very end; 0 for links that carry any number at once
+	Pace     float64 // of the machines; 0 for 1
 	Troubles []Trouble
 	Orders   []Order
 }
--- a/internal/explore/whole_test.go
+++ b/internal/explore/whole_test.go
@@ -10,25 +10,28 @@
 )
 
 // TestWhole: from the loss of a disk to a set without it, as large as before, it takes well under the four seconds that a machine may need
-// to catch up; a second loss right after is no worse. Nothing that was acknowledged is lost on the way.
+// to catch up, and under half of that where the settings leave half; a second loss right after is no worse. Nothing that was acknowledged is lost on the way.
 func TestWhole(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		seeds    int
 		machines int
 		troubles []Trouble
+		pace     float64
 	}{
-		{"emptied, back after 0.5 s", 3, 3, []Trouble{{Kind: "node_wipe", At: 3 * time.Second, For: 500 * time.Millisecond}}},
-		{"emptied, of five", 5, 5, []Trouble{{Kind: "node_wipe", At: 3 * time.Second, For: 500 * time.Millisecond}}},
-		{"replaced at another address after 1 s", 3, 3, []Trouble{{Kind: "replace_core", At: 3 * time.Second, For: 2 * time.Second}}},
-		{"replaced as planned", 3, 3, []Trouble{{Kind: "replace_core", How: "planned", At: 3 * time.Second, For: 2 * time.Second}}},
+		{"emptied, back after 0.5 s", 3, 3, []Trouble{{Kind: "node_wipe", At: 3 * time.Second, For: 500 * time.Millisecond}}, 1},
+		{"emptied, of five", 5, 5, []Trouble{{Kind: "node_wipe", At: 3 * time.Second, For: 500 * time.Millisecond}}, 1},
+		{"replaced at another address after 1 s", 3, 3, []Trouble{{Kind: "replace_core", At: 3 * time.Second, For: 2 * time.Second}}, 1},
+		{"replaced as planned", 3, 3, []Trouble{{Kind: "replace_core", How: "planned", At: 3 * time.Second, For: 2 * time.Second}}, 1},
 		{"emptied twice, four seconds apart", 3, 3, []Trouble{
 			{Kind: "node_wipe", At: 3 * time.Second, For: 500 * time.Millisecond}, {Kind: "node_wipe", At: 7 * time.Second, For: 500 * time.Millisecond, Who: 1},
-		}},
+		}, 1},
+		{"emptied, back after 0.3 s, half the time", 3, 3, []Trouble{{Kind: "node_wipe", At: 3 * time.Second, For: 300 * time.Millisecond}}, 0.5},
+		{"replaced at another address after 0.5 s, half the time", 3, 3, []Trouble{{Kind: "replace_core", At: 3 * time.Second, For: time.Second}}, 0.5},
 	} {
 		var took []time.Duration
 		for seed := range uint64(60) {
-			p := Plan{Seed: seed, Seeds: c.seeds, Machines: c.machines, Losses: c.seeds / 2, End: 12 * time.Second, Troubles: slices.Clone(c.troubles)}
+			p := Plan{Seed: seed, Pace: c.pace, Seeds: c.seeds, Machines: c.machines, Losses: c.seeds / 2, End: 12 * time.Second, Troubles: slices.Clone(c.troubles)}
 			for i := range p.Troubles {
 				p.Troubles[i].Who = (p.Troubles[i].Who + int(seed)) % c.seeds
 			}
@@ -48,7 +51,7 @@
 		}
 		slices.Sort(took)
 		t.Logf("%s: median %v, worst %v", c.name, took[len(took)/2], took[len(took)-1])
-		if worst := took[len(took)-1]; worst > 4*time.Second {
+		if worst := took[len(took)-1]; worst > time.Duration(c.pace*float64(4*time.Second)) {
 			t.Errorf("%s: %v", c.name, worst)
 		}
 	}
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -199,7 +199,7 @@
 	if w.hooks.restart != nil {
 		held = w.hooks.restart(&set, held)
 	}
-	r := tide.NewReplica(m.member(), tide.Settings{Lease: leaseFor, Order: orderFor, Along: along}, set, held)
+	r := tide.NewReplica(m.member(), tide.Settings{Lease: leaseFor, Order: orderFor, Along: along, Pace: w.plan.Pace}, set, held)
 	for i, n := 0, 0; i < len(w.places) && n < 3; i++ {
 		if !w.places[i].gone {
 			r.Meet(w.places[i].addr)
--- a/internal/helm/helm.go
+++ b/internal/helm/helm.go
@@ -96,13 +96,13 @@
 			out.Join(m.succeed(now, set, Asking))
 		}
 	case Asking:
-		if now.Sub(m.since) > patience {
+		if now.Sub(m.since) > m.replica.Paced(patience) {
 			m.turn(now, Following)
 		}
 	case Holding:
 		out.Join(m.steer(now, set))
 	case Changing:
-		if now.Sub(m.since) > patience {
+		if now.Sub(m.since) > m.replica.Paced(patience) {
 			m.turn(now, Holding)
 		}
 	}
@@ -142,7 +142,7 @@
 			set.Holder = m.heir(now, &set)
 		}
 		return m.succeed(now, set, Changing)
-	case now.Sub(m.joint) > giveUp:
+	case now.Sub(m.joint) > m.replica.Paced(giveUp):
 		set.Next = nil
 		return m.succeed(now, set, Changing)
 	}
@@ -190,14 +190,14 @@
 		}
 	}
 	more := spread.Name(fmt.Sprint(me, set.Epoch)) % jitter
-	return now.Sub(heard) > lostAfter+time.Duration(place)*stagger+time.Duration(more)*time.Millisecond
+	return now.Sub(heard) > m.replica.Paced(lostAfter+time.Duration(place)*stagger+time.Duration(more)*time.Millisecond)
 }
 
 // Sight is a keeper as the holder sees it.
 type Sight struct {
 	tide.Member
 	Alive  bool
-	Absent time.Duration // for so long it has not answered
+	Absent time.Duration // for so long it has not answered, as long as it seems at the usual pace
 	Holds  bool          // it holds all that is chosen
 	Leaves bool          // it has said that it is about to end
 }
@@ -206,9 +206,9 @@
 func (m *Machine) sights(now time.Time) []Sight {
 	out := []Sight{{Member: m.replica.Me(), Alive: true, Holds: true, Leaves: m.replica.Leaves()}}
 	for _, o := range m.replica.Others() {
-		s := Sight{Member: o.Member, Alive: o.Alive(now), Holds: now.Sub(o.Same) < fresh, Leaves: o.Leaves}
+		s := Sight{Member: o.Member, Alive: o.Alive(now), Holds: now.Sub(o.Same) < m.replica.Paced(fresh), Leaves: o.Leaves}
 		if !s.Alive {
-			s.Absent = now.Sub(cmp.Or(o.Heard, m.begun))
+			s.Absent = time.Duration(float64(now.Sub(cmp.Or(o.Heard, m.begun))) * float64(time.Second) / float64(m.replica.Paced(time.Second)))
 		}
 		out = append(out, s)
 	}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -58,6 +58,7 @@
 	known    bool // once there was a lease: what is chosen is known since
 	told     told // as last logged
 	wake     *time.Timer
+	pace     func(time.Duration) time.Duration // a time of the own talk, by the bounds of the start
 	running  sync.WaitGroup
 	listener net.Listener
 	ctx      context.Context
@@ -88,7 +89,7 @@
 		log.Error().Err(spoilt).Msg("disk counts as lost")
 	}
 	k := &Keeper{
-		s: s, log: log, disk: disk{book, map[string]tide.Ballot{}}, loop: shore.NewLoop(256), peers: map[string]*signal.Outbox{},
+		s: s, pace: s.Bounds.Paced, log: log, disk: disk{book, map[string]tide.Ballot{}}, loop: shore.NewLoop(256), peers: map[string]*signal.Outbox{},
 		orders: map[uint64]func(tide.Result){}, boats: map[*signal.Outbox]bool{},
 	}
 	registers, set, me, err := k.recall(spoilt != nil)
@@ -97,7 +98,7 @@
 		return nil, err
 	}
 	order := time.Duration(orderPart * float64(cmp.Or(s.Bounds.Ack, usualAck)))
-	k.replica = tide.NewReplica(me, tide.Settings{Lease: cmp.Or(s.Bounds.Converge, usualLease), Order: order}, set, registers)
+	k.replica = tide.NewReplica(me, tide.Settings{Lease: cmp.Or(s.Bounds.Converge, usualLease), Order: order, Pace: s.Bounds.Pace()}, set, registers)
 	k.duty = helm.New(time.Now(), k.replica, s.LossMachines)
 	if k.listener, err = net.Listen("tcp", Address(s.IP, s)); err != nil {
 		book.Close()
@@ -111,7 +112,7 @@
 	inner, stop := context.WithCancel(context.Background())
 	k.ctx = inner
 	k.running.Go(func() { signal.Serve(inner, k.listener, func(raw net.Conn) { k.running.Go(func() { k.serve(raw) }) }) })
-	k.running.Go(func() { k.loop.Run(inner, pulse, k.tick) })
+	k.running.Go(func() { k.loop.Run(inner, k.pace(pulse), k.tick) })
 	k.loop.Post(func() { k.meetSeeds(); k.tick() })
 	<-ctx.Done()
 	k.log.Info().Msg("ending")
@@ -191,8 +192,8 @@
 
 // follow holds a connection to a peer, over which it is asked.
 func (k *Keeper) follow(addr string) {
-	pause := signal.Pause{First: firstPause, Most: pulse}
-	signal.Hold(k.ctx, addr, silence, pause, &Hello{Keeper: true}, func(conn *signal.Conn) {
+	pause := signal.Pause{First: firstPause, Most: k.pace(pulse)}
+	signal.Hold(k.ctx, addr, k.pace(silence), pause, &Hello{Keeper: true}, func(conn *signal.Conn) {
 		box := signal.NewOutbox(conn, peerQueue)
 		k.running.Go(box.Run)
 		k.loop.Post(func() {
@@ -301,7 +302,7 @@
 		k.wake.Stop()
 	}
 	now := time.Now()
-	if wait := k.duty.Due(now).Sub(now); wait < pulse {
+	if wait := k.duty.Due(now).Sub(now); wait < k.pace(pulse) {
 		k.wake = time.AfterFunc(max(wait, time.Millisecond), func() { k.loop.Post(k.tick) })
 	}
 }
@@ -326,7 +327,7 @@
 
 // serve answers one connection.
 func (k *Keeper) serve(raw net.Conn) {
-	conn, err := signal.New(k.ctx, raw, silence)
+	conn, err := signal.New(k.ctx, raw, k.pace(silence))
 	if err != nil {
 		return
 	}
--- a/internal/lighthouse/contact_test.go
+++ b/internal/lighthouse/contact_test.go
@@ -66,6 +66,10 @@
 
 // besideStandin starts a lighthouse beside a keeper that says what a test has it say.
 func besideStandin(t *testing.T) (*standinKeeper, *berth.Settings) {
+	return besideStandinWithin(t, berth.Bounds{})
+}
+
+func besideStandinWithin(t *testing.T, b berth.Bounds) (*standinKeeper, *berth.Settings) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -73,7 +77,7 @@
 	port := free.Addr().(*net.TCPAddr).Port
 	free.Close()
 	s := &berth.Settings{
-		Path: "test", Node: "core", IP: standinIP, Zone: "north", PortFrom: port - 1, PortTo: port + 1, Control: net.JoinHostPort(standinIP, "0"),
+		Path: "test", Node: "core", IP: standinIP, Zone: "north", PortFrom: port - 1, PortTo: port + 1, Control: net.JoinHostPort(standinIP, "0"), Bounds: b,
 	}
 	ln, err := net.Listen("tcp", keeper.Address(standinIP, s))
 	if err != nil {
@@ -186,6 +190,24 @@
 	meet(t, s, "fifth").hear("the keeper has gone back to an older version", told(true))
 }
 
+// Where the settings leave less time for a configuration to be everywhere, a lighthouse asks its keeper that much more often: in calm it has
+// contact all the while, with leases that are as short.
+func TestContactLastsWithShortLeases(t *testing.T) {
+	k, s := besideStandinWithin(t, berth.Bounds{Converge: 700 * time.Millisecond})
+	k.lease.Store(int64(350 * time.Millisecond)) // what is left of a keeper's at least
+	k.word(&keeper.InForce{Config: []byte("r3"), Version: 3, Settled: true, Epoch: 2})
+	p := meet(t, s, "first")
+	p.hear("the keeper has a lease", func(d *lamp.Down) bool { return d.InForce != nil })
+	for n := k.answered.Load(); k.answered.Load() < n+10; {
+		p.hear("calm", func(d *lamp.Down) bool {
+			if !d.Sighted {
+				t.Error("the lighthouse has lost contact")
+			}
+			return true
+		})
+	}
+}
+
 // A configuration goes once over one connection, however often a pilot asks while it is on its way; again under another epoch, as a pilot
 // refuses what is said under one that is over; and over another connection.
 func TestAConfigurationGoesOnceOverAConnection(t *testing.T) {
--- a/internal/lighthouse/council.go
+++ b/internal/lighthouse/council.go
@@ -100,7 +100,7 @@
 	if c.due.IsZero() {
 		c.due = now
 	}
-	if now.Sub(c.due) < time.Duration(c.place())*turnTime {
+	if now.Sub(c.due) < c.l.pace(time.Duration(c.place())*turnTime) {
 		return
 	}
 	c.order(next, f)
--- a/internal/lighthouse/lighthouse.go
+++ b/internal/lighthouse/lighthouse.go
@@ -65,6 +65,7 @@
 	waits    []*wait
 	council  *council
 
+	pace    func(time.Duration) time.Duration // a time of the own talk, by the bounds of the start
 	running sync.WaitGroup
 	inside  net.Listener
 	outside net.Listener
@@ -120,8 +121,8 @@
 		return nil, Start.New("%s: bind.control: is missing; a lighthouse takes the outside calls", s.Path)
 	}
 	l := &Lighthouse{
-		s: s, log: log, loop: shore.NewLoop(512),
-		registry: beacon.NewRegistry(beacon.Limits{Dark: darkAfter, Forget: forget}),
+		s: s, pace: s.Bounds.Paced, log: log, loop: shore.NewLoop(512),
+		registry: beacon.NewRegistry(beacon.Limits{Dark: s.Bounds.Paced(darkAfter), Forget: forget}),
 		pilots:   map[*link]bool{}, sisters: map[string]*link{}, core: map[string]*machine{}, changed: map[string]bool{},
 		across: map[string]bool{}, known: lamp.NewOrders(),
 	}
@@ -145,7 +146,7 @@
 	defer stop()
 	l.ctx = inner
 	l.store = newStore(l)
-	l.running.Go(func() { l.loop.Run(inner, pulse, l.tick) })
+	l.running.Go(func() { l.loop.Run(inner, l.pace(pulse), l.tick) })
 	l.running.Go(func() { signal.Serve(inner, l.inside, func(raw net.Conn) { l.running.Go(func() { l.serve(raw) }) }) })
 	l.running.Go(l.store.follow)
 	l.loop.Post(l.meetSeeds)
@@ -186,8 +187,8 @@
 
 // follow holds a connection to another lighthouse: what it says is heard over the one that it holds to this one.
 func (l *Lighthouse) follow(ip string) {
-	pause := signal.Pause{First: firstPause, Most: pulse}
-	signal.Hold(l.ctx, Address(ip, l.s), silence, pause, &lamp.Hello{Lighthouse: l.s.IP, Zone: l.s.Zone}, func(conn *signal.Conn) {
+	pause := signal.Pause{First: firstPause, Most: l.pace(pulse)}
+	signal.Hold(l.ctx, Address(ip, l.s), l.pace(silence), pause, &lamp.Hello{Lighthouse: l.s.IP, Zone: l.s.Zone}, func(conn *signal.Conn) {
 		k := &link{out: signal.NewOutbox(conn, queue), node: ip}
 		l.loop.Post(func() {
 			l.sisters[ip], l.core[ip].at = k, time.Now()
@@ -214,7 +215,7 @@
 
 // serve hears one connection of a pilot or of another lighthouse.
 func (l *Lighthouse) serve(raw net.Conn) {
-	conn, err := signal.New(l.ctx, raw, silence)
+	conn, err := signal.New(l.ctx, raw, l.pace(silence))
 	if err != nil {
 		return
 	}
@@ -254,7 +255,7 @@
 // serveSister hears another lighthouse.
 func (l *Lighthouse) serveSister(conn *signal.Conn, ip, zone string) {
 	l.loop.Post(func() { l.meet(ip, zone) })
-	l.running.Go(func() { conn.Beat(beat, &lamp.Up{}) })
+	l.running.Go(func() { conn.Beat(l.pace(beat), &lamp.Up{}) })
 	for {
 		var a lamp.Across
 		if conn.Receive(&a) != nil {
@@ -463,7 +464,7 @@
 			l.push(k, lamp.Down{InForce: l.orderFor(k), Sighted: true})
 		case k.sight != l.sighted():
 			l.push(k, lamp.Down{Sighted: l.sighted(), Core: l.machines()})
-		case now.Sub(k.sent) >= beat-pulse/2:
+		case now.Sub(k.sent) >= l.pace(beat-pulse/2):
 			l.tell(k, lamp.Down{Sighted: k.sight})
 		}
 	}
@@ -471,7 +472,7 @@
 	a := lamp.Across{Votes: l.council.news()}
 	if l.ticks++; l.ticks%vouchTicks == 0 {
 		for k := range l.pilots {
-			if k.life != 0 && now.Sub(k.heard) < vouchTicks*pulse+pulse/2 {
+			if k.life != 0 && now.Sub(k.heard) < l.pace(vouchTicks*pulse+pulse/2) {
 				a.Vouch = append(a.Vouch, beacon.Mark(k.node, k.life))
 			}
 		}
--- a/internal/lighthouse/standstill_test.go
+++ b/internal/lighthouse/standstill_test.go
@@ -44,7 +44,7 @@
 		came   time.Time
 		looked time.Time
 	}{
-		"it waited in this process": {now.Add(-orderTime), now},
+		"it waited in this process": {now.Add(-3500 * time.Millisecond), now},
 		"it waited in a socket":     {now, now.Add(-20 * time.Second)},
 	} {
 		l := &Lighthouse{}
--- a/internal/lighthouse/store.go
+++ b/internal/lighthouse/store.go
@@ -9,7 +9,10 @@
 	"whinknot/internal/signal"
 )
 
-const orderTime = 3500 * time.Millisecond // for a result; then it is unclear what became of the order
+const (
+	orderPart = 0.875           // of the time for an acknowledgement, for a result; then it is unclear what became of the order
+	usualAck  = 4 * time.Second // where the settings name none
+)
 
 // store is the way to the keeper on this machine, and the lease that its answers to beats give.
 type store struct {
@@ -18,17 +21,22 @@
 	lease  lease.Lease
 	lastID uint64
 	orders map[uint64]func(*keeper.Result)
+	most   time.Duration // for an order
 }
 
 func newStore(l *Lighthouse) *store {
-	return &store{l: l, orders: map[uint64]func(*keeper.Result){}}
+	ack := usualAck
+	if l.s != nil && l.s.Bounds.Ack > 0 {
+		ack = l.s.Bounds.Ack
+	}
+	return &store{l: l, orders: map[uint64]func(*keeper.Result){}, most: time.Duration(orderPart * float64(ack))}
 }
 
 // follow holds a connection to a keeper.
 func (s *store) follow() {
 	l := s.l
-	pause := signal.Pause{First: firstPause, Most: pulse / 4}
-	signal.Hold(l.ctx, keeper.Address(l.s.IP, l.s), silence, pause, &keeper.Hello{Lighthouse: l.s.Node}, func(conn *signal.Conn) {
+	pause := signal.Pause{First: firstPause, Most: l.pace(pulse / 4)}
+	signal.Hold(l.ctx, keeper.Address(l.s.IP, l.s), l.pace(silence), pause, &keeper.Hello{Lighthouse: l.s.Node}, func(conn *signal.Conn) {
 		out := signal.NewOutbox(conn, queue)
 		l.running.Go(out.Run)
 		l.loop.Post(func() { s.out = out; s.beat(time.Now()) })
@@ -92,7 +100,7 @@
 	case s.out == nil:
 		then(&keeper.Result{Status: keeper.Unclear, Why: "no keeper can be reached"})
 		return
-	case now.Sub(came) >= orderTime, s.l.stood.just(now):
+	case now.Sub(came) >= s.most, s.l.stood.just(now):
 		then(&keeper.Result{Status: keeper.Unclear, Why: "this lighthouse stood still, and the order may be old"})
 		return
 	}
@@ -101,12 +109,12 @@
 	id := o.ID
 	s.orders[id] = then
 	s.out.Say(signal.Late(func() any {
-		if time.Since(came) >= orderTime {
+		if time.Since(came) >= s.most {
 			return nil
 		}
 		return o
 	}))
-	time.AfterFunc(orderTime, func() {
+	time.AfterFunc(s.most, func() {
 		s.l.loop.Post(func() {
 			if f := s.orders[id]; f != nil {
 				delete(s.orders, id)
--- a/internal/pilot/links.go
+++ b/internal/pilot/links.go
@@ -30,7 +30,8 @@
 type links struct {
 	p      *Pilot
 	s      *berth.Settings
-	known  map[string]string // zones of the machines of the core; "" where it is not known
+	pace   func(time.Duration) time.Duration // a time of the own talk, by the bounds of the start
+	known  map[string]string                 // zones of the machines of the core; "" where it is not known
 	active map[string]*link
 	failed map[string]time.Time // not to be tried before
 	pauses map[string]*signal.Pause
@@ -47,7 +48,7 @@
 }
 
 func newLinks(p *Pilot) *links {
-	return &links{p: p, s: p.s, known: map[string]string{}, active: map[string]*link{}, failed: map[string]time.Time{}, pauses: map[string]*signal.Pause{}, saw: time.Now()}
+	return &links{p: p, s: p.s, pace: p.s.Bounds.Paced, known: map[string]string{}, active: map[string]*link{}, failed: map[string]time.Time{}, pauses: map[string]*signal.Pause{}, saw: time.Now()}
 }
 
 func (l *links) meetSeeds() { l.p.loop.Post(func() { l.settings(l.s) }) }
@@ -98,7 +99,7 @@
 		k.conn.Close()
 	}
 	for _, k := range l.active {
-		if k.conn != nil && now.Sub(k.last) >= linkPulse-lookEvery/2 {
+		if k.conn != nil && now.Sub(k.last) >= l.pace(linkPulse)-lookEvery/2 {
 			l.send(k, l.up(k))
 		}
 	}
@@ -112,7 +113,7 @@
 			l.saw = now
 		}
 	}
-	if now.Sub(l.saw) < searchAfter {
+	if now.Sub(l.saw) < l.pace(searchAfter) {
 		return linkCount
 	}
 	return searchCount
@@ -194,7 +195,7 @@
 	l.active[ip] = k
 	p := l.p
 	p.running.Go(func() {
-		conn, err := signal.Dial(p.ctx, lighthouse.Address(ip, l.s), linkSilence)
+		conn, err := signal.Dial(p.ctx, lighthouse.Address(ip, l.s), l.pace(linkSilence))
 		if err == nil {
 			defer conn.Close()
 			err = conn.Send(&lamp.Hello{Pilot: l.s.Node})
--- a/internal/pilot/links_test.go
+++ b/internal/pilot/links_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"whinknot/internal/berth"
 	"whinknot/internal/lamp"
 	"whinknot/internal/signal"
 )
@@ -12,7 +13,7 @@
 // A pilot whose lighthouses have all lost contact tries those farther away too, and keeps one that has contact.
 func TestWhileNoLighthouseHasContactOthersAreTried(t *testing.T) {
 	now := time.Now()
-	l := &links{p: &Pilot{room: lamp.NewChartroom(now, lamp.Bounds{})}, active: map[string]*link{}, saw: now}
+	l := &links{pace: (&berth.Bounds{}).Paced, p: &Pilot{room: lamp.NewChartroom(now, lamp.Bounds{})}, active: map[string]*link{}, saw: now}
 	for n := range linkCount {
 		ip := fmt.Sprint("cut", n)
 		l.active[ip] = &link{ip: ip, conn: &signal.Conn{}}
--- a/internal/tide/lease.go
+++ b/internal/tide/lease.go
@@ -150,7 +150,7 @@
 		if x := r.acceptor.Get(key); x.Promised != x.Accepted {
 			turn /= shortTurn
 		}
-		if now.Sub(r.stuck[key]) < stuckFor+time.Duration(r.place())*turn {
+		if now.Sub(r.stuck[key]) < r.Paced(stuckFor+time.Duration(r.place())*turn) {
 			continue
 		}
 		r.stuck[key] = now
--- a/internal/tide/replica.go
+++ b/internal/tide/replica.go
@@ -14,6 +14,7 @@
 	Lease time.Duration // for which what a quorum said counts, from when it was asked
 	Order time.Duration // for an order: then its outcome is unclear
 	Along int           // bytes of a body that rides along with the ballots; 0 for the usual
+	Pace  float64       // the part that is left of all other times; 0 for 1
 }
 
 const (
@@ -201,10 +202,16 @@
 // Peers are the addresses of the others, in order.
 func (r *Replica) Peers() []string { return slices.Sorted(maps.Keys(r.peers)) }
 
+// Paced is a time by the pace that the settings name.
+func (r *Replica) Paced(d time.Duration) time.Duration {
+	return time.Duration(cmp.Or(r.settings.Pace, 1) * float64(d))
+}
+
 // Other is another process as this one sees it.
 type Other struct {
 	Member           // its disk is "" if nothing was heard of it
 	Heard  time.Time // last
+	until  time.Time // it counts as there, by that
 	Same   time.Time // it was last found to hold all that is known to be chosen
 	Leaves bool      // it has said that it is about to end
 }
@@ -214,7 +221,7 @@
 	out := make([]Other, 0, len(r.peers))
 	for _, addr := range r.Peers() {
 		p := r.peers[addr]
-		o := Other{p.member, p.heard, p.same, p.leaves}
+		o := Other{p.member, p.heard, p.heard.Add(r.Paced(aliveFor)), p.same, p.leaves}
 		o.Addr = addr
 		out = append(out, o)
 	}
@@ -222,7 +229,7 @@
 }
 
 // Alive tells whether another was heard just now.
-func (o *Other) Alive(now time.Time) bool { return o.Disk != "" && now.Sub(o.Heard) < aliveFor }
+func (o *Other) Alive(now time.Time) bool { return o.Disk != "" && now.Before(o.until) }
 
 // take gives what has come together.
 func (r *Replica) take() Out {
@@ -707,7 +714,7 @@
 
 // lookEvery is the time between two looks.
 func (r *Replica) lookEvery(now time.Time) time.Duration {
-	slow := min(lookSlow, r.settings.Lease/slowPart)
+	slow := min(r.Paced(lookSlow), r.settings.Lease/slowPart)
 	if r.set.Holder == r.me.Disk || r.Lease(now) < slow {
 		return r.often()
 	}
@@ -715,7 +722,7 @@
 }
 
 // often is the time between two looks where much depends on them.
-func (r *Replica) often() time.Duration { return min(lookOften, r.settings.Lease/oftenPart) }
+func (r *Replica) often() time.Duration { return min(r.Paced(lookOften), r.settings.Lease/oftenPart) }
 
 // Due is when a tick is wanted next.
 func (r *Replica) Due(now time.Time) time.Time {
