--- a/internal/pilot/gossip.go
+++ b/internal/pilot/gossip.go
@@ -1,8 +1,11 @@
 package pilot
 
 import (
+	"fmt"
 	"time"
 
+	"github.com/cespare/xxhash/v2"
+
 	"whinknot/internal/keeper"
 	"whinknot/internal/lamp"
 	"whinknot/internal/shore"
@@ -21,7 +24,7 @@
 // Gossip is what pilots say to each other: what each goes by, and what the other lacks.
 type Gossip struct {
 	Version uint64
-	Zones   uint64     // sum of the numbers of evacuations: it rises with each
+	Zones   uint64     // digest of the numbers of evacuations
 	Removed tide.Stamp // of removals
 	Cut     bool       // it has no lighthouse: who is there is news to it
 	Unsure  bool       // it goes by what it was told by nobody with contact: it would hear what another is certain of
@@ -74,16 +77,24 @@
 func (p *Pilot) gossip() *Gossip {
 	f := p.room.InForce()
 	g := &Gossip{Version: f.Version, Removed: f.Removed, Cut: p.links.main() == "", Unsure: p.room.Standing() == lamp.Uncertain}
-	for _, e := range f.Evacuations {
-		g.Zones += e.Stamp.Number
-	}
+	g.Zones = zonesDigest(f.Evacuations)
 	return g
 }
 
+// zonesDigest is one number for the newest orders about zones. Who has another one is told them all, and goes by those that are newer: of
+// two pilots each may know one that the other lacks.
+func zonesDigest(all []keeper.Evacuation) uint64 {
+	h := xxhash.New()
+	for _, e := range all {
+		fmt.Fprintf(h, "%s %d %s\n", e.Zone, e.Stamp.Number, e.Stamp.By)
+	}
+	return h.Sum64()
+}
+
 // reply is what another lacks. It runs in the loop.
 func (p *Pilot) reply(to *Gossip) *Gossip {
 	g := p.gossip()
-	if g.Version > to.Version || g.Zones > to.Zones || g.Removed.Compare(to.Removed) > 0 || to.Unsure && !g.Unsure {
+	if g.Version > to.Version || g.Zones != to.Zones || g.Removed.Compare(to.Removed) > 0 || to.Unsure && !g.Unsure {
 		g.InForce = p.room.InForce()
 		if g.Version <= to.Version {
 			g.InForce.Config = nil
