--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -58,6 +58,7 @@
 	known    bool // once there was a lease: what is chosen is known since
 	told     told // as last logged
 	wake     *time.Timer
+	stood    shore.Standstill
 	pace     func(time.Duration) time.Duration // a time of the own talk, by the bounds of the start
 	running  sync.WaitGroup
 	listener net.Listener
@@ -228,6 +229,7 @@
 
 // tick does what is due.
 func (k *Keeper) tick() {
+	k.stood.Look(time.Now())
 	if k.mute {
 		k.speakAgain()
 		return
--- a/internal/keeper/order.go
+++ b/internal/keeper/order.go
@@ -89,7 +89,7 @@
 
 // carryOut begins an order; then gets its result, once.
 func (k *Keeper) carryOut(o *Order, then func(*Result)) {
-	c := tide.Change{By: k.replica.Me().Disk}
+	c := tide.Change{By: k.replica.Me().Disk, Within: o.Within}
 	switch o.Kind {
 	case PutConfig:
 		parsed, err := chart.Parse(o.Body)
@@ -119,6 +119,10 @@
 		then(&Result{Status: Unclear, Why: "the disk takes no writes"})
 		return
 	}
+	if k.stood.Just(time.Now()) {
+		then(&Result{Status: Unclear, Why: "this keeper stood still, and the order may be old"})
+		return
+	}
 	k.lastID++
 	k.orders[k.lastID] = func(r tide.Result) { then(k.resultOf(&c, &r)) }
 	k.act(k.replica.Order(time.Now(), k.lastID, c))
--- a/internal/keeper/talk.go
+++ b/internal/keeper/talk.go
@@ -18,6 +18,7 @@
 	Removals []muster.Removal
 	Base     tide.Stamp
 	Zone     string
+	Within   time.Duration // it is tried for so long; 0 for as long as any
 }
 
 // OrderKind says what is ordered.
--- a/internal/lighthouse/council.go
+++ b/internal/lighthouse/council.go
@@ -32,7 +32,7 @@
 // heard takes the opinions of a pilot that is connected.
 func (c *council) heard(k *link, opinions []muster.Opinion) {
 	now := time.Now()
-	if len(opinions) == 0 || c.l.stood.just(now) { // these may be old
+	if len(opinions) == 0 || c.l.stood.Just(now) { // these may be old
 		return
 	}
 	zone := ""
@@ -88,7 +88,7 @@
 		votes = append(votes, v)
 	}
 	c.ask(muster.Asked(c.bounds, hosts, muster.Cases(c.bounds, now, hosts, votes)))
-	if !c.l.sighted() || c.l.stood.just(now) || c.under {
+	if !c.l.sighted() || c.l.stood.Just(now) || c.under {
 		return
 	}
 	c.remember(now, in)
--- a/internal/lighthouse/lighthouse.go
+++ b/internal/lighthouse/lighthouse.go
@@ -7,6 +7,7 @@
 	"context"
 	"net"
 	"net/http"
+	"net/url"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -61,8 +62,9 @@
 	across   map[string]bool           // nodes to be told to other lighthouses
 	pushing  bool
 	ticks    int
-	stood    standstill
+	stood    shore.Standstill
 	waits    []*wait
+	tickets  tickets
 	council  *council
 
 	pace    func(time.Duration) time.Duration // a time of the own talk, by the bounds of the start
@@ -315,7 +317,7 @@
 			l.note(node)
 		}
 	}
-	if !l.stood.just(now) { // else they may be old
+	if !l.stood.Just(now) { // else they may be old
 		for _, v := range a.Votes {
 			v.Heard = now
 			l.council.votes[v.Pilot] = v
@@ -451,9 +453,9 @@
 // tick ages what is known and says to everybody that this lighthouse is there.
 func (l *Lighthouse) tick() {
 	now := time.Now()
-	l.stood.look(now)
+	l.stood.Look(now)
 	l.store.beat(now)
-	for _, node := range l.registry.Age(now, l.sighted() && !l.stood.just(now)) { // else not the pilots stood still
+	for _, node := range l.registry.Age(now, l.sighted() && !l.stood.Just(now)) { // else not the pilots stood still
 		l.log.Info().Str("pilot", node).Msg("pilot is dark or forgotten")
 		l.note(node)
 	}
@@ -554,15 +556,7 @@
 func (l *Lighthouse) run(c orders.Command, then func(orders.Result)) {
 	order := func(o keeper.Order) {
 		came := time.Now()
-		l.loop.Post(func() {
-			l.store.order(&o, came, func(r *keeper.Result) {
-				if r.Status == keeper.Done && o.Kind != keeper.ReadConfig {
-					l.afterPilots(func() { then(resultOf(r)) })
-					return
-				}
-				then(resultOf(r))
-			})
-		})
+		l.loop.Post(func() { l.carryOut(&o, came, then) })
 	}
 	switch c := c.(type) {
 	case orders.ReplaceConfig:
@@ -570,9 +564,9 @@
 	case orders.ReadConfig:
 		order(keeper.Order{Kind: keeper.ReadConfig})
 	case orders.BeginEvacuation:
-		order(keeper.Order{Kind: keeper.BeginEvacuation, Zone: c.Zone})
+		l.present(keeper.Order{Kind: keeper.BeginEvacuation, Zone: c.Zone, Within: ticketFor}, "Begin", c.Ticket, then)
 	case orders.FinishEvacuation:
-		order(keeper.Order{Kind: keeper.FinishEvacuation, Zone: c.Zone})
+		l.present(keeper.Order{Kind: keeper.FinishEvacuation, Zone: c.Zone, Within: ticketFor}, "Finish", c.Ticket, then)
 	case orders.Readiness:
 		then(orders.Result{Status: http.StatusOK})
 	default: // the pilot beside an endpoint is the one that can promise it anything
@@ -580,6 +574,33 @@
 	}
 }
 
+// present has an evacuation ordered if its caller is there: it brings a ticket. One without is sent here again with one.
+func (l *Lighthouse) present(o keeper.Order, verb, name string, then func(orders.Result)) {
+	what := "/api/Evacuation." + verb + "/" + url.PathEscape(o.Zone)
+	l.loop.Post(func() {
+		now := time.Now()
+		switch {
+		case name == "":
+			then(orders.Result{Status: http.StatusTemporaryRedirect, Location: what + "/" + l.tickets.give(now, what), Body: []byte("call again with this ticket: it shows that you are there\n")})
+		case !l.tickets.take(now, name, what):
+			then(orders.Result{Status: http.StatusServiceUnavailable, Body: []byte("the ticket is not known, or no longer: nothing was ordered\n")})
+		default:
+			l.carryOut(&o, now, then)
+		}
+	})
+}
+
+// carryOut has the keeper carry out an order, and its caller answered once the pilots that are connected go by it, or after a while.
+func (l *Lighthouse) carryOut(o *keeper.Order, came time.Time, then func(orders.Result)) {
+	l.store.order(o, came, func(r *keeper.Result) {
+		if r.Status == keeper.Done && o.Kind != keeper.ReadConfig {
+			l.afterPilots(func() { then(resultOf(r)) })
+			return
+		}
+		then(resultOf(r))
+	})
+}
+
 // resultOf is what a caller is told of an order.
 func resultOf(r *keeper.Result) orders.Result {
 	switch r.Status {
--- a/internal/lighthouse/store.go
+++ b/internal/lighthouse/store.go
@@ -100,7 +100,7 @@
 	case s.out == nil:
 		then(&keeper.Result{Status: keeper.Unclear, Why: "no keeper can be reached"})
 		return
-	case now.Sub(came) >= s.most, s.l.stood.just(now):
+	case now.Sub(came) >= s.most, s.l.stood.Just(now):
 		then(&keeper.Result{Status: keeper.Unclear, Why: "this lighthouse stood still, and the order may be old"})
 		return
 	}
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -42,11 +42,11 @@
 // ReadConfig asks for the newest configuration.
 type ReadConfig struct{}
 
-// BeginEvacuation asks to send nothing more to the endpoints of a zone.
-type BeginEvacuation struct{ Zone string }
+// BeginEvacuation asks to send nothing more to the endpoints of a zone. Ticket is "" in a call that was not sent here by an answer.
+type BeginEvacuation struct{ Zone, Ticket string }
 
 // FinishEvacuation takes that back.
-type FinishEvacuation struct{ Zone string }
+type FinishEvacuation struct{ Zone, Ticket string }
 
 // Readiness asks whether work is welcome.
 type Readiness struct{}
@@ -64,7 +64,7 @@
 	Status   int
 	Body     []byte
 	JSON     bool
-	Location string
+	Location string // the path at which to call again
 }
 
 const (
@@ -108,6 +108,13 @@
 		}
 		return c, 0, nil
 	}
+	ticket := ""
+	if strings.HasPrefix(verb, "Evacuation.") {
+		rest, ticket, _ = strings.Cut(rest, "/")
+		if strings.Contains(ticket, "/") {
+			return nil, http.StatusBadRequest, Unreadable.New("%s names more than a zone and a ticket", path)
+		}
+	}
 	switch verb {
 	case "readiness":
 		return Readiness{}, 0, nil
@@ -130,9 +137,9 @@
 	case "Config.Read":
 		return ReadConfig{}, 0, nil
 	case "Evacuation.Begin":
-		return named(BeginEvacuation{rest})
+		return named(BeginEvacuation{rest, ticket})
 	case "Evacuation.Finish":
-		return named(FinishEvacuation{rest})
+		return named(FinishEvacuation{rest, ticket})
 	}
 	return nil, http.StatusNotFound, Unreadable.New("%s is no call", path)
 }
@@ -183,6 +190,9 @@
 	})
 	select {
 	case res := <-done:
+		if res.Location != "" {
+			res.Location = "http://" + r.Host + res.Location
+		}
 		answer(w, res)
 	case <-r.Context().Done():
 	}
--- a/internal/tide/change.go
+++ b/internal/tide/change.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"slices"
+	"time"
 )
 
 // SetKey is the register of the set of disks.
@@ -29,6 +30,8 @@
 	Body  []byte
 	By    string // the disk that draws a number
 	Set   *Set   // of Succeed
+	// Within is for how long it is tried; 0 for as long as any order. It is not sent to others.
+	Within time.Duration
 	// Tried are the stamps that earlier tries of this very order drew. Each may have been chosen without its proposer's knowing, and
 	// followed by others since.
 	Tried []Stamp
--- a/internal/tide/replica.go
+++ b/internal/tide/replica.go
@@ -254,7 +254,7 @@
 }
 
 func (r *Replica) propose(now time.Time, id uint64, c Change) {
-	r.waiting[c.Key] = append(r.waiting[c.Key], order{id: id, change: c, by: now.Add(r.settings.Order)})
+	r.waiting[c.Key] = append(r.waiting[c.Key], order{id: id, change: c, by: now.Add(min(cmp.Or(c.Within, r.settings.Order), r.settings.Order))})
 	r.begin(now, c.Key)
 }
 
