--- a/internal/keeper/order.go
+++ b/internal/keeper/order.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"whinknot/internal/chart"
-	"whinknot/internal/muster"
 	"whinknot/internal/signal"
 	"whinknot/internal/tide"
 )
@@ -59,20 +58,31 @@
 
 // inForce is what is known to be chosen. Before the first lease a keeper tells nothing: it may hold a part, or what is long overtaken.
 func (k *Keeper) inForce() *InForce {
-	f := &InForce{Settled: k.lease(time.Now()) > 0, Epoch: k.replica.Set().Epoch}
-	if k.known = k.known || f.Settled; !k.known {
-		return f
+	settled := k.lease(time.Now()) > 0
+	if k.known = k.known || settled; !k.known {
+		return &InForce{Epoch: k.replica.Set().Epoch}
 	}
-	for _, r := range k.replica.Chosen() {
+	f, err := Tell(settled, k.replica.Set().Epoch, k.replica.Chosen())
+	if err != nil {
+		k.log.Error().Err(err).Msg("removals cannot be read")
+	}
+	return f
+}
+
+// Tell is what is in force by what is known to be chosen, settled if that is so under a lease; with an error, without the removals.
+func Tell(settled bool, epoch uint64, chosen []tide.Register) (f *InForce, err error) {
+	f = &InForce{Settled: settled, Epoch: epoch}
+	for _, r := range chosen {
 		if r.Key == configKey {
 			f.Config, f.Version = r.Value.Body, r.Value.Stamp.Number
 		} else if r.Key == removalsKey {
-			f.Removals, f.Removed = k.removals(r.Value.Body), r.Value.Stamp
+			f.Removed = r.Value.Stamp
+			err = gob.NewDecoder(bytes.NewReader(r.Value.Body)).Decode(&f.Removals)
 		} else if zone, ok := strings.CutPrefix(r.Key, evacPrefix); ok {
 			f.Evacuations = append(f.Evacuations, Evacuation{zone, r.Value.Stamp, string(r.Value.Body) == evacuated})
 		}
 	}
-	return f
+	return f, err
 }
 
 // tell tells lighthouses what is in force, if that is other than what they were told last.
@@ -158,11 +168,3 @@
 	}
 	return "another content had its number"
 }
-
-// removals reads removals.
-func (k *Keeper) removals(body []byte) (out []muster.Removal) {
-	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&out); err != nil {
-		k.log.Error().Err(err).Msg("removals cannot be read")
-	}
-	return out
-}
--- a/internal/lighthouse/council.go
+++ b/internal/lighthouse/council.go
@@ -74,7 +74,7 @@
 		}
 	}
 	var in []muster.Removal
-	f := c.l.inForce
+	f := c.l.contact.InForce()
 	if f != nil {
 		in = f.Removals
 	}
--- a/internal/lighthouse/lighthouse.go
+++ b/internal/lighthouse/lighthouse.go
@@ -55,8 +55,7 @@
 	sisters  map[string]*link    // by the address of their machine; nil while there is no connection
 	core     map[string]*machine // by address
 	store    *store
-	known    *lamp.Orders              // all that its keeper has told
-	inForce  *keeper.InForce           // the same; Settled if the keeper had contact as it told it last. Nil for nothing told
+	contact  *lamp.Contact             // what its keeper has told, and until when it speaks for that
 	speaks   atomic.Pointer[time.Time] // until when it may be handed out; outboxes ask it too
 	changed  map[string]bool           // nodes to be pushed
 	across   map[string]bool           // nodes to be told to other lighthouses
@@ -126,7 +125,7 @@
 		s: s, pace: s.Bounds.Paced, log: log, loop: shore.NewLoop(512),
 		registry: beacon.NewRegistry(beacon.Limits{Dark: s.Bounds.Paced(darkAfter), Forget: forget}),
 		pilots:   map[*link]bool{}, sisters: map[string]*link{}, core: map[string]*machine{}, changed: map[string]bool{},
-		across: map[string]bool{}, known: lamp.NewOrders(),
+		across: map[string]bool{}, contact: lamp.NewContact(),
 	}
 	l.speaks.Store(&time.Time{})
 	l.council = newCouncil(l)
@@ -275,7 +274,7 @@
 	if first || became {
 		l.push(k, l.wholePicture(k))
 	}
-	if f := l.inForce; f != nil && f.Version > k.holds {
+	if f := l.contact.InForce(); f != nil && f.Version > k.holds {
 		switch sighted := l.sighted(); {
 		case up.Want && sighted && !k.whole.covers(f):
 			l.push(k, lamp.Down{InForce: f, Sighted: true})
@@ -412,10 +411,11 @@
 	if !l.sighted() {
 		return nil
 	}
-	if k.main && k.holds < l.inForce.Version && !k.whole.covers(l.inForce) {
-		return l.inForce
+	known := l.contact.InForce()
+	if k.main && k.holds < known.Version && !k.whole.covers(known) {
+		return known
 	}
-	f := *l.inForce
+	f := *known
 	f.Config = nil
 	return &f
 }
@@ -490,20 +490,11 @@
 	}
 }
 
-// ordered takes what the keeper says to be in force, or that the lease has changed: then f is nil. It is the one function that changes
-// what may be handed out and until when. A lighthouse that has gained contact tells all pilots what is in force.
-func (l *Lighthouse) ordered(now time.Time, f *keeper.InForce, gained bool) {
-	before := l.inForce
-	if f != nil {
-		next := l.known.Learn(f)
-		l.inForce = next
-	}
-	until := l.store.lease.Until()
-	if l.inForce == nil || !l.inForce.Settled {
-		until = time.Time{}
-	}
+// speak takes over until when what was ordered may be handed out; with news, all pilots are told what is in force.
+func (l *Lighthouse) speak(news bool) {
+	until := l.contact.Until()
 	l.speaks.Store(&until)
-	if !now.Before(until) || !gained && before.Same(l.inForce) {
+	if !news {
 		return
 	}
 	for k := range l.pilots {
@@ -514,11 +505,11 @@
 // afterPilots runs then once all pilots that are connected go by what was pushed to them so far, or after a while.
 func (l *Lighthouse) afterPilots(then func()) {
 	w := &wait{until: map[*link]uint64{}, then: then}
-	if l.inForce != nil {
-		w.holds = l.inForce.Version
+	if f := l.contact.InForce(); f != nil {
+		w.holds = f.Version
 	}
 	for k := range l.pilots {
-		if k.acked < k.pushed || l.inForce != nil && k.holds < l.inForce.Version {
+		if k.acked < k.pushed || k.holds < w.holds {
 			w.until[k] = k.pushed
 		}
 	}
--- a/internal/lighthouse/status.go
+++ b/internal/lighthouse/status.go
@@ -40,7 +40,7 @@
 // status tells how things are. It runs in the loop.
 func (l *Lighthouse) status() *Status {
 	s := &Status{Node: l.s.Node, Sighted: l.sighted(), Core: l.machines()}
-	if f := l.inForce; f != nil {
+	if f := l.contact.InForce(); f != nil {
 		s.Version, s.Epoch, s.Evacs, s.Removed = f.Version, f.Epoch, f.Evacuations, f.Removals
 		s.Lease = max(time.Until(*l.speaks.Load()), 0)
 	}
--- a/internal/lighthouse/store.go
+++ b/internal/lighthouse/store.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"whinknot/internal/keeper"
-	"whinknot/internal/lease"
 	"whinknot/internal/signal"
 )
 
@@ -14,11 +13,10 @@
 	usualAck  = 4 * time.Second // where the settings name none
 )
 
-// store is the way to the keeper on this machine, and the lease that its answers to beats give.
+// store is the way to the keeper on this machine.
 type store struct {
 	l      *Lighthouse
 	out    *signal.Outbox // the loop's; nil while there is no connection
-	lease  lease.Lease
 	lastID uint64
 	orders map[uint64]func(*keeper.Result)
 	most   time.Duration // for an order
@@ -54,18 +52,16 @@
 // beat asks the keeper whether it has contact. The lease counts from now, not from when the answer comes.
 func (s *store) beat(now time.Time) {
 	if s.out != nil {
-		s.out.Say(&keeper.Order{Kind: keeper.Beat, ID: s.lease.Beat(now)})
+		s.out.Say(&keeper.Order{Kind: keeper.Beat, ID: s.l.contact.Beat(now)})
 	}
 }
 
 // heard takes a word of the keeper.
 func (s *store) heard(w *keeper.Word) {
 	now := time.Now()
-	gained := w.Beat > 0 && s.lease.Answered(now, w.Beat, w.Lease)
-	if w.InForce != nil || w.Beat > 0 {
-		s.l.ordered(now, w.InForce, gained)
-	}
-	if w.InForce != nil && w.InForce.Settled && !s.lease.Held(now) { // it has just gained contact
+	news, beat := s.l.contact.Heard(now, w)
+	s.l.speak(news)
+	if beat {
 		s.beat(now)
 	}
 	for _, m := range w.Core {
@@ -83,8 +79,8 @@
 func (s *store) lost() {
 	now := time.Now()
 	s.out = nil
-	s.lease.Lost(now)
-	s.l.ordered(now, nil, false)
+	s.l.contact.Lost(now)
+	s.l.speak(false)
 	pending := s.orders
 	s.orders = map[uint64]func(*keeper.Result){}
 	for _, then := range pending {
