--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -1,5 +1,5 @@
-// Package explore plays the machines that keep control state (internal/tide, internal/helm) in virtual time: the very machines, over a
-// carrier, disks and a network that are made up, under troubles and orders drawn from a seed. What it checks it takes from the history
+// Package explore plays the machines that keep control state (internal/tide, internal/helm), and those by which lighthouses and pilots go
+// by it (internal/lease, internal/lamp), in virtual time: the very machines, over a carrier, disks and a network that are made up, under troubles and orders drawn from a seed. What it checks it takes from the history
 // alone: what operators were answered, and what keepers handed out. The same seed gives the same run.
 package explore
 
@@ -18,6 +18,7 @@
 	Losses   int // disks that may be lost at once
 	End      time.Duration
 	Rate     int     // bytes a second of each link, one way, to the very end; 0 for links that carry any number at once
+	Pilots   int     // beside lighthouses on all machines; 0 for neither
 	Pace     float64 // of the machines; 0 for 1
 	Troubles []Trouble
 	Orders   []Order
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -77,6 +77,7 @@
 					return
 				}
 				p := draw(seed)
+				p.Pilots = int(seed % 4) // the keepers of a run are the same with them and without
 				r := play(p, hooks{})
 				mu.Lock()
 				all.Events += r.Events
--- a/internal/explore/scratch_test.go
+++ b/internal/explore/scratch_test.go
@@ -30,6 +30,10 @@
 	{"words of another epoch taken", "tide/replica.go", "Epoch: r.set.Epoch}\n\tif a.Epoch != r.set.Epoch {", "Epoch: a.Epoch}\n\tif a.Epoch > r.set.Epoch {"},
 	{"a reading of what one told", "tide/replica.go", "return ok && h.Accepted == o.best.Accepted }", "_ = h; return ok }"},
 	{"a lease though something is not known", "tide/lease.go", "\tif missing {\n\t\treturn\n\t}\n", "\t_ = missing\n"},
+	{"a lighthouse's lease counted from the answer", "lease/lease.go", "l.set(now, b.left.Add(max(left, 0)))", "l.set(now, now.Add(max(left, 0)))"},
+	{"a lighthouse that speaks after its lease", "lamp/contact.go", "return c.lease.Until()\n", "return c.lease.Until().Add(3 * time.Second)\n"},
+	{"a pilot goes by whichever configuration came last", "lamp/orders.go", "f.Version > o.version {", "f.Version != o.version {"},
+	{"a pilot goes by whichever evacuation came last", "lamp/orders.go", "e.Stamp.Compare(old.Stamp) > 0", "e.Stamp != old.Stamp"},
 }
 
 var slowest = regexp.MustCompile(`seed (\d+): `)
@@ -71,7 +75,7 @@
 				t.Fatalf("not found in %d runs: %.500s", *scratch, out)
 			}
 			what := out[m[2]:]
-			if i := regexp.MustCompile(`(?m)^ +(two|old|not|out of|went|sets|refused|applied|from|panic)[^\n]*`).FindIndex(what); i != nil {
+			if i := regexp.MustCompile(`(?m)^ +(two|old|not|out of|went|sets|refused|applied|from|pilot|panic)[^\n]*`).FindIndex(what); i != nil {
 				what = what[i[0]:i[1]]
 			}
 			t.Logf("found in run %s, %v: %.160s", out[m[2]:m[3]], time.Since(began).Round(time.Second), strings.TrimSpace(string(what)))
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -47,6 +47,7 @@
 	healed time.Duration
 	lost   []loss
 	lives  int
+	shores *shores // nil for none
 	history
 	report Report
 }
@@ -166,6 +167,9 @@
 	for _, o := range p.Orders {
 		w.at(o.At, func() { w.order(o) })
 	}
+	if p.Pilots > 0 {
+		w.shore(p.Pilots)
+	}
 	w.run(p.End)
 	w.settle()
 	w.report.Epochs = w.newest.Epoch
@@ -341,6 +345,9 @@
 			w.after(w.upTo(200*time.Millisecond), m.begin)
 		}
 	}
+	if w.shores != nil {
+		w.shores.settle()
+	}
 	w.run(w.now + 200*time.Millisecond)
 	last := len(w.ops)
 	w.order(Order{Kind: "put", Key: "config", Number: 1_000_000, Body: "last", To: w.lots()})
@@ -408,12 +415,15 @@
 			return false
 		}
 	}
-	return same != nil
+	return same != nil && (w.shores == nil || w.shores.lit(same))
 }
 
 // stand tells how everybody stands.
 func (w *world) stand(first int) string {
 	s := fmt.Sprintf("newest set %v;", *w.newest)
+	if w.shores != nil {
+		s += w.shores.stand()
+	}
 	for _, o := range w.ops[first:] {
 		s += fmt.Sprintf(" order to m%d: %v;", o.to, o.result.Outcome)
 	}
