--- a/internal/beacon/beacon.go
+++ b/internal/beacon/beacon.go
@@ -69,6 +69,7 @@
 type record struct {
 	Known
 	heard time.Time
+	began time.Time // its life was first heard of, if that was not the first of this node; zero else
 }
 
 // NewRegistry makes an empty one.
@@ -78,16 +79,27 @@
 func (r *Registry) Put(now time.Time, s Sheet) bool {
 	old := r.nodes[s.Node]
 	if old == nil {
-		r.nodes[s.Node] = &record{Known{Sheet: s}, now}
+		r.nodes[s.Node] = &record{Known: Known{Sheet: s}, heard: now}
 		return true
 	}
 	if s.Newer(&old.Sheet) {
+		if s.Life != old.Life {
+			old.began = now
+		}
 		old.Known, old.heard = Known{Sheet: s}, now
 		return true
 	}
 	return r.Vouch(now, s.Node, s.Life)
 }
 
+// Began is when a node's pilot was seen to have started anew; zero if it was not.
+func (r *Registry) Began(node string) time.Time {
+	if rec := r.nodes[node]; rec != nil {
+		return rec.began
+	}
+	return time.Time{}
+}
+
 // Mark is one number for a life of a pilot.
 func Mark(node string, life uint64) uint64 { return spread.Mix(spread.Name(node) ^ life) }
 
--- a/internal/lighthouse/council.go
+++ b/internal/lighthouse/council.go
@@ -54,12 +54,12 @@
 }
 
 // hosts are the endpoints that are known.
-func (c *council) hosts() []muster.Host {
+func (c *council) hosts(now time.Time) []muster.Host {
 	var out []muster.Host
 	for _, k := range c.l.registry.All() {
 		if e := k.Endpoint; e != nil && e.State != beacon.Gone {
 			out = append(out, muster.Host{
-				Life: e.ID, Service: e.Target, Zone: k.Zone, Serving: k.Takes(),
+				Life: e.ID, Service: e.Target, Zone: k.Zone, Serving: k.Takes(), Anew: now.Sub(c.l.registry.Began(k.Node)) <= c.bounds.Window,
 			})
 		}
 	}
@@ -82,7 +82,7 @@
 		c.ask(nil)
 		return
 	}
-	hosts := c.hosts()
+	hosts := c.hosts(now)
 	votes := make([]muster.Vote, 0, len(c.votes))
 	for _, v := range c.votes {
 		votes = append(votes, v)
--- a/internal/lighthouse/status.go
+++ b/internal/lighthouse/status.go
@@ -59,7 +59,7 @@
 	for _, v := range l.council.votes {
 		votes = append(votes, v)
 	}
-	s.Cases = muster.Cases(l.council.bounds, time.Now(), l.council.hosts(), votes)
+	s.Cases = muster.Cases(l.council.bounds, time.Now(), l.council.hosts(time.Now()), votes)
 	return s
 }
 
--- a/internal/muster/muster.go
+++ b/internal/muster/muster.go
@@ -138,6 +138,7 @@
 type Host struct {
 	Life, Service, Zone string
 	Serving             bool // it takes requests, and its pilot is there
+	Anew                bool // its pilot started within the window: what was seen tells of the one before, too
 }
 
 // Removal is one life that is out.
@@ -272,7 +273,7 @@
 	agreed := map[string][]Case{}
 	for _, c := range Cases(b, now, hosts, votes) {
 		at := slices.IndexFunc(next, func(r Removal) bool { return r.Life == c.Life })
-		if c.Serving && b.Agreed(&c) && (at < 0 || next[at].Back) {
+		if c.Serving && !c.Anew && b.Agreed(&c) && (at < 0 || next[at].Back) {
 			agreed[c.Service] = append(agreed[c.Service], c)
 		}
 	}
--- a/internal/muster/muster_test.go
+++ b/internal/muster/muster_test.go
@@ -57,6 +57,21 @@
 	}
 }
 
+// A host whose pilot has just started anew stays, though all found it unwell: their calls failed as the pilot before was gone. Once that is
+// as old as a window, it leaves by what they say then.
+func TestAHostWhosePilotStartedAnewStays(t *testing.T) {
+	hosts, pilots := fleet(12)
+	say(pilots, "h5", func(int) int { return 6 })
+	hosts[5].Anew = true
+	if next, changed := Decide(Usual(), start, hosts, pilots, nil, never); changed {
+		t.Errorf("removed: %v", next)
+	}
+	hosts[5].Anew = false
+	if next, changed := Decide(Usual(), start, hosts, pilots, nil, never); !changed || next[0].Life != "h5" {
+		t.Errorf("stays: %v", next)
+	}
+}
+
 // A host with few callers leaves by the word of its gate and of another; by the gate's alone, or against it, it stays.
 func TestTheGateBesideAHost(t *testing.T) {
 	for name, c := range map[string]struct {
