--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -59,6 +59,7 @@
 	told     told // as last logged
 	wake     *time.Timer
 	stood    shore.Standstill
+	grace    time.Duration                     // to end in, by the settings of the start
 	pace     func(time.Duration) time.Duration // a time of the own talk, by the bounds of the start
 	running  sync.WaitGroup
 	listener net.Listener
@@ -90,7 +91,7 @@
 		log.Error().Err(spoilt).Msg("disk counts as lost")
 	}
 	k := &Keeper{
-		s: s, pace: s.Bounds.Paced, log: log, disk: disk{book, map[string]tide.Ballot{}}, loop: shore.NewLoop(256), peers: map[string]*signal.Outbox{},
+		s: s, grace: s.Bounds.Grace, pace: s.Bounds.Paced, log: log, disk: disk{book, map[string]tide.Ballot{}}, loop: shore.NewLoop(256), peers: map[string]*signal.Outbox{},
 		orders: map[uint64]func(tide.Result){}, boats: map[*signal.Outbox]bool{},
 	}
 	registers, set, me, err := k.recall(spoilt != nil)
@@ -153,7 +154,7 @@
 	})
 	select {
 	case <-spared:
-	case <-time.After(time.Duration(leavePart * float64(k.s.Bounds.Grace))):
+	case <-time.After(time.Duration(leavePart * float64(k.grace))):
 	}
 	set, ok := shore.Ask(k.loop, k.replica.Set)
 	k.log.Info().Bool("replaced", ok && !set.Has(k.replica.Me().Disk)).Msg("leaving")
--- a/internal/tide/bodies.go
+++ b/internal/tide/bodies.go
@@ -1,6 +1,7 @@
 package tide
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 	"time"
@@ -15,7 +16,7 @@
 	mostHeld    = 4        // bodies held that no ballot has taken yet
 	wantAgain   = 2 * time.Second
 	wantOther   = 400 * time.Millisecond // before another peer is asked for the same
-	mostPending = 64                     // bodies that are wanted; a peer can name any
+	mostPending = 16                     // bodies that are wanted; a peer can name any
 )
 
 // bodies are those that have come and were not accepted yet, and those that are wanted.
@@ -85,8 +86,11 @@
 func (r *Replica) wants(now time.Time, addr string, sum uint64) bool {
 	w := r.bodies.wanted[sum]
 	if w == nil {
-		if len(r.bodies.wanted) >= mostPending {
-			return false
+		if len(r.bodies.wanted) >= mostPending { // what was overtaken is never told of again: the one asked for longest ago goes
+			oldest := slices.MinFunc(slices.Collect(maps.Keys(r.bodies.wanted)), func(a, b uint64) int {
+				return cmp.Or(r.bodies.wanted[a].last.Compare(r.bodies.wanted[b].last), cmp.Compare(a, b))
+			})
+			delete(r.bodies.wanted, oldest)
 		}
 		w = &want{of: map[string]time.Time{}, wait: map[string]time.Duration{}}
 		r.bodies.wanted[sum] = w
--- a/internal/tide/bodies_test.go
+++ b/internal/tide/bodies_test.go
@@ -55,3 +55,21 @@
 		t.Errorf("held: %+v", got)
 	}
 }
+
+// Bodies that were wanted and never come, as they were overtaken, keep nobody from wanting others, however many there were.
+func TestBodiesThatNeverComeBlockNothing(t *testing.T) {
+	now := time.Unix(1, 0)
+	_, b := pair(10)
+	for n := range uint64(10 * mostPending) {
+		now = now.Add(wantOther)
+		told := Tell{From: Member{Disk: "a", Addr: "a"}, Epoch: 1, Apart: true, Register: []Register{{
+			Head: Head{Key: "k", Accepted: Ballot{Round: n + 1, Disk: "a"}}, Value: Value{Bare: n + 1},
+		}}}
+		if out := b.Told(now, &told); len(out.Asks) != 1 || out.Asks[0].Query != Want || out.Asks[0].Sum != n+1 {
+			t.Fatalf("body %d: asked %+v", n, out.Asks)
+		}
+	}
+	if len(b.bodies.wanted) > mostPending {
+		t.Errorf("%d are wanted", len(b.bodies.wanted))
+	}
+}
