--- a/internal/helm/helm.go
+++ b/internal/helm/helm.go
@@ -224,8 +224,8 @@
 
 // Next are the disks that are to count, by what the holder sees; nil for those that do. Losses is how many may be lost at once. In one
 // step, those that are gone are replaced by those that wait and hold all that is chosen, and as many more come as leave the number odd.
-// A disk whose machine shows another one is gone for certain. One that is about to end, and says so, is replaced while it is still there. One that does not answer is replaced soon; where none waits, it leaves
-// only after long, and only down to twice the losses and one.
+// A disk whose machine shows another one is gone for certain. One that is about to end, and says so, is replaced while it is still there. One
+// that does not answer is replaced soon; where none waits, it leaves only after long, and only down to twice the losses and one.
 func Next(members []tide.Member, seen []Sight, losses int) []tide.Member {
 	var stay, wait []tide.Member
 	var gone []leaver
