--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -33,6 +33,7 @@
 
 var (
 	runs   = flag.Int("runs", 1000, "runs that are played")
+	steps  = flag.Int("steps", 125, "of those that aim at changes of the set")
 	first  = flag.Uint64("first", 1, "the seed of the first")
 	shrink = flag.Bool("shrink", true, "make a run that fails smaller")
 )
@@ -41,7 +42,7 @@
 func TestTroubles(t *testing.T) { huntFrom(t, Draw, *runs) }
 
 // TestSteps plays runs drawn from seeds that aim at changes of the set.
-func TestSteps(t *testing.T) { huntFrom(t, DrawStep, *runs/8) }
+func TestSteps(t *testing.T) { huntFrom(t, DrawStep, *steps) }
 
 func huntFrom(t *testing.T, draw func(uint64) Plan, runs int) {
 	began := time.Now()
--- a/internal/explore/scratch_test.go
+++ b/internal/explore/scratch_test.go
@@ -69,7 +69,7 @@
 				t.Fatal(err)
 			}
 			began := time.Now()
-			out, err := exec.CommandContext(t.Context(), "go", "test", "-cpu", "2", "-overlay", over, "-run", "^Test(Troubles|Steps)$", "-shrink=false", "-runs", fmt.Sprint(*scratch), "-timeout", "20m", ".").CombinedOutput()
+			out, err := exec.CommandContext(t.Context(), "go", "test", "-cpu", "2", "-overlay", over, "-run", "^Test(Troubles|Steps)$", "-shrink=false", "-runs", fmt.Sprint(*scratch), "-steps", fmt.Sprint(*scratch), "-timeout", "20m", ".").CombinedOutput()
 			m := slowest.FindSubmatchIndex(out)
 			if err == nil || m == nil {
 				t.Fatalf("not found in %d runs: %.500s", *scratch, out)
