--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -1,5 +1,6 @@
 // Package explore plays the machines that keep control state (internal/tide, internal/helm), and those by which lighthouses and pilots go
-// by it (internal/lease, internal/lamp), in virtual time: the very machines, over a carrier, disks and a network that are made up, under troubles and orders drawn from a seed. What it checks it takes from the history
+// by it (internal/lease, internal/lamp), in virtual time: the very machines, over a carrier, disks and a network that are made up, under
+// troubles and orders drawn from a seed. What it checks it takes from the history
 // alone: what operators were answered, and what keepers handed out. The same seed gives the same run.
 package explore
 
--- a/internal/explore/light.go
+++ b/internal/explore/light.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -129,7 +130,7 @@
 		l := &light{at: w.places[len(s.lights)]}
 		s.lights = append(s.lights, l)
 		s.every(beatEvery, func() { s.beat(l) })
-		s.every(wordEvery, func() { s.say(l, false) })
+		s.every(wordEvery, func() { s.say(l) })
 	}
 	for _, l := range s.lights {
 		s.drain(l)
@@ -234,7 +235,7 @@
 func (s *shores) hear(l *light, word *keeper.Word) {
 	news, again := l.contact.Heard(s.w.time(), word)
 	if news {
-		s.say(l, true)
+		s.say(l)
 	}
 	if again {
 		s.beat(l)
@@ -242,7 +243,7 @@
 }
 
 // say has a lighthouse tell all pilots that are connected what is in force, if it may speak.
-func (s *shores) say(l *light, news bool) {
+func (s *shores) say(l *light) {
 	w := s.w
 	if l.life == 0 || l.still() || l.at.proc == nil {
 		return
@@ -308,11 +309,14 @@
 	p.heard, p.lives, p.held, p.zones = map[int]time.Duration{}, map[int]int{}, 0, map[string]tide.Stamp{}
 }
 
+// connected are the places of the lighthouses that a pilot is connected to, in order, so that the same seed gives the same run.
+func (p *pilot) connected() []int { return slices.Sorted(maps.Keys(p.heard)) }
+
 // follow drops lighthouses that are silent or gone, and connects to others: those with contact stay.
 func (s *shores) follow(p *pilot) {
 	w := s.w
-	for i, at := range p.heard {
-		if w.now-at > silentAfter || s.lights[i].life != p.lives[i] {
+	for _, i := range p.connected() {
+		if w.now-p.heard[i] > silentAfter || s.lights[i].life != p.lives[i] {
 			delete(p.heard, i)
 			delete(p.lives, i)
 			p.room.Lose(w.time(), s.lights[i].at.addr)
@@ -328,10 +332,10 @@
 			continue
 		}
 		p.heard[i], p.lives[i] = w.now, l.life
-		s.say(l, false)
+		s.say(l)
 	}
 	if p.room.Asks(w.time()) {
-		for i := range p.heard {
+		for _, i := range p.connected() {
 			l := s.lights[i]
 			if f := l.contact.InForce(); f != nil && !w.time().Before(l.contact.Until()) {
 				u := *f
