--- a/internal/ctl/fleet_test.go
+++ b/internal/ctl/fleet_test.go
@@ -20,16 +20,18 @@
 	"testing"
 	"time"
 
-	"whinknot/internal/control"
-	"whinknot/internal/control/controlpb"
-	"whinknot/internal/fleet"
-	"whinknot/internal/operator"
-	"whinknot/internal/rig"
-	"whinknot/internal/standin"
+	"milletmast/internal/control"
+	"milletmast/internal/control/controlpb"
+	"milletmast/internal/fakeserver"
+	"milletmast/internal/fleet"
+	"milletmast/internal/freeport"
+	"milletmast/internal/operator"
+	"milletmast/internal/testcluster"
 )
 
-// seeds of the test with kills: few in an ordinary run; FLEET_SEEDS=20 for the long one that docs/operate/fleet.md names.
-func seeds() int {
+// seedCount returns how many seeds TestRolloutUnderKills plays: few by default; FLEET_SEEDS=20 is the long run that
+// docs/operate/fleet.md names.
+func seedCount() int {
 	if n, err := strconv.Atoi(os.Getenv("FLEET_SEEDS")); err == nil && n > 0 {
 		return n
 	}
@@ -37,30 +39,30 @@
 }
 
 const (
-	agentsCount = 4
-	each        = 5
-	long        = 30 * time.Second
+	agentCount        = 4
+	instancesPerAgent = 5
+	waitTimeout       = 30 * time.Second
 )
 
-// site is real instances and agents, as processes.
-type site struct {
+// testSite is instances and agents as real processes.
+type testSite struct {
 	t       testing.TB
-	rig     *rig.Rig
+	cluster *testcluster.Cluster
 	dir     string
-	agents  []*rig.Proc
-	links   []*rig.Link // from the tool to each agent
-	server  *standin.Server
-	tool    Agents
+	agents  []*testcluster.Process
+	links   []*testcluster.Link // from the tool to each agent
+	server  *fakeserver.Server
+	client  Agents
 	clients map[string]*control.Client
 }
 
-// build compiles the programs once for all tests of the package.
-var build = sync.OnceValues(func() (string, error) {
+// buildPrograms builds the programs once for all tests of the package.
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return "", err
 	}
-	out, err := exec.Command("go", "build", "-o", dir+"/", "whinknot/cmd/milletmast", "whinknot/cmd/milletagent", "whinknot/cmd/milletctl").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", dir+"/", "milletmast/cmd/milletmast", "milletmast/cmd/milletagent", "milletmast/cmd/milletctl").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
@@ -68,33 +70,33 @@
 })
 
 func TestMain(m *testing.M) {
-	rig.Main()
+	testcluster.Main()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	code := m.Run()
-	if dir, err := build(); err == nil {
+	if dir, err := buildPrograms(); err == nil {
 		os.RemoveAll(dir)
 	}
 	os.Exit(code)
 }
 
-func newSite(t testing.TB, agents, instances int) *site {
+func startSite(t testing.TB, agents, instances int) *testSite {
 	t.Helper()
-	bin, err := build()
+	bin, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := rig.New() // ends agents and instances with the test, however it ends
+	r, err := testcluster.New() // ends agents and instances with the test, however it ends
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
 	dir := r.Dir
-	s := &site{t: t, rig: r, dir: dir, clients: map[string]*control.Client{}}
-	if s.server, err = standin.NewServer("s"); err != nil {
+	s := &testSite{t: t, cluster: r, dir: dir, clients: map[string]*control.Client{}}
+	if s.server, err = fakeserver.NewServer("s"); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.server.Close)
-	if err := os.WriteFile(filepath.Join(dir, "first.toml"), s.file("first"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "first.toml"), s.operatorFile("first"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cfg := &Config{}
@@ -111,53 +113,52 @@
 		}
 		s.agents = append(s.agents, nil)
 		s.startAgent(a)
-		link, err := r.Listen(fmt.Sprint("tool-a", a), "unix:"+filepath.Join(dir, fmt.Sprintf("a%d.sock", a)), 1, rig.Sight{})
+		link, err := r.Listen(fmt.Sprint("tool-a", a), "unix:"+filepath.Join(dir, fmt.Sprintf("a%d.sock", a)), 1, testcluster.Observer{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.links = append(s.links, link)
 		cfg.Agents = append(cfg.Agents, AgentConfig{fmt.Sprint("a", a), link.Addr()})
 	}
-	if s.tool, err = Connect(cfg); err != nil {
+	if s.client, err = Connect(cfg); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.tool.Close() })
-	s.inSight(agents * instances)
+	t.Cleanup(func() { s.client.Close() })
+	s.waitUntilReachable(agents * instances)
 	return s
 }
 
-// inSight waits until so many instances are heard of.
-func (s *site) inSight(n int) {
+// waitUntilReachable waits until the agents reach n instances.
+func (s *testSite) waitUntilReachable(n int) {
 	s.t.Helper()
-	for end := time.Now().Add(long); ; time.Sleep(20 * time.Millisecond) {
-		seen := 0
-		list, _, _ := Chosen(s.tool.Ask(context.Background(), true), &Selector{})
+	seen := 0
+	err := testcluster.WaitFor(s.t.Context(), "all instances in sight", waitTimeout, func() bool {
+		seen = 0
+		list, _, _ := SelectInstances(s.client.ListInstances(context.Background(), true), &Selector{})
 		for _, m := range list {
 			if m.InSight {
 				seen++
 			}
 		}
-		if seen == n {
-			return
-		}
-		if time.Now().After(end) {
-			s.t.Fatalf("%d of %d instances are in sight", seen, n)
-		}
+		return seen == n
+	})
+	if err != nil {
+		s.t.Fatalf("%d of %d instances are in sight: %v", seen, n, err)
 	}
 }
 
-func (s *site) startAgent(n int) {
+func (s *testSite) startAgent(n int) {
 	s.t.Helper()
-	bin, _ := build()
-	p, err := s.rig.Start(rig.Spec{Name: fmt.Sprint("agent-", n), Path: bin + "/milletagent", Args: []string{"-f", filepath.Join(s.dir, fmt.Sprintf("a%d.toml", n))}})
+	bin, _ := buildPrograms()
+	p, err := s.cluster.Start(testcluster.ProcessSpec{Name: fmt.Sprint("agent-", n), Path: bin + "/milletagent", Args: []string{"-f", filepath.Join(s.dir, fmt.Sprintf("a%d.toml", n))}})
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.agents[n] = p
 }
 
-// file is an operator file that differs by a word.
-func (s *site) file(word string) []byte {
+// operatorFile returns an operator file that differs by a word.
+func (s *testSite) operatorFile(word string) []byte {
 	return fmt.Appendf(nil, `# %s
 [limits]
 drain = "300ms"
@@ -181,8 +182,8 @@
 `, word, s.server.Addr())
 }
 
-// direct asks an instance itself.
-func (s *site) direct(name string) *controlpb.InstanceStatus {
+// statusOf asks an instance directly; nil if it does not answer.
+func (s *testSite) statusOf(name string) *controlpb.InstanceStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	st, err := s.clients[name].Status(ctx)
@@ -192,18 +193,42 @@
 	return st
 }
 
-func (s *site) rollout(id string, text []byte) *Rollout {
+// writeToolConfig writes the tool's file for the first agents and returns its path.
+func (s *testSite) writeToolConfig(agents int) string {
+	s.t.Helper()
+	var text string
+	for n := range agents {
+		text += fmt.Sprintf("[[agent]]\nname = \"a%d\"\naddress = \"unix:a%d.sock\"\n", n, n)
+	}
+	path := filepath.Join(s.dir, "tool.toml")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		s.t.Fatal(err)
+	}
+	return path
+}
+
+// waitUntilGone waits until the process with this start id answers no more.
+func (s *testSite) waitUntilGone(name, startID string) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); {
+		if st := s.statusOf(name); st == nil || st.StartId != startID {
+			return
+		}
+	}
+	s.t.Errorf("%s still answers as %s after SIGKILL", name, startID)
+}
+
+func (s *testSite) newRollout(id string, text []byte) *Rollout {
 	return &Rollout{
-		Agents: s.tool, Text: text, Notes: func(string) {}, Progress: func(*fleet.Rollout) {},
-		Plan: fleet.Plan{ID: id, Canary: 2, Share: 0.25, MaxAway: 4, MaxFailed: agentsCount * each, Settle: 50, Timeout: 5000, Tries: 6, Limit: 60_000},
+		Agents: s.client, Config: text, Log: func(string) {}, Progress: func(*fleet.Rollout) {},
+		Plan: fleet.Plan{ID: id, CanarySize: 2, WaveShare: 0.25, MaxUnavailable: 4, MaxFailed: agentCount * instancesPerAgent, SettleTime: 50, ChangeTimeout: 5000, MaxAttempts: 6, TotalTimeout: 60_000},
 	}
 }
 
-// load sends unsafe requests through an instance, one after the other, until the context ends. One that is answered 200 has
-// run once; one that is not may have been lost with a process that was killed.
-func (s *site) load(ctx context.Context, name string, answered map[string]bool, mu *sync.Mutex) {
+// sendRequests sends non-idempotent requests through an instance, one after the other, until ctx ends. One that is answered
+// 200 has run once; one that is not may have been lost with a process that was killed.
+func (s *testSite) sendRequests(ctx context.Context, name string, answered map[string]bool, mu *sync.Mutex) {
 	for n := 0; ctx.Err() == nil; {
-		st := s.direct(name)
+		st := s.statusOf(name)
 		if st == nil {
 			time.Sleep(20 * time.Millisecond)
 			continue
@@ -212,7 +237,10 @@
 		if err != nil {
 			continue
 		}
-		conn.SetDeadline(time.Now().Add(5 * time.Second))
+		if err := conn.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
+			s.t.Error(err)
+			return
+		}
 		reader := bufio.NewReader(conn)
 		for ctx.Err() == nil {
 			n++
@@ -238,89 +266,92 @@
 	}
 }
 
-// Twenty real instances under four agents. A third of the instances and one agent are killed at seeded points during a
-// rollout: the final table must equal what each instance answers when asked directly.
+// Twenty instances under four agents. A third of the instances and one agent are killed at seeded times during a rollout: the
+// result must equal what each instance answers when asked directly.
 func TestRolloutUnderKills(t *testing.T) {
-	s := newSite(t, agentsCount, each)
+	s := startSite(t, agentCount, instancesPerAgent)
 	answered, mu := map[string]bool{}, sync.Mutex{}
 	ctx, stopLoad := context.WithCancel(t.Context())
 	var loads sync.WaitGroup
-	for a := range agentsCount {
-		loads.Go(func() { s.load(ctx, fmt.Sprintf("i%d0", a), answered, &mu) })
+	for a := range agentCount {
+		loads.Go(func() { s.sendRequests(ctx, fmt.Sprintf("i%d0", a), answered, &mu) })
 	}
 	begun := time.Now()
-	calm, err := s.rollout("calm", s.file("calm")).Run(t.Context())
+	calm, err := s.newRollout("calm", s.operatorFile("calm")).Run(t.Context())
 	if err != nil || !calm.OK {
 		t.Fatalf("with nothing in the way: %+v, %v", calm, err)
 	}
-	t.Logf("with nothing in the way: %d instances in %v", len(calm.Rows), time.Since(begun).Round(time.Millisecond))
-	for seed := range seeds() {
+	t.Logf("with nothing in the way: %d instances in %v", len(calm.Instances), time.Since(begun).Round(time.Millisecond))
+	for seed := range seedCount() {
 		rng := rand.New(rand.NewPCG(uint64(seed), 7))
-		text := s.file(fmt.Sprint("seed ", seed))
+		text := s.operatorFile(fmt.Sprint("seed ", seed))
 		target := operator.TextHash(text)
 		killed := map[string]time.Time{}
 		var killing sync.WaitGroup
-		order := rng.Perm(agentsCount * each)
-		for _, k := range order[:agentsCount*each/3] {
-			name, after := fmt.Sprintf("i%d%d", k/each, k%each), time.Duration(rng.IntN(1500))*time.Millisecond
+		order := rng.Perm(agentCount * instancesPerAgent)
+		for _, k := range order[:agentCount*instancesPerAgent/3] {
+			name, after := fmt.Sprintf("i%d%d", k/instancesPerAgent, k%instancesPerAgent), time.Duration(rng.IntN(1500))*time.Millisecond
 			killing.Go(func() {
 				time.Sleep(after)
-				if st := s.direct(name); st != nil {
+				if st := s.statusOf(name); st != nil {
+					if err := syscall.Kill(int(st.Pid), syscall.SIGKILL); err != nil {
+						t.Error(err)
+					}
+					s.waitUntilGone(name, st.StartId)
 					mu.Lock()
 					killed[name] = time.Now()
 					mu.Unlock()
-					syscall.Kill(int(st.Pid), syscall.SIGKILL)
 				}
 			})
 		}
-		victim, after, away := rng.IntN(agentsCount), time.Duration(rng.IntN(1000))*time.Millisecond, time.Duration(100+rng.IntN(900))*time.Millisecond
+		victim, after, downTime := rng.IntN(agentCount), time.Duration(rng.IntN(1000))*time.Millisecond, time.Duration(100+rng.IntN(900))*time.Millisecond
 		killing.Go(func() {
 			time.Sleep(after)
 			s.agents[victim].Kill()
-			time.Sleep(away)
+			time.Sleep(downTime)
 			s.startAgent(victim)
 		})
-		result, err := s.rollout(fmt.Sprint("seed-", seed), text).Run(t.Context())
+		result, err := s.newRollout(fmt.Sprint("seed-", seed), text).Run(t.Context())
 		killing.Wait()
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		if len(result.Rows) != agentsCount*each {
-			t.Errorf("seed %d: %d rows, want one for each of the %d instances", seed, len(result.Rows), agentsCount*each)
+		if len(result.Instances) != agentCount*instancesPerAgent {
+			t.Errorf("seed %d: %d rows, want one for each of the %d instances", seed, len(result.Instances), agentCount*instancesPerAgent)
 		}
 		applied := 0
-		for _, row := range result.Rows {
+		for _, inst := range result.Instances {
 			mu.Lock()
-			at, hit := killed[row.Instance]
+			killedAt, wasKilled := killed[inst.Instance]
 			mu.Unlock()
-			if row.State == fleet.Applied {
+			if inst.State == fleet.Applied {
 				applied++
 			}
-			if hit && float64(at.UnixMicro())/1000 > row.Seen {
-				continue // killed after its last word
+			if wasKilled && float64(killedAt.UnixMicro())/1000 > inst.AskedAt {
+				continue // it may have answered before it was killed
 			}
-			st := s.direct(row.Instance)
-			if row.State == fleet.Applied && (st == nil || st.Hash != target || st.StartId != row.Start || row.Hash != target) {
-				t.Errorf("seed %d: false success: %+v, and the instance says %v", seed, row, st)
+			st := s.statusOf(inst.Instance)
+			if inst.State == fleet.Applied && (st == nil || st.Hash != target || st.StartId != inst.StartID || inst.Hash != target) {
+				t.Errorf("seed %d: false success: %+v, and the instance says %v", seed, inst, st)
 			}
-			if row.State != fleet.Applied && st != nil && st.Hash == target && row.Hash != target && row.Text == "" {
-				t.Errorf("seed %d: %+v, and the instance says %v", seed, row, st)
+			if inst.State != fleet.Applied && st != nil && st.Hash == target && inst.Hash != target && inst.Reason == "" {
+				t.Errorf("seed %d: %+v, and the instance says %v", seed, inst, st)
 			}
 		}
-		if result.OK != (applied == len(result.Rows) && len(result.Silent) == 0) {
+		if result.OK != (applied == len(result.Instances) && len(result.UnreachableAgents) == 0) {
 			t.Errorf("seed %d: OK %v with %d applied", seed, result.OK, applied)
 		}
-		if applied < agentsCount*each/2 {
-			t.Errorf("seed %d: only %d of %d have applied: %+v", seed, applied, len(result.Rows), result.Rows)
+		if applied < agentCount*instancesPerAgent/2 {
+			t.Errorf("seed %d: only %d of %d have applied: %+v", seed, applied, len(result.Instances), result.Instances)
 		}
-		t.Logf("seed %d: %v, %d of %d applied, %d killed", seed, result.Phase, applied, len(result.Rows), len(killed))
-		s.inSight(agentsCount * each)
+		t.Logf("seed %d: %v, %d of %d applied, %d killed", seed, result.Phase, applied, len(result.Instances), len(killed))
+		s.waitUntilReachable(agentCount * instancesPerAgent)
 	}
 	stopLoad()
 	loads.Wait()
 	ran := map[string]int{}
 	for _, r := range s.server.Records() {
-		ran[r.ID]++
+		ran[r.RequestID]++
 	}
 	served := 0
 	for id, ok := range answered {
@@ -336,18 +367,18 @@
 	}
 }
 
-// Two tools cannot interleave: another rollout is refused while one runs, the same one shuts the first tool out, and the
-// one that was interrupted goes on.
-func TestToolsAreFenced(t *testing.T) {
-	s := newSite(t, 2, 2)
-	text := s.file("fenced")
-	first := s.rollout("r", text)
-	first.Plan.Settle = 60_000 // it stands after its first wave
-	waits := make(chan struct{})
+// Two tools cannot interleave: another rollout is refused while one runs, a second tool of the same rollout fences the first
+// one off, and an interrupted rollout continues.
+func TestConcurrentToolsAreFenced(t *testing.T) {
+	s := startSite(t, 2, 2)
+	text := s.operatorFile("fenced")
+	first := s.newRollout("r", text)
+	first.Plan.SettleTime = 60_000 // it stands after its first wave
+	settling := make(chan struct{})
 	var once sync.Once
 	first.Progress = func(f *fleet.Rollout) {
 		if phase, _ := f.Phase(); phase == fleet.Settling {
-			once.Do(func() { close(waits) })
+			once.Do(func() { close(settling) })
 		}
 	}
 	ended := make(chan error, 1)
@@ -356,20 +387,20 @@
 		ended <- err
 	}()
 	select {
-	case <-waits:
-	case <-time.After(long):
+	case <-settling:
+	case <-time.After(waitTimeout):
 		t.Fatal("the first wave does not end")
 	}
-	if _, err := s.rollout("other", s.file("other")).Run(t.Context()); !errors.Is(err, ErrBusy) {
+	if _, err := s.newRollout("other", s.operatorFile("other")).Run(t.Context()); !errors.Is(err, ErrOtherRollout) {
 		t.Errorf("another rollout: %v, want it refused", err)
 	}
-	if _, err := s.rollout("r", s.file("other")).Run(t.Context()); err == nil {
+	if _, err := s.newRollout("r", s.operatorFile("other")).Run(t.Context()); err == nil {
 		t.Error("the same id with another configuration was taken")
 	}
 	again, interrupt := context.WithCancel(t.Context())
 	second := make(chan error, 1)
 	go func() {
-		_, err := s.rollout("r", text).Run(again)
+		_, err := s.newRollout("r", text).Run(again)
 		second <- err
 	}()
 	select {
@@ -377,7 +408,7 @@
 		if !errors.Is(err, ErrTakenOver) {
 			t.Errorf("the first tool ends with %v", err)
 		}
-	case <-time.After(long):
+	case <-time.After(waitTimeout):
 		t.Fatal("the first tool goes on")
 	}
 	interrupt()
@@ -387,29 +418,29 @@
 	// Its plan, with the long settling, is held by the agents: what ends it is a command.
 	third := make(chan *Result, 1)
 	go func() {
-		r, err := s.rollout("r", text).Run(t.Context())
+		r, err := s.newRollout("r", text).Run(t.Context())
 		if err != nil {
 			t.Error(err)
 		}
 		third <- r
 	}()
-	bin, _ := build()
-	file := filepath.Join(s.dir, "tool.toml")
-	os.WriteFile(file, []byte("[[agent]]\nname = \"a0\"\naddress = \"unix:a0.sock\"\n[[agent]]\nname = \"a1\"\naddress = \"unix:a1.sock\"\n"), 0o600)
-	for end := time.Now().Add(long); ; time.Sleep(100 * time.Millisecond) {
-		exec.Command(bin+"/milletctl", "-a", file, "rollout", "abort", "r").Run()
+	bin, _ := buildPrograms()
+	file := s.writeToolConfig(2)
+	var aborted *Result
+	err := testcluster.WaitFor(t.Context(), "the command reaches the tool", waitTimeout, func() bool {
+		_ = exec.Command(bin+"/milletctl", "-a", file, "rollout", "abort", "r").Run() // fails until the third tool has claimed the agents
 		select {
-		case r := <-third:
-			if r.Phase != fleet.Aborted || r.OK {
-				t.Errorf("%v, OK %v, want it aborted", r.Phase, r.OK)
-			}
+		case aborted = <-third:
+			return true
 		default:
-			if time.Now().After(end) {
-				t.Fatal("the command does not reach the tool")
-			}
-			continue
+			return false
 		}
-		break
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if aborted.Phase != fleet.Aborted || aborted.OK {
+		t.Errorf("%v, OK %v, want it aborted", aborted.Phase, aborted.OK)
 	}
 	for _, args := range [][]string{{"list"}, {"list", "-o", "json"}, {"inspect", "i00"}, {"config", "get", "i00"}, {"drain", "i00"}, {"resume", "i00"}, {"reload", "--site", "site1"}, {"events"}} {
 		if out, err := exec.Command(bin+"/milletctl", append([]string{"-a", file}, args...)...).CombinedOutput(); err != nil || len(out) == 0 {
@@ -429,23 +460,24 @@
 		t.Errorf("a rollout with an agent that is dead: %v, want exit 2", err)
 	}
 	s.startAgent(1) // it adopts its instances, and ends them with the test
-	s.inSight(4)
+	s.waitUntilReachable(4)
 }
 
-// An agent is cut from its tool during a rollout, one way or both: the tool does not call what it cannot see a success, and the instances
-// that it could not reach run what they ran, or what they have confirmed. Once the link is back the same rollout goes on to its end.
+// The link between the tool and an agent is cut during a rollout, in one direction or both: the tool reports no success for
+// instances that it cannot reach, and these run their previous configuration or the new one. Once the link is back a rollout
+// succeeds.
 func TestAgentCutFromItsTool(t *testing.T) {
 	for _, cut := range []struct {
 		name        string
 		there, back bool
 	}{{"both ways", true, true}, {"answers only", false, true}} {
 		t.Run(cut.name, func(t *testing.T) {
-			s := newSite(t, 3, 2)
-			text := s.file("cut")
-			target, first := operator.TextHash(text), operator.TextHash(s.file("first"))
-			r := s.rollout("cut", text)
-			r.Plan.Canary, r.Plan.Share, r.Plan.MaxAway, r.Plan.Settle = 1, 0.2, 1, 300
-			r.Plan.Timeout, r.Plan.Tries, r.Plan.Limit = 500, 2, 4000
+			s := startSite(t, 3, 2)
+			text := s.operatorFile("cut")
+			target, first := operator.TextHash(text), operator.TextHash(s.operatorFile("first"))
+			r := s.newRollout("cut", text)
+			r.Plan.CanarySize, r.Plan.WaveShare, r.Plan.MaxUnavailable, r.Plan.SettleTime = 1, 0.2, 1, 300
+			r.Plan.ChangeTimeout, r.Plan.MaxAttempts, r.Plan.TotalTimeout = 500, 2, 4000
 			begun := make(chan struct{})
 			var once sync.Once
 			r.Progress = func(f *fleet.Rollout) { once.Do(func() { close(begun) }) }
@@ -458,34 +490,34 @@
 				ended <- result
 			}()
 			<-begun
-			s.links[2].Set(rig.There, rig.Way{Held: cut.there})
-			s.links[2].Set(rig.Back, rig.Way{Held: cut.back})
+			s.links[2].SetConditions(testcluster.Forward, testcluster.Conditions{Blocked: cut.there})
+			s.links[2].SetConditions(testcluster.Backward, testcluster.Conditions{Blocked: cut.back})
 			result := <-ended
 			if result == nil {
 				t.Fatal("no result")
 			}
-			for _, row := range result.Rows {
-				st := s.direct(row.Instance)
+			for _, inst := range result.Instances {
+				st := s.statusOf(inst.Instance)
 				if st == nil {
-					t.Errorf("%s does not answer", row.Instance)
-				} else if row.State == fleet.Applied && st.Hash != target {
-					t.Errorf("false success: %+v, and it runs %.12s", row, st.Hash)
+					t.Errorf("%s does not answer", inst.Instance)
+				} else if inst.State == fleet.Applied && st.Hash != target {
+					t.Errorf("false success: %+v, and it runs %.12s", inst, st.Hash)
 				} else if st.Hash != target && st.Hash != first {
-					t.Errorf("%s runs %.12s, neither the old one nor the new", row.Instance, st.Hash)
+					t.Errorf("%s runs %.12s, neither the old one nor the new", inst.Instance, st.Hash)
 				}
 			}
 			if result.OK {
 				t.Errorf("a rollout that could not see an agent is called a success: %+v", result)
 			}
-			s.links[2].Set(rig.There, rig.Way{})
-			s.links[2].Set(rig.Back, rig.Way{})
-			s.inSight(6)
-			again, err := s.rollout("after", text).Run(t.Context())
+			s.links[2].SetConditions(testcluster.Forward, testcluster.Conditions{})
+			s.links[2].SetConditions(testcluster.Backward, testcluster.Conditions{})
+			s.waitUntilReachable(6)
+			again, err := s.newRollout("after", text).Run(t.Context())
 			if err != nil || !again.OK {
 				t.Fatalf("after the cut: %+v, %v", again, err)
 			}
 			for name := range s.clients {
-				if got := s.direct(name).GetHash(); got != target {
+				if got := s.statusOf(name).GetHash(); got != target {
 					t.Errorf("%s runs %.12s after the cut", name, got)
 				}
 			}
@@ -493,51 +525,46 @@
 	}
 }
 
-// A configuration that only one of the instances can take, as they share a port: the others say why not and run what they
-// ran. With rollback, the one that took it is brought back.
-func TestConfigurationThatOneCannotTake(t *testing.T) {
-	s := newSite(t, 2, 2)
-	free, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := free.Addr().String()
-	free.Close()
-	first := operator.TextHash(s.file("first"))
-	for _, back := range []bool{false, true} {
-		text := []byte(strings.Replace(string(s.file(fmt.Sprint("shared ", back))), "127.0.0.1:0", addr, 1))
-		r := s.rollout(fmt.Sprint("shared-", back), text)
-		r.Plan.Canary, r.Plan.MaxAway, r.Plan.Rollback = 1, 1, back
-		if back {
+// A configuration that only one of the instances can apply, as they share a port: the others say why not and keep what they
+// run. With rollback, the one that has applied it gets its previous configuration.
+func TestConfigurationRefusedByOthers(t *testing.T) {
+	s := startSite(t, 2, 2)
+	addr := freeport.AddressForTest(t)
+	first := operator.TextHash(s.operatorFile("first"))
+	for _, rollBack := range []bool{false, true} {
+		text := []byte(strings.Replace(string(s.operatorFile(fmt.Sprint("shared ", rollBack))), "127.0.0.1:0", addr, 1))
+		r := s.newRollout(fmt.Sprint("shared-", rollBack), text)
+		r.Plan.CanarySize, r.Plan.MaxUnavailable, r.Plan.RollBackOnFailure = 1, 1, rollBack
+		if rollBack {
 			r.Plan.MaxFailed = 0
 		}
 		result, err := r.Run(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if result.OK || result.Phase != map[bool]fleet.Phase{false: fleet.Complete, true: fleet.RolledBack}[back] {
-			t.Errorf("rollback %v: %v, OK %v", back, result.Phase, result.OK)
+		if result.OK || result.Phase != map[bool]fleet.Phase{false: fleet.Complete, true: fleet.RolledBack}[rollBack] {
+			t.Errorf("rollback %v: %v, OK %v", rollBack, result.Phase, result.OK)
 		}
-		have := 0
-		for _, row := range result.Rows {
-			st := s.direct(row.Instance)
-			if st == nil || st.Hash != row.Hash || st.StartId != row.Start {
-				t.Errorf("rollback %v: %+v, and the instance says %v", back, row, st)
+		applied := 0
+		for _, inst := range result.Instances {
+			st := s.statusOf(inst.Instance)
+			if st == nil || st.Hash != inst.Hash || st.StartId != inst.StartID {
+				t.Errorf("rollback %v: %+v, and the instance says %v", rollBack, inst, st)
 			}
 			switch {
 			case st.GetHash() == operator.TextHash(text):
-				have++
-			case row.State == fleet.Refused && !strings.Contains(row.Text, "address already in use"):
-				t.Errorf("rollback %v: %+v does not say why", back, row)
+				applied++
+			case inst.State == fleet.Refused && !strings.Contains(inst.Reason, "address already in use"):
+				t.Errorf("rollback %v: %+v does not say why", rollBack, inst)
 			case st.GetHash() != first:
-				t.Errorf("rollback %v: %s runs %.12s, neither the old one nor the new", back, row.Instance, st.GetHash())
+				t.Errorf("rollback %v: %s runs %.12s, neither the old one nor the new", rollBack, inst.Instance, st.GetHash())
 			}
 		}
-		if want := map[bool]int{false: 1, true: 0}[back]; have != want {
-			t.Errorf("rollback %v: %d instances run the new one, want %d: %+v", back, have, want, result.Rows)
+		if want := map[bool]int{false: 1, true: 0}[rollBack]; applied != want {
+			t.Errorf("rollback %v: %d instances run the new one, want %d: %+v", rollBack, applied, want, result.Instances)
 		}
-		if !back { // all as before again
-			again := s.rollout("again", s.file("first"))
+		if !rollBack { // all as before again
+			again := s.newRollout("again", s.operatorFile("first"))
 			if result, err := again.Run(t.Context()); err != nil || !result.OK {
 				t.Fatalf("back to the first: %+v, %v", result, err)
 			}
@@ -545,51 +572,53 @@
 	}
 }
 
-// A tool that is killed in the middle is run again with the same id, and goes on: what has applied is not changed again.
-func TestKilledToolGoesOn(t *testing.T) {
-	s := newSite(t, 2, 2)
-	bin, _ := build()
-	file, config := filepath.Join(s.dir, "tool.toml"), filepath.Join(s.dir, "next.toml")
-	os.WriteFile(file, []byte("[[agent]]\nname = \"a0\"\naddress = \"unix:a0.sock\"\n[[agent]]\nname = \"a1\"\naddress = \"unix:a1.sock\"\n"), 0o600)
-	os.WriteFile(config, s.file("next"), 0o600)
-	target := operator.TextHash(s.file("next"))
+// A tool that was killed and is run again with the same id continues the rollout: instances that have applied are not changed
+// again.
+func TestRolloutOfKilledToolContinues(t *testing.T) {
+	s := startSite(t, 2, 2)
+	bin, _ := buildPrograms()
+	file, config := s.writeToolConfig(2), filepath.Join(s.dir, "next.toml")
+	if err := os.WriteFile(config, s.operatorFile("next"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	target := operator.TextHash(s.operatorFile("next"))
 	args := []string{"-a", file, "rollout", "start", "-f", config, "--id", "k", "--settle", "1500ms"}
 	cmd := exec.Command(bin+"/milletctl", args...)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	have := func() (n int) {
+	applied := func() (n int) {
 		for name := range s.clients {
-			if s.direct(name).GetHash() == target {
+			if s.statusOf(name).GetHash() == target {
 				n++
 			}
 		}
 		return n
 	}
-	for end := time.Now().Add(long); have() == 0; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("the canary does not get it")
-		}
+	if err := testcluster.WaitFor(t.Context(), "the canary gets it", waitTimeout, func() bool { return applied() > 0 }); err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Process.Kill(); err != nil {
+		t.Error(err)
 	}
-	cmd.Process.Kill()
-	cmd.Wait()
-	if n := have(); n == len(s.clients) {
+	_ = cmd.Wait() // it was killed
+	if n := applied(); n == len(s.clients) {
 		t.Fatal("it was through before it was killed")
 	}
 	generations := map[string]uint64{}
 	for name := range s.clients {
-		if st := s.direct(name); st.GetHash() == target {
+		if st := s.statusOf(name); st.GetHash() == target {
 			generations[name] = st.Generation
 		}
 	}
 	if out, err := exec.Command(bin+"/milletctl", args...).CombinedOutput(); err != nil {
 		t.Errorf("run again: %v, %s", err, out)
 	}
-	if n := have(); n != len(s.clients) {
+	if n := applied(); n != len(s.clients) {
 		t.Errorf("%d of %d instances have it", n, len(s.clients))
 	}
 	for name, g := range generations {
-		if now := s.direct(name).GetGeneration(); now != g {
+		if now := s.statusOf(name).GetGeneration(); now != g {
 			t.Errorf("%s had it, and was changed again: generation %d, then %d", name, g, now)
 		}
 	}
--- a/internal/level/machine_test.go
+++ b/internal/degradation/controller_test.go
@@ -1,4 +1,4 @@
-package level
+package degradation
 
 import (
 	"fmt"
@@ -9,43 +9,50 @@
 
 	"pgregory.net/rapid"
 
-	"whinknot/internal/spread"
+	"milletmast/internal/namehash"
 )
 
 var epoch = time.Date(2026, 11, 1, 0, 0, 0, 0, time.UTC)
 
 const tick = 100 * time.Millisecond
 
-// ladder is the one of most tests: two levels for classes 0 (worth most), 1 and 2.
+// ladder returns the ladder of most tests: two levels for the classes 0 (highest weight), 1 and 2.
 func ladder() Ladder {
 	return Ladder{
 		{
-			Name: "lean", Enter: []Condition{{Signal: Wait, Bound: 0.2}, {Signal: Usable, Under: true, Bound: 0.6}}, For: 300 * time.Millisecond,
-			Calm: time.Second, Band: 0.5, Least: 4 * time.Second, Off: 2 * time.Second, Ramp: 2 * time.Second,
-			Shed: []Shed{{Class: 1, Share: 0.5}}, Attempts: 3,
+			Name:        "lean",
+			EnterIf:     []Condition{{Signal: QueueTime, Bound: 0.2}, {Signal: UsableRatio, Below: true, Bound: 0.6}},
+			EnterAfter:  300 * time.Millisecond,
+			LeaveAfter:  time.Second,
+			Hysteresis:  0.5,
+			MinTime:     4 * time.Second,
+			MinTimeOff:  2 * time.Second,
+			RestoreTime: 2 * time.Second,
+			Shedding:    []ShedRule{{Class: 1, Share: 0.5}},
+			MaxAttempts: 3,
 		},
 		{
-			Name: "essential", Enter: []Condition{{Signal: Refused, Bound: 0.3}}, For: 200 * time.Millisecond,
-			Calm: time.Second, Band: 0.5, Least: 4 * time.Second, Off: 2 * time.Second, Ramp: 4 * time.Second,
-			Shed: []Shed{{Class: 1, Share: 1}, {Class: 2, Share: 0.6}}, Attempts: 1, Deadline: 0.5,
+			Name: "essential", EnterIf: []Condition{{Signal: RejectedRatio, Bound: 0.3}}, EnterAfter: 200 * time.Millisecond,
+			LeaveAfter: time.Second, Hysteresis: 0.5, MinTime: 4 * time.Second, MinTimeOff: 2 * time.Second, RestoreTime: 4 * time.Second,
+			Shedding: []ShedRule{{Class: 1, Share: 1}, {Class: 2, Share: 0.6}}, MaxAttempts: 1, DeadlineShare: 0.5,
 		},
 	}
 }
 
-// run is a machine with a clock.
-type run struct {
-	*Machine
+// testController is a controller with a clock.
+type testController struct {
+	*Controller
 	clock time.Time
 	asked []float64
 }
 
-func begin(l Ladder) *run {
-	return &run{New(l, epoch), epoch, []float64{10, 5, 5}}
+func begin(l Ladder) *testController {
+	return &testController{NewController(l, epoch), epoch, []float64{10, 5, 5}}
 }
 
-// with is a reading of some signals, the others calm.
-func with(pairs ...any) Reading {
-	r := Reading{Worth: 1, Usable: 1, Warm: 1}
+// with returns values of some signals; the others are those of a pool without load.
+func with(pairs ...any) SignalValues {
+	r := SignalValues{EarnedRatio: 1, UsableRatio: 1, WarmRatio: 1}
 	for i := 0; i < len(pairs); i += 2 {
 		switch v := pairs[i+1].(type) {
 		case int:
@@ -57,19 +64,19 @@
 	return r
 }
 
-// hold feeds a reading for a time.
-func (r *run) hold(d time.Duration, s Reading) {
+// hold feeds values for a time.
+func (r *testController) hold(d time.Duration, s SignalValues) {
 	for end := r.clock.Add(d); r.clock.Before(end); {
 		r.clock = r.clock.Add(tick)
-		r.Step(r.clock, s, r.asked)
+		r.Update(r.clock, s, r.asked)
 	}
 }
 
-func (r *run) level() string { return r.Status(3).Level }
+func (r *testController) level() string { return r.Status(3).Level }
 
-// A script is lines of "TIME SIGNALS LEVEL": the signals hold for the time, and the level is in force at its end.
+// A script is lines of "TIME SIGNALS LEVEL": the signals have their values for the time, and the level is reached at its end.
 func TestLadderByScript(t *testing.T) {
-	calm, wait, refused := with(), with(Wait, 0.5), with(Refused, 0.5)
+	calm, wait, refused := with(), with(QueueTime, 0.5), with(RejectedRatio, 0.5)
 	for _, k := range []struct {
 		name  string
 		lines []any // time in ms, reading, level
@@ -77,18 +84,18 @@
 		{"a short burst is none", []any{200, wait, Normal, 500, calm, Normal, 200, wait, Normal}},
 		{"up, and down after least and calm", []any{400, wait, "lean", 3600, calm, "lean", 600, calm, Normal}},
 		{"a higher level is reached step by step", []any{200, refused, Normal, 200, refused, "essential", 4000, calm, "lean", 900, calm, "lean", 400, calm, Normal}},
-		{"the band holds it", []any{400, wait, "lean", 8000, with(Wait, 0.15), "lean", 2000, with(Wait, 0.09), Normal}},
+		{"the band holds it", []any{400, wait, "lean", 8000, with(QueueTime, 0.15), "lean", 2000, with(QueueTime, 0.09), Normal}},
 		{"calm must be unbroken", []any{400, wait, "lean", 4500, wait, "lean", 800, calm, "lean", 200, wait, "lean", 800, calm, "lean", 300, calm, Normal}},
 		{"not entered again at once", []any{400, wait, "lean", 4300, calm, Normal, 1500, wait, Normal, 700, wait, "lean"}},
-		{"any condition enters", []any{400, with(Usable, 0.5), "lean", 6000, with(Usable, 0.7), "lean", 1200, with(Usable, 0.85), Normal}},
-		{"nothing told falls to normal", []any{400, wait, "lean", 8000, Nothing(), Normal}},
-		{"a signal that stops coming counts for a while", []any{400, with(Wait, 0.5), "lean", 4000, with(Wait, 0.5), "lean",
-			1500, with(Wait, math.NaN()), "lean", 1800, with(Wait, math.NaN()), Normal}},
+		{"any condition enters", []any{400, with(UsableRatio, 0.5), "lean", 6000, with(UsableRatio, 0.7), "lean", 1200, with(UsableRatio, 0.85), Normal}},
+		{"nothing told falls to normal", []any{400, wait, "lean", 8000, NoSignals(), Normal}},
+		{"a signal that stops coming counts for a while", []any{400, with(QueueTime, 0.5), "lean", 4000, with(QueueTime, 0.5), "lean",
+			1500, with(QueueTime, math.NaN()), "lean", 1800, with(QueueTime, math.NaN()), Normal}},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			r := begin(ladder())
 			for i := 0; i < len(k.lines); i += 3 {
-				r.hold(time.Duration(k.lines[i].(int))*time.Millisecond, k.lines[i+1].(Reading))
+				r.hold(time.Duration(k.lines[i].(int))*time.Millisecond, k.lines[i+1].(SignalValues))
 				if got := r.level(); got != k.lines[i+2] {
 					t.Fatalf("line %d: level %s, want %s", i/3, got, k.lines[i+2])
 				}
@@ -97,13 +104,13 @@
 	}
 }
 
-// Each time that a level has to be entered again soon after it was left, it is held for longer; in the end it is forgotten.
-func TestLeftTooSoon(t *testing.T) {
+// A level that is entered again soon after it was left is kept for longer each time, until it has not been entered for long.
+func TestMinTimeBackoff(t *testing.T) {
 	r := begin(ladder())
 	var held []time.Duration
 	for range 5 {
 		for r.level() == Normal {
-			r.hold(tick, with(Wait, 0.5))
+			r.hold(tick, with(QueueTime, 0.5))
 		}
 		from := r.clock
 		for r.level() != Normal {
@@ -115,19 +122,19 @@
 		t.Errorf("held for %v", held)
 	}
 	r.hold(5*32*time.Second, with())
-	r.hold(400*time.Millisecond, with(Wait, 0.5))
+	r.hold(400*time.Millisecond, with(QueueTime, 0.5))
 	r.hold(4500*time.Millisecond, with())
 	if r.level() != Normal {
 		t.Error("it is still held for longer after a long time without")
 	}
 }
 
-// A sawtooth with the period of the least time, and noise at a threshold, stay within the bound.
-func TestHoverAndSawtooth(t *testing.T) {
+// Signals that oscillate with the period of the minimum time, or around a threshold, cause at most MaxChanges.
+func TestOscillatingSignals(t *testing.T) {
 	for name, signal := range map[string]func(n int) float64{
 		"sawtooth":       func(n int) float64 { return 0.4 * float64(n%40) / 40 },
 		"square":         func(n int) float64 { return float64(n / 20 % 2) },
-		"noise":          func(n int) float64 { return 0.2 + 0.1*(float64(spread.Mix(uint64(n))%1000)/500-1) },
+		"noise":          func(n int) float64 { return 0.2 + 0.1*(float64(namehash.Mix(uint64(n))%1000)/500-1) },
 		"every tick":     func(n int) float64 { return float64(n % 2) },
 		"just over, off": func(n int) float64 { return 0.0999 + 0.11*float64(n/50%2) },
 	} {
@@ -135,7 +142,7 @@
 		var at []time.Time
 		for n := range 36_000 { // an hour
 			r.clock = r.clock.Add(tick)
-			if r.Step(r.clock, with(Wait, signal(n), Refused, signal(n)), r.asked) {
+			if r.Update(r.clock, with(QueueTime, signal(n), RejectedRatio, signal(n)), r.asked) {
 				at = append(at, r.clock)
 			}
 		}
@@ -143,40 +150,40 @@
 	}
 }
 
-// within checks the bound in windows of many lengths.
+// within checks MaxChanges in windows of many lengths.
 func within(t interface{ Errorf(string, ...any) }, name string, l Ladder, at []time.Time) {
 	for _, w := range []time.Duration{0, time.Second, 3 * time.Second, 6 * time.Second, 10 * time.Second, time.Minute, 10 * time.Minute} {
 		for i, j := 0, 0; i < len(at); i++ {
 			for ; j < len(at) && at[j].Sub(at[i]) <= w; j++ {
 			}
-			if j-i > l.Bound(w) {
-				t.Errorf("%s: %d changes within %v, at most %d", name, j-i, w, l.Bound(w))
+			if j-i > l.MaxChanges(w) {
+				t.Errorf("%s: %d changes within %v, at most %d", name, j-i, w, l.MaxChanges(w))
 				return
 			}
 		}
 	}
 }
 
-func TestBound(t *testing.T) {
+func TestMaxChanges(t *testing.T) {
 	l := ladder()[:1] // 4 s and 2 s
 	for w, want := range map[time.Duration]int{0: 1, 1999 * time.Millisecond: 1, 2 * time.Second: 2, 5 * time.Second: 2, 6 * time.Second: 3, 8 * time.Second: 4, time.Minute: 21} {
-		if got := l.Bound(w); got != want {
+		if got := l.MaxChanges(w); got != want {
 			t.Errorf("%v: %d, want %d", w, got, want)
 		}
 	}
 }
 
-// A site that comes back cold while load falls: what was shed comes back no faster than servers get warm.
-func TestColdReturn(t *testing.T) {
+// While servers warm up, what was shed is admitted again no faster than they do.
+func TestRestoreFollowsWarmup(t *testing.T) {
 	r := begin(ladder())
-	r.hold(time.Second, with(Refused, 0.9, Usable, 0.5))
+	r.hold(time.Second, with(RejectedRatio, 0.9, UsableRatio, 0.5))
 	for r.level() == "essential" {
-		r.hold(tick, with(Warm, 0.4))
+		r.hold(tick, with(WarmRatio, 0.4))
 	}
 	last := 1.0
 	for n := range 200 {
 		warm := min(0.4+0.005*float64(n), 1)
-		r.hold(tick, with(Warm, warm))
+		r.hold(tick, with(WarmRatio, warm))
 		share := 0.0
 		for _, s := range r.Status(3).Shedding {
 			if s.Class == 2 {
@@ -196,28 +203,28 @@
 	}
 	// Servers that never get warm hold it up for four times the ramp at most.
 	r = begin(ladder())
-	r.hold(400*time.Millisecond, with(Wait, 1))
+	r.hold(400*time.Millisecond, with(QueueTime, 1))
 	for r.level() != Normal {
-		r.hold(tick, with(Warm, 0))
+		r.hold(tick, with(WarmRatio, 0))
 	}
-	r.hold(slowest*2*time.Second-200*time.Millisecond, with(Warm, 0))
-	if s := r.Status(3); len(s.Shedding) == 0 || s.Back >= 1 {
+	r.hold(maxRestoreFactor*2*time.Second-200*time.Millisecond, with(WarmRatio, 0))
+	if s := r.Status(3); len(s.Shedding) == 0 || s.Restored >= 1 {
 		t.Errorf("all is back with nothing warm: %+v", s)
 	}
-	r.hold(300*time.Millisecond, with(Warm, 0))
-	if s := r.Status(3); len(s.Shedding) != 0 || s.Back != 1 {
+	r.hold(300*time.Millisecond, with(WarmRatio, 0))
+	if s := r.Status(3); len(s.Shedding) != 0 || s.Restored != 1 {
 		t.Errorf("not all is back: %+v", s)
 	}
 }
 
-// The same callers stay shed: those of a smaller share are among those of a larger one, and the share is as told.
+// The same callers stay shed: those of a lower ratio are among those of a higher one.
 func TestSameCallersAreShed(t *testing.T) {
 	r := begin(ladder())
-	r.hold(400*time.Millisecond, with(Wait, 0.5))
+	r.hold(400*time.Millisecond, with(QueueTime, 0.5))
 	const n = 20_000
 	first := map[int]bool{}
 	for i := range n {
-		if r.Admit(1, Caller(fmt.Sprint("10.0.", i/250, ".", i%250))).Shed != nil {
+		if r.Admit(1, HashCaller(fmt.Sprint("10.0.", i/250, ".", i%250))).Shed != nil {
 			first[i] = true
 		}
 		if r.Admit(0, uint64(i)<<40).Shed != nil || r.Admit(2, uint64(i)<<40).Shed != nil {
@@ -230,7 +237,7 @@
 	shed := func() (out map[int]bool) {
 		out = map[int]bool{}
 		for i := range n {
-			if r.Admit(1, Caller(fmt.Sprint("10.0.", i/250, ".", i%250))).Shed != nil {
+			if r.Admit(1, HashCaller(fmt.Sprint("10.0.", i/250, ".", i%250))).Shed != nil {
 				out[i] = true
 			}
 		}
@@ -251,25 +258,25 @@
 		}
 		before = now
 	}
-	if v := r.Admit(1, 0); v.Shed != nil || v.Attempts != 0 || v.Deadline != 1 {
+	if v := r.Admit(1, 0); v.Shed != nil || v.MaxAttempts != 0 || v.DeadlineShare != 1 {
 		t.Errorf("at the normal level %+v", v)
 	}
-	r.hold(500*time.Millisecond, with(Refused, 0.5))
-	if v := r.Admit(0, 0); v.Shed != nil || v.Attempts != 1 || v.Deadline != 0.5 {
+	r.hold(500*time.Millisecond, with(RejectedRatio, 0.5))
+	if v := r.Admit(0, 0); v.Shed != nil || v.MaxAttempts != 1 || v.DeadlineShare != 0.5 {
 		t.Errorf("at the top level %+v", v)
 	}
 }
 
-// With one class alone there is nothing to protect by shedding it.
-func TestOneClassAlone(t *testing.T) {
+// A single class is not shed: there is nothing to protect.
+func TestSingleClassIsNotShed(t *testing.T) {
 	r := begin(ladder())
 	r.asked = []float64{0, 7, 0}
-	r.hold(600*time.Millisecond, with(Refused, 0.5))
+	r.hold(600*time.Millisecond, with(RejectedRatio, 0.5))
 	if s := r.Status(3); s.Level != "essential" || len(s.Shedding) != 0 || r.Admit(1, 0).Shed != nil {
 		t.Errorf("%+v", s)
 	}
 	r.asked = []float64{0.2, 7, 0} // a little to protect, a little is shed
-	r.hold(tick, with(Refused, 0.5))
+	r.hold(tick, with(RejectedRatio, 0.5))
 	if s := r.Status(3); len(s.Shedding) != 2 || s.Shedding[0].Share < 0.2 || s.Shedding[0].Share > 0.3 {
 		t.Errorf("%+v", s.Shedding)
 	}
@@ -284,23 +291,23 @@
 		t.Fatal(err)
 	}
 	r.hold(9900*time.Millisecond, with())
-	if s := r.Status(3); s.Level != "essential" || s.By != ByOperator || s.Pinned.IsZero() || len(s.Shedding) != 2 {
+	if s := r.Status(3); s.Level != "essential" || s.By != ByOperator || s.PinnedUntil.IsZero() || len(s.Shedding) != 2 {
 		t.Errorf("pinned: %+v", s)
 	}
 	// It ends in overload: the level stays, as its conditions hold.
-	r.hold(time.Second, with(Refused, 0.5))
-	if s := r.Status(3); s.Level != "essential" || !s.Pinned.IsZero() || s.Count != 1 {
+	r.hold(time.Second, with(RejectedRatio, 0.5))
+	if s := r.Status(3); s.Level != "essential" || !s.PinnedUntil.IsZero() || s.ChangeCount != 1 {
 		t.Errorf("after the pin: %+v", s)
 	}
 	// Normal is pinned in overload: nothing is done until it ends, then the steps follow as the ladder has them.
 	if err := r.Pin(Normal, r.clock, r.clock.Add(5*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	r.hold(4900*time.Millisecond, with(Refused, 0.5))
+	r.hold(4900*time.Millisecond, with(RejectedRatio, 0.5))
 	if s := r.Status(3); s.Level != Normal {
 		t.Errorf("pinned: %+v", s)
 	}
-	r.hold(400*time.Millisecond, with(Refused, 0.5))
+	r.hold(400*time.Millisecond, with(RejectedRatio, 0.5))
 	if s := r.Status(3); s.Level != "essential" || s.By != BySignals {
 		t.Errorf("after the pin: %+v", s)
 	}
@@ -309,17 +316,17 @@
 		t.Fatal(err)
 	}
 	r.hold(8*time.Second, with())
-	r.Release(r.clock)
+	r.Unpin(r.clock)
 	r.hold(200*time.Millisecond, with())
 	if s := r.Status(3); s.Level != "lean" {
 		t.Errorf("after the release: %+v", s)
 	}
 }
 
-func TestReload(t *testing.T) {
-	high := func() *run {
+func TestSetLadder(t *testing.T) {
+	high := func() *testController {
 		r := begin(ladder())
-		r.hold(600*time.Millisecond, with(Refused, 0.5))
+		r.hold(600*time.Millisecond, with(RejectedRatio, 0.5))
 		if r.level() != "essential" {
 			t.Fatal("not there")
 		}
@@ -327,7 +334,7 @@
 	}
 	renamed, moved := ladder(), append(ladder(), ladder()[1])
 	renamed[1].Name = "plan-save-only"
-	moved[1].Name, moved[1].Attempts, moved[1].Deadline = "half", 2, 1
+	moved[1].Name, moved[1].MaxAttempts, moved[1].DeadlineShare = "half", 2, 1
 	for _, k := range []struct {
 		name  string
 		to    Ladder
@@ -342,11 +349,11 @@
 		{"all removed", nil, Normal, 3},
 	} {
 		r := high()
-		r.Reload(k.to, r.clock)
-		if s := r.Status(3); s.Level != k.level || s.Count != k.count {
-			t.Errorf("%s: %s after %d changes", k.name, s.Level, s.Count)
+		r.SetLadder(k.to, r.clock)
+		if s := r.Status(3); s.Level != k.level || s.ChangeCount != k.count {
+			t.Errorf("%s: %s after %d changes", k.name, s.Level, s.ChangeCount)
 		}
-		r.hold(200*time.Millisecond, with(Refused, 0.5)) // whatever is left of it works
+		r.hold(200*time.Millisecond, with(RejectedRatio, 0.5)) // whatever is left of it works
 		r.hold(time.Minute, with())
 		if s := r.Status(3); s.Level != Normal || len(s.Shedding) != 0 {
 			t.Errorf("%s: does not end: %+v", k.name, s)
@@ -354,8 +361,8 @@
 	}
 	// A level that stays was entered when it was: a reload does not hold it for longer, nor let it be entered again sooner.
 	r := high()
-	r.hold(4200*time.Millisecond, with(Refused, 0.5))
-	r.Reload(ladder(), r.clock)
+	r.hold(4200*time.Millisecond, with(RejectedRatio, 0.5))
+	r.SetLadder(ladder(), r.clock)
 	r.hold(1200*time.Millisecond, with())
 	if r.level() == "essential" {
 		t.Error("held anew")
@@ -364,59 +371,60 @@
 	for r.level() != Normal {
 		r.hold(tick, with())
 	}
-	r.Reload(ladder(), r.clock)
-	r.hold(1500*time.Millisecond, with(Refused, 0.5))
+	r.SetLadder(ladder(), r.clock)
+	r.hold(1500*time.Millisecond, with(RejectedRatio, 0.5))
 	if r.level() != Normal {
 		t.Error("entered too soon")
 	}
 	// A copy goes its own way.
 	c := high()
 	d := c.Clone()
-	d.Reload(nil, c.clock)
+	d.SetLadder(nil, c.clock)
 	if c.level() != "essential" || d.Status(3).Level != Normal {
 		t.Error("a copy shares its state")
 	}
 }
 
-// Time that jumps or goes back does no harm, and a stall is not taken for a condition that held.
+// Time that jumps or goes back does no harm, and a stall does not count as a condition that was met.
 func TestTimeJumps(t *testing.T) {
 	r := begin(ladder())
-	r.Step(epoch.Add(tick), with(Wait, 1), nil)
-	r.Step(epoch.Add(-time.Hour), with(Wait, 1), nil)
+	r.Update(epoch.Add(tick), with(QueueTime, 1), nil)
+	r.Update(epoch.Add(-time.Hour), with(QueueTime, 1), nil)
 	if s := r.Status(3); s.Level != Normal {
 		t.Errorf("back: %s", s.Level)
 	}
-	r.Step(epoch.Add(24*time.Hour), with(Wait, 1), nil)
+	r.Update(epoch.Add(24*time.Hour), with(QueueTime, 1), nil)
 	if s := r.Status(3); s.Level != "lean" {
 		t.Errorf("a day on: %s", s.Level)
 	}
-	r.Step(epoch.Add(48*time.Hour), with(), nil)
+	r.Update(epoch.Add(48*time.Hour), with(), nil)
 	if s := r.Status(3); s.Level != "lean" {
 		t.Errorf("calm for no time: %s", s.Level)
 	}
-	r.Step(epoch.Add(48*time.Hour+2*time.Second), with(), nil)
+	r.Update(epoch.Add(48*time.Hour+2*time.Second), with(), nil)
 	if s := r.Status(3); s.Level != Normal {
 		t.Errorf("calm: %s", s.Level)
 	}
 }
 
-func TestStatusTellsWhy(t *testing.T) {
+func TestStatus(t *testing.T) {
 	r := begin(ladder())
-	r.hold(600*time.Millisecond, with(Refused, 0.5))
+	r.hold(600*time.Millisecond, with(RejectedRatio, 0.5))
 	s := r.Status(3)
-	if !strings.Contains(s.Why, "refused > 0.3, is 0.5") || !strings.Contains(s.Waits, "refused < 0.15, is 0.5") || !s.Earliest.After(r.clock.Add(3*time.Second)) {
+	if !strings.Contains(s.Reason, "refused > 0.3, is 0.5") || !strings.Contains(s.BlockedBy, "refused < 0.15, is 0.5") ||
+		!s.EarliestLeave.After(r.clock.Add(3*time.Second)) {
 		t.Errorf("%+v", s)
 	}
 	r.hold(3*time.Second, with())
-	if s := r.Status(3); s.Waits != "" || !s.Earliest.Equal(s.Since.Add(4*time.Second)) {
-		t.Errorf("forecast %v since %v, waits for %q", s.Earliest, s.Since, s.Waits)
+	if s := r.Status(3); s.BlockedBy != "" || !s.EarliestLeave.Equal(s.Since.Add(4*time.Second)) {
+		t.Errorf("forecast %v since %v, waits for %q", s.EarliestLeave, s.Since, s.BlockedBy)
 	}
 	for range 40 {
-		r.hold(time.Second, with(Refused, 0.5))
+		r.hold(time.Second, with(RejectedRatio, 0.5))
 		r.hold(time.Minute, with())
 	}
-	if s := r.Status(3); len(s.Changes) != kept || s.Count < 100 || s.Changes[kept-1].To != Normal || !s.Earliest.IsZero() {
-		t.Errorf("%d changes kept of %d", len(s.Changes), s.Count)
+	if s := r.Status(3); len(s.Changes) != maxChangesKept || s.ChangeCount < 100 || s.Changes[maxChangesKept-1].To != Normal || !s.EarliestLeave.IsZero() {
+		t.Errorf("%d changes kept of %d", len(s.Changes), s.ChangeCount)
 	}
 }
 
@@ -428,19 +436,27 @@
 	share := 0.0
 	for i := range rapid.IntRange(1, 4).Draw(t, "levels") {
 		v := Level{
-			Name: fmt.Sprint("l", i), For: millis("for", 0, 2000), Calm: millis("calm", 0, 3000), Band: rapid.Float64Range(0.05, 0.95).Draw(t, "band"),
-			Least: millis("least", 100, 8000), Off: millis("off", 100, 8000), Ramp: millis("ramp", 0, 5000),
+			Name:        fmt.Sprint("l", i),
+			EnterAfter:  millis("for", 0, 2000),
+			LeaveAfter:  millis("calm", 0, 3000),
+			Hysteresis:  rapid.Float64Range(0.05, 0.95).Draw(t, "band"),
+			MinTime:     millis("least", 100, 8000),
+			MinTimeOff:  millis("off", 100, 8000),
+			RestoreTime: millis("ramp", 0, 5000),
 		}
 		for range rapid.IntRange(1, 3).Draw(t, "conditions") {
-			c := Condition{Signal: Signal(rapid.IntRange(0, int(Signals)-1).Draw(t, "signal")), Bound: rapid.Float64Range(0.05, 0.95).Draw(t, "bound")}
-			c.Under = c.Signal.isShare() && c.Signal >= Worth
-			v.Enter = append(v.Enter, c)
+			c := Condition{
+				Signal: Signal(rapid.IntRange(0, int(SignalCount)-1).Draw(t, "signal")),
+				Bound:  rapid.Float64Range(0.05, 0.95).Draw(t, "bound"),
+			}
+			c.Below = c.Signal.isShare() && c.Signal >= EarnedRatio
+			v.EnterIf = append(v.EnterIf, c)
 		}
 		share = min(1, share+rapid.Float64Range(0.01, 0.5).Draw(t, "share"))
-		v.Shed = []Shed{{Class: 1, Share: share}}
+		v.Shedding = []ShedRule{{Class: 1, Share: share}}
 		l = append(l, v)
 	}
-	if errs := l.Check(3); len(errs) > 0 {
+	if errs := l.Validate(3); len(errs) > 0 {
 		t.Fatalf("%v", errs)
 	}
 	return l
@@ -448,22 +464,22 @@
 
 // Whatever the signals and the clock do for hours: the bound on changes holds, shares stay shares, and once all is calm or silent
 // every level is left and every class is back, in a time that the settings tell.
-func TestWhateverTheSignals(t *testing.T) {
+func TestRandomSignals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawLadder(t)
 		r := begin(l)
 		var at []time.Time
-		step := func(d time.Duration, s Reading) {
+		step := func(d time.Duration, s SignalValues) {
 			r.clock = r.clock.Add(d)
-			if r.Step(r.clock, s, r.asked) {
+			if r.Update(r.clock, s, r.asked) {
 				at = append(at, r.clock)
 			}
-			if share := r.share(1); !(share >= 0 && share <= 1) || r.share(0) != 0 {
-				t.Fatalf("shares %v and %v", share, r.share(0))
+			if share := r.shedRatio(1); !(share >= 0 && share <= 1) || r.shedRatio(0) != 0 {
+				t.Fatalf("shares %v and %v", share, r.shedRatio(0))
 			}
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "phases") {
-			var s Reading
+			var s SignalValues
 			for k := range s {
 				if s[k] = rapid.Float64Range(0, 1.2).Draw(t, "value"); rapid.IntRange(0, 4).Draw(t, "told") == 0 {
 					s[k] = math.NaN()
@@ -482,11 +498,11 @@
 		within(t, "random", l, at)
 		most := 10 * time.Second
 		for _, v := range l {
-			most += v.Least<<maxBackoff + v.Calm + slowest*v.Ramp + time.Second
+			most += v.MinTime<<maxBackoff + v.LeaveAfter + maxRestoreFactor*v.RestoreTime + time.Second
 		}
 		s := with()
 		if rapid.Bool().Draw(t, "silence") {
-			s = Nothing()
+			s = NoSignals()
 		}
 		for end := r.clock.Add(most); r.clock.Before(end); {
 			step(tick, s)
@@ -498,45 +514,45 @@
 	})
 }
 
-func TestLaddersThatCannotBe(t *testing.T) {
+func TestInvalidLadders(t *testing.T) {
 	for want, change := range map[string]func(Ladder){
 		"comes twice":                    func(l Ladder) { l[1].Name = "lean" },
 		"that of no reduction":           func(l Ladder) { l[0].Name = Normal },
-		"there is no condition":          func(l Ladder) { l[0].Enter = nil },
-		"no such signal":                 func(l Ladder) { l[0].Enter[0].Signal = Signals },
-		"no number of 0 or more":         func(l Ladder) { l[0].Enter[0].Bound = math.NaN() },
-		"can never hold":                 func(l Ladder) { l[1].Enter[0].Bound = 1 },
-		"no room to clear":               func(l Ladder) { l[0].Enter[0].Bound = 0 },
-		"because it is quick":            func(l Ladder) { l[0].Enter[0].Under = true },
-		"left as it is entered":          func(l Ladder) { l[0].Leave = []Condition{{Signal: Wait, Under: true, Bound: 0.3}} },
-		"band":                           func(l Ladder) { l[0].Band = 1 },
-		"least: 1ms is not within 100ms": func(l Ladder) { l[0].Least = time.Millisecond },
-		"off: 2h0m0s":                    func(l Ladder) { l[0].Off = 2 * time.Hour },
-		"attempts: -1":                   func(l Ladder) { l[0].Attempts = -1 },
-		"deadline":                       func(l Ladder) { l[0].Deadline = 2 },
-		"no class 3":                     func(l Ladder) { l[0].Shed[0].Class = 3 },
-		"class 1 comes twice":            func(l Ladder) { l[0].Shed = append(l[0].Shed, l[0].Shed[0]) },
-		"a share of 0":                   func(l Ladder) { l[0].Shed[0].Share = 0 },
-		"status of an answer":            func(l Ladder) { l[0].Shed[0].Reply.Status = 204 },
-		"time to come back":              func(l Ladder) { l[0].Shed[0].Reply.After = -1 },
-		"fewer than the 0.5":             func(l Ladder) { l[1].Shed = l[1].Shed[1:] },
-		"more than the 3":                func(l Ladder) { l[1].Attempts = 0 },
-		"more than the 0.4":              func(l Ladder) { l[0].Deadline = 0.4 },
+		"there is no condition":          func(l Ladder) { l[0].EnterIf = nil },
+		"no such signal":                 func(l Ladder) { l[0].EnterIf[0].Signal = SignalCount },
+		"no number of 0 or more":         func(l Ladder) { l[0].EnterIf[0].Bound = math.NaN() },
+		"can never hold":                 func(l Ladder) { l[1].EnterIf[0].Bound = 1 },
+		"no room to clear":               func(l Ladder) { l[0].EnterIf[0].Bound = 0 },
+		"because it is quick":            func(l Ladder) { l[0].EnterIf[0].Below = true },
+		"left as it is entered":          func(l Ladder) { l[0].LeaveIf = []Condition{{Signal: QueueTime, Below: true, Bound: 0.3}} },
+		"band":                           func(l Ladder) { l[0].Hysteresis = 1 },
+		"least: 1ms is not within 100ms": func(l Ladder) { l[0].MinTime = time.Millisecond },
+		"off: 2h0m0s":                    func(l Ladder) { l[0].MinTimeOff = 2 * time.Hour },
+		"attempts: -1":                   func(l Ladder) { l[0].MaxAttempts = -1 },
+		"deadline":                       func(l Ladder) { l[0].DeadlineShare = 2 },
+		"no class 3":                     func(l Ladder) { l[0].Shedding[0].Class = 3 },
+		"class 1 comes twice":            func(l Ladder) { l[0].Shedding = append(l[0].Shedding, l[0].Shedding[0]) },
+		"a share of 0":                   func(l Ladder) { l[0].Shedding[0].Share = 0 },
+		"status of an answer":            func(l Ladder) { l[0].Shedding[0].Response.Status = 204 },
+		"time to come back":              func(l Ladder) { l[0].Shedding[0].Response.RetryAfter = -1 },
+		"fewer than the 0.5":             func(l Ladder) { l[1].Shedding = l[1].Shedding[1:] },
+		"more than the 3":                func(l Ladder) { l[1].MaxAttempts = 0 },
+		"more than the 0.4":              func(l Ladder) { l[0].DeadlineShare = 0.4 },
 	} {
 		l := ladder()
 		change(l)
 		told := ""
-		for _, e := range l.Check(3) {
+		for _, e := range l.Validate(3) {
 			told += e.Error() + "\n"
 		}
 		if !strings.Contains(told, want) {
 			t.Errorf("want %q, told %q", want, told)
 		}
 	}
-	if errs := ladder().Check(3); len(errs) != 0 {
+	if errs := ladder().Validate(3); len(errs) != 0 {
 		t.Errorf("%v", errs)
 	}
-	if errs := make(Ladder, MaxLevels+1).Check(3); !strings.Contains(errs[0].Error(), "over the 8") {
+	if errs := make(Ladder, MaxLevels+1).Validate(3); !strings.Contains(errs[0].Error(), "over the 8") {
 		t.Errorf("%v", errs[0])
 	}
 }
--- /dev/null
+++ b/internal/degradation/signal.go
@@ -0,0 +1,93 @@
+package degradation
+
+import (
+	"fmt"
+	"math"
+)
+
+// Signal is a measurement of a pool.
+type Signal uint8
+
+// The signals. Ratios lie between 0 and 1, but for P95Ratio. Requests that a level sheds are not counted.
+const (
+	P95Ratio      Signal = iota // 95th percentile of latency, as a multiple of the target latency of the class
+	LateRatio                   // responses that took longer than the target latency
+	QueueTime                   // seconds that requests wait for a server: the longest recent one, also of those still waiting
+	RejectedRatio               // requests rejected
+	FailedRatio                 // requests failed
+	EarnedRatio                 // priority weight of the responses in time, of that of all requests that ended
+	UsableRatio                 // servers that are ready and not cut off, of those listed
+	WarmRatio                   // capacity of the usable servers that have warmed up
+	SignalCount                 // number of signals
+)
+
+// signalNames are the names in the operator file and in reports.
+var signalNames = [SignalCount]string{"p95", "late", "wait", "refused", "failed", "worth", "usable", "warm"}
+
+func (s Signal) String() string { return signalNames[s] }
+
+// ParseSignal returns the signal of a name.
+func ParseSignal(name string) (Signal, bool) {
+	for s, n := range signalNames {
+		if n == name {
+			return Signal(s), true
+		}
+	}
+	return 0, false
+}
+
+// isShare reports whether the signal lies between 0 and 1.
+func (s Signal) isShare() bool { return s != P95Ratio && s != QueueTime }
+
+// SignalValues are the values of all signals at one time; NaN where there was nothing to measure.
+type SignalValues [SignalCount]float64
+
+// NoSignals returns values without any measurement.
+func NoSignals() SignalValues {
+	var values SignalValues
+	for s := range values {
+		values[s] = math.NaN()
+	}
+	return values
+}
+
+// Condition is met while a signal is above a bound, or below it.
+type Condition struct {
+	Signal Signal
+	Below  bool
+	Bound  float64
+}
+
+// isMet reports whether the condition is met by a value; never by NaN.
+func (c Condition) isMet(value float64) bool {
+	if c.Below {
+		return value < c.Bound
+	}
+	return value > c.Bound
+}
+
+func (c Condition) String() string {
+	side := ">"
+	if c.Below {
+		side = "<"
+	}
+	return fmt.Sprintf("%v %s %.4g", c.Signal, side, c.Bound)
+}
+
+// inverse returns the condition that says that this one is over, with a hysteresis: a share of the distance between the bound
+// and the best value of the signal.
+func (c Condition) inverse(hysteresis float64) Condition {
+	out := Condition{Signal: c.Signal, Below: !c.Below, Bound: c.Bound * (1 - hysteresis)}
+	if c.Below {
+		out.Bound = c.Bound + (1-c.Bound)*hysteresis
+	}
+	return out
+}
+
+// contradicts reports whether this condition, for leaving a level, is met already where another one, for entering it, is.
+func (c Condition) contradicts(enter Condition) bool {
+	if c.Signal != enter.Signal || c.Below == enter.Below {
+		return false
+	}
+	return enter.Below && c.Bound < enter.Bound || !enter.Below && c.Bound > enter.Bound
+}
--- /dev/null
+++ b/internal/emulate/attempt.go
@@ -0,0 +1,198 @@
+package emulate
+
+import (
+	"slices"
+
+	"milletmast/balancer"
+	"milletmast/internal/rules"
+)
+
+// attempt is one attempt of a call.
+type attempt struct {
+	call      *call
+	number    int
+	sentAt    float64
+	server    *server
+	conns     *serverConns // once it has a connection
+	job       *job
+	open      bool
+	onNewConn bool // its connection is new
+}
+
+// startAttempt starts an attempt.
+func (h *sidecar) startAttempt(c *call, id uint32, until float64) {
+	w := h.sim
+	a := &attempt{call: c, number: len(c.attempts), sentAt: w.now(), server: w.serversByID[id], open: true}
+	c.attempts = append(c.attempts, a)
+	c.openAttempts++
+	h.recordFirstSend(c)
+	if c.budget != nil && a.number > 0 && !c.budget.Spend() {
+		h.later(0, func() { a.end(balancer.NotSent) })
+		return
+	}
+	w.result.attempts++
+	w.record(&rules.Fact{Kind: rules.AttemptSent, Copy: h.copyID(), Request: c.id, Attempt: uint16(a.number), Server: id})
+	h.later(until-w.now(), func() { a.end(balancer.Timeout) })
+	if a.server == nil {
+		h.later(0, func() { a.end(balancer.NotSent) })
+		return
+	}
+	l := h.connsTo(a.server)
+	l.closeIdleSince(w.now() - idleFraction*w.scenario.Pool.IdleTimeout.MS())
+	if n := len(l.idle); n > 0 {
+		l.idle = l.idle[:n-1]
+		a.conns = l
+		w.clock.after(w.delay(h, a, 0), a.arrive)
+		return
+	}
+	a.onNewConn = true
+	h.later(w.scenario.Pool.ConnectTimeout.MS(), func() {
+		if a.conns == nil {
+			a.end(balancer.ConnectFailed)
+		}
+	})
+	w.clock.after(w.delay(h, a, 0), a.connect)
+}
+
+// connect is the arrival of a new connection at its server.
+func (a *attempt) connect() {
+	w, s, h := a.call.sidecar.sim, a.server, a.call.sidecar
+	if !a.open || !w.passes(h, s) {
+		return // no reply, until the time to connect is over
+	}
+	if s.state == down || s.conns >= s.spec.Connections {
+		w.clock.after(w.delay(h, a, 1), func() { a.end(balancer.ConnectFailed) })
+		return
+	}
+	a.conns = h.connsTo(s) // not that of before: the server may have ended meanwhile
+	s.conns++
+	a.conns.open++
+	w.result.connections++
+	w.clock.after(w.delay(h, a, 1)+w.delay(h, a, 2), a.arrive) // there and back, and the request on it
+}
+
+// arrive is the arrival of the request at its server.
+func (a *attempt) arrive() {
+	c, w, s := a.call, a.call.sidecar.sim, a.server
+	if !w.passes(c.sidecar, s) {
+		return
+	}
+	work := c.try.Work
+	if a.onNewConn {
+		work += s.spec.Handshake.MS()
+	}
+	if s.isCold() {
+		w.record(&rules.Fact{Kind: rules.WorkArrived, Copy: c.sidecar.copyID(), Request: c.id, Server: s.id, Work: work, Capacity: s.capacity()})
+	}
+	a.job = &job{work: work, abandoned: !a.open, failureDraw: w.random.uniform(drawFailure, c.id, uint64(a.number))}
+	a.job.onEnd = func(o jobOutcome) {
+		if !w.passes(c.sidecar, s) {
+			return
+		}
+		w.clock.after(w.delay(c.sidecar, a, 3), func() {
+			switch o {
+			case jobDone:
+				a.end(balancer.OK)
+			case jobFull:
+				a.end(balancer.Full)
+			case jobError:
+				a.end(balancer.Error)
+			default:
+				a.end(balancer.Reset)
+			}
+		})
+	}
+	s.accept(a.job)
+}
+
+// end ends the attempt, once.
+func (a *attempt) end(o balancer.Outcome) {
+	c := a.call
+	h := c.sidecar
+	if !a.open {
+		return
+	}
+	if h.stalled > h.sim.now() {
+		life := h.starts
+		h.sim.clock.schedule(h.stalled, func() { h.run(life, func() { a.end(o) }) })
+		return
+	}
+	a.open = false
+	if l := a.conns; l != nil && l.open > 0 {
+		if o == balancer.OK || o == balancer.Full || o == balancer.Error {
+			l.idle = append(l.idle, h.sim.now())
+		} else {
+			l.open--
+			l.server.conns--
+		}
+	}
+	if a.job != nil {
+		a.job.abandoned = true
+	}
+	neverRan := o == balancer.Full || o == balancer.ConnectFailed || o == balancer.NotSent
+	switch {
+	case a.conns != nil || neverRan: // the request may have been written
+	case o == balancer.Cancelled:
+		neverRan, o = true, balancer.NotSent
+	default:
+		neverRan, o = true, balancer.ConnectFailed
+	}
+	c.openAttempts--
+	c.mayHaveExecuted = c.mayHaveExecuted || !neverRan
+	h.sim.record(&rules.Fact{Kind: rules.AttemptEnded, Copy: h.copyID(), Request: c.id, Attempt: uint16(a.number), MayRun: !neverRan})
+	if o == balancer.OK {
+		h.finish(c, rules.Served, 0)
+	}
+	h.handle(&balancer.Event{
+		Kind: balancer.EvOutcome, Request: c.event.Request, Attempt: uint16(a.number), Server: a.serverID(),
+		Outcome: o, Took: h.sim.now() - a.sentAt, Done: c.ended,
+	})
+	h.forget(c)
+}
+
+// serverID returns the id of the server; 0 for one that does not exist any more.
+func (a *attempt) serverID() uint32 {
+	if a.server == nil {
+		return 0
+	}
+	return a.server.id
+}
+
+// serverConns are the connections of a sidecar to one server.
+type serverConns struct {
+	server *server
+	idle   []float64 // since when each is
+	open   int       // all
+}
+
+// connsTo returns the connections to a server.
+func (h *sidecar) connsTo(s *server) *serverConns {
+	l := h.conns[s.id]
+	if l == nil {
+		l = &serverConns{server: s}
+		h.conns[s.id] = l
+	}
+	return l
+}
+
+// closeIdleSince closes the connections that have been idle since before a time.
+func (l *serverConns) closeIdleSince(before float64) {
+	n := 0
+	for n < len(l.idle) && l.idle[n] < before {
+		n++
+	}
+	l.closeOldest(n)
+}
+
+// closeOldest closes n idle connections, the oldest first.
+func (l *serverConns) closeOldest(n int) {
+	l.idle = slices.Delete(l.idle, 0, n)
+	l.open -= n
+	l.server.conns -= n
+}
+
+// forgetAll forgets all connections, as one of the ends has ended. What is on its way on them finds none open.
+func (l *serverConns) forgetAll() {
+	l.server.conns -= l.open
+	l.idle, l.open = nil, 0
+}
--- /dev/null
+++ b/internal/emulate/calls.go
@@ -0,0 +1,127 @@
+package emulate
+
+import (
+	"container/list"
+	"slices"
+
+	"milletmast/balancer"
+	"milletmast/internal/budget"
+	"milletmast/internal/degradation"
+	"milletmast/internal/rules"
+)
+
+// call is a request that a sidecar has accepted.
+type call struct {
+	sidecar         *sidecar
+	event           balancer.Event
+	id              uint64 // over the whole fleet
+	try             *clientTry
+	arrivedAt       float64
+	timeout         float64
+	ended           bool
+	mayHaveExecuted bool
+	openAttempts    int
+	attempts        []*attempt
+	shedRule        *degradation.ShedRule
+	queueElement    *list.Element
+	budget          *budget.RetryBudget // nil for none
+	admittedByFleet bool                // by the share of the load that all sidecars admit together
+}
+
+// retryAfter returns the Retry-After of a rejection, in ms.
+func (c *call) retryAfter(ms float64) float64 {
+	if c.shedRule != nil && c.shedRule.Response.RetryAfter > 0 {
+		return float64(c.shedRule.Response.RetryAfter.Microseconds()) / 1000
+	}
+	return ms
+}
+
+// startCall accepts a request.
+func (h *sidecar) startCall(q *clientTry) {
+	w := h.sim
+	class := &w.scenario.Pool.Classes[q.Class]
+	c := &call{sidecar: h, id: w.nextRequest(), try: q, arrivedAt: w.now()}
+	giveUp := class.GiveUp.MS()
+	c.timeout = giveUp - min(clientMargin, maxMarginShare*giveUp)
+	h.lastID++
+	c.event = balancer.Event{Kind: balancer.EvRequest, Request: h.lastID, Class: uint16(q.Class), Due: c.arrivedAt + c.timeout}
+	h.calls[h.lastID] = c
+	h.callOrder = append(h.callOrder, c)
+	q.call = c
+	w.record(&rules.Fact{Kind: rules.RequestReceived, Copy: h.copyID(), Request: c.id, Class: uint16(q.Class), Due: c.arrivedAt + giveUp})
+	h.admitByLevel(c)
+	h.admitByFleet(c)
+	if n := w.scenario.Copies.Retries; n > 0 {
+		c.budget = budget.NewRetryBudget(n)
+		if c.event.Attempts == 0 || c.event.Attempts > 1+n {
+			c.event.Attempts = 1 + n
+		}
+	}
+	h.later(c.event.Due+backstop-w.now(), func() { h.answerOverdue(c) })
+	h.handle(&c.event)
+	h.compactCallOrder()
+}
+
+// compactCallOrder removes ended calls from the order, once they are most of it.
+func (h *sidecar) compactCallOrder() {
+	if len(h.callOrder) > 64 && len(h.callOrder) > 2*len(h.calls) {
+		h.callOrder = slices.DeleteFunc(h.callOrder, func(c *call) bool { return h.calls[c.event.Request] != c })
+	}
+}
+
+// finish gives a call its one final response.
+func (h *sidecar) finish(c *call, answer rules.Answer, after float64) {
+	if c.ended {
+		return
+	}
+	c.ended = true
+	h.recordLevelResult(c, answer)
+	h.recordFleetResult(c, answer)
+	h.sim.record(&rules.Fact{Kind: rules.RequestAnswered, Copy: h.copyID(), Request: c.id, Answer: answer})
+	h.sim.deliverAnswer(c, answer, after)
+	h.forget(c)
+}
+
+// forget removes a call that has ended and has no open attempt.
+func (h *sidecar) forget(c *call) {
+	if c.ended && c.openAttempts == 0 && h.calls[c.event.Request] == c {
+		delete(h.calls, c.event.Request)
+	}
+}
+
+// clientLeft handles a client that has left.
+func (h *sidecar) clientLeft(c *call) {
+	if c.ended {
+		return
+	}
+	c.ended = true
+	h.recordLevelResult(c, rules.Failed)
+	h.sim.record(&rules.Fact{Kind: rules.ClientLeft, Copy: h.copyID(), Request: c.id})
+	h.handle(&balancer.Event{Kind: balancer.EvGone, Request: c.event.Request})
+	h.abortAttempts(c)
+	h.forget(c)
+}
+
+// abortAttempts aborts the open attempts of a call.
+func (h *sidecar) abortAttempts(c *call) {
+	for _, a := range c.attempts {
+		if a.open {
+			h.later(0, func() { a.end(balancer.Cancelled) })
+		}
+	}
+}
+
+// answerOverdue answers a call that the module has left unanswered. It is a rejection only if no attempt can have been executed.
+func (h *sidecar) answerOverdue(c *call) {
+	if c.ended {
+		return
+	}
+	h.sim.result.backstops++
+	answer := rules.Failed
+	if !c.mayHaveExecuted && c.openAttempts == 0 {
+		answer = rules.Refused
+	}
+	h.abortAttempts(c)
+	h.finish(c, answer, 1000)
+	h.handle(&balancer.Event{Kind: balancer.EvGone, Request: c.event.Request})
+}
--- a/internal/emulate/chart/chart.go
+++ b/internal/emulate/chart/chart.go
@@ -13,12 +13,11 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
-
-	"whinknot/internal/emulate"
-
 	// The forms in which it can be written.
 	_ "gonum.org/v1/plot/vg/vgimg"
 	_ "gonum.org/v1/plot/vg/vgsvg"
+
+	"milletmast/internal/emulate"
 )
 
 const (
@@ -52,7 +51,7 @@
 	earned.Y.Min, refused.Y.Min = 0, 0
 	length := 0
 	for _, r := range results {
-		length = max(length, len(r.Course))
+		length = max(length, len(r.Seconds))
 	}
 	for _, p := range []*plot.Plot{earned, refused} {
 		p.X.Label.Text = "time, s"
@@ -64,10 +63,10 @@
 	refused.Legend.Top = true
 	refused.Legend.YOffs *= -1
 	for i, name := range names {
-		if err := curve(earned, name, i, by[name], func(s *emulate.Second) (float64, bool) { return s.Earned / max(s.Worth, 1e-9), s.Worth > 0 }); err != nil {
+		if err := curve(earned, name, i, by[name], earnedShare); err != nil {
 			return err
 		}
-		if err := curve(refused, name, i, by[name], func(s *emulate.Second) (float64, bool) { return float64(s.Refused), true }); err != nil {
+		if err := curve(refused, name, i, by[name], rejections); err != nil {
 			return err
 		}
 	}
@@ -83,18 +82,26 @@
 	return err
 }
 
+// earnedShare returns the share of the worth of a second that was earned; false for a second without requests.
+func earnedShare(s *emulate.Second) (float64, bool) {
+	return s.Earned / max(s.Worth, 1e-9), s.Worth > 0
+}
+
+// rejections returns the number of rejections in a second.
+func rejections(s *emulate.Second) (float64, bool) { return float64(s.Refused), true }
+
 // curve adds one variant's median and band.
 func curve(p *plot.Plot, name string, n int, results []*emulate.Result, of func(*emulate.Second) (float64, bool)) error {
 	length := 0
 	for _, r := range results {
-		length = max(length, len(r.Course))
+		length = max(length, len(r.Seconds))
 	}
 	var middle, low, high plotter.XYs
 	for at := range length {
 		var values []float64
 		for _, r := range results {
-			if at < len(r.Course) {
-				if v, ok := of(&r.Course[at]); ok {
+			if at < len(r.Seconds) {
+				if v, ok := of(&r.Seconds[at]); ok {
 					values = append(values, v)
 				}
 			}
@@ -123,7 +130,7 @@
 	line.Color = plotutil.Color(n)
 	r, g, b, _ := line.Color.RGBA()
 	shade.Color = color.NRGBA{uint8(r >> 8), uint8(g >> 8), uint8(b >> 8), 48}
-	shade.LineStyle.Width = 0
+	shade.Width = 0
 	p.Add(shade, line)
 	if name != "" {
 		p.Legend.Add(name, line)
--- a/internal/emulate/clock.go
+++ b/internal/emulate/clock.go
@@ -1,66 +1,69 @@
 package emulate
 
-import "math"
+import (
+	"math"
+)
 
-// happening is something that is to be done at a time.
-type happening struct {
-	at  float64
-	seq uint64
-	do  func()
+// event is something that happens at a time.
+type event struct {
+	at       float64
+	sequence uint64
+	do       func()
 }
 
-// clock is virtual time in milliseconds, with what is to be done. Of what is due at one instant that comes first which was asked for
-// first, so the order does not depend on the heap. What is asked for in the past is due now, after what was asked for before it.
+// clock is virtual time in ms, with the events to come. Of events at the same time, the one that was scheduled first happens first, so
+// that the order does not depend on the heap. An event in the past happens now, after those scheduled before it.
 type clock struct {
-	now  float64
-	seq  uint64
-	heap []happening
-	done uint64 // happenings so far
+	now      float64
+	sequence uint64
+	events   []event
+	executed uint64 // events so far
 }
 
-func before(a, b *happening) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+// precedes reports whether an event happens before another.
+func precedes(a, b *event) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }
 
-// at has something done at a time.
-func (c *clock) at(at float64, do func()) {
+// schedule schedules a function at a time.
+func (c *clock) schedule(at float64, do func()) {
 	if !(at > c.now) { // also no number
 		at = c.now
 	}
-	c.seq++
-	h := append(c.heap, happening{at, c.seq, do})
+	c.sequence++
+	h := append(c.events, event{at, c.sequence, do})
 	i := len(h) - 1
 	for i > 0 {
 		up := (i - 1) / 2
-		if !before(&h[i], &h[up]) {
+		if !precedes(&h[i], &h[up]) {
 			break
 		}
 		h[i], h[up] = h[up], h[i]
 		i = up
 	}
-	c.heap = h
+	c.events = h
 }
 
-// after has something done after a time from now.
-func (c *clock) after(ms float64, do func()) { c.at(c.now+ms, do) }
+// after schedules a function after a time from now.
+func (c *clock) after(ms float64, do func()) { c.schedule(c.now+ms, do) }
 
-// next is when the next thing is due; infinity for none.
+// next returns the time of the next event; infinity for none.
 func (c *clock) next() float64 {
-	if len(c.heap) == 0 {
+	if len(c.events) == 0 {
 		return math.Inf(1)
 	}
-	return c.heap[0].at
+	return c.events[0].at
 }
 
-// step does the next thing.
+// step runs the next event.
 func (c *clock) step() {
-	h := c.heap
+	h := c.events
 	first := h[0]
 	last := len(h) - 1
-	h[0], h[last] = h[last], happening{}
+	h[0], h[last] = h[last], event{}
 	h = h[:last]
 	for i := 0; ; {
 		least := i
 		for _, down := range [2]int{2*i + 1, 2*i + 2} {
-			if down < last && before(&h[down], &h[least]) {
+			if down < last && precedes(&h[down], &h[least]) {
 				least = down
 			}
 		}
@@ -70,7 +73,7 @@
 		h[i], h[least] = h[least], h[i]
 		i = least
 	}
-	c.heap, c.now = h, first.at
-	c.done++
+	c.events, c.now = h, first.at
+	c.executed++
 	first.do()
 }
--- a/internal/emulate/compare.go
+++ b/internal/emulate/compare.go
@@ -1,75 +1,21 @@
 package emulate
 
 import (
-	"context"
-	"errors"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
-	"sync"
 
 	"gonum.org/v1/gonum/stat"
 )
 
-// Variant is a scenario with some of its figures set anew.
+// Variant is a scenario with some of its fields overridden.
 type Variant struct {
-	Name string
-	Sets []string // see Load
+	Name      string
+	Overrides []string // see Load
 }
 
-// Job is one run to be played.
-type Job struct {
-	Scenario *Scenario
-	Variant  string
-	Seed     uint64
-}
-
-// Play plays runs, so many at once, and gives their results in the order of the jobs. Each is told as it ends, from one goroutine at
-// a time; heard may be nil. It stops at the first error or when ctx ends.
-func Play(ctx context.Context, jobs []Job, atOnce int, heard func(*Result)) ([]*Result, error) {
-	results, errs := make([]*Result, len(jobs)), make([]error, len(jobs))
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	next := make(chan int)
-	var mu sync.Mutex
-	var workers sync.WaitGroup
-	for range max(min(atOnce, len(jobs)), 1) {
-		workers.Go(func() {
-			for i := range next {
-				r, err := RunUntil(ctx, jobs[i].Scenario, jobs[i].Seed)
-				if err != nil {
-					errs[i] = err
-					stop()
-					continue
-				}
-				r.Variant = jobs[i].Variant
-				results[i] = r
-				if heard != nil {
-					mu.Lock()
-					heard(r)
-					mu.Unlock()
-				}
-			}
-		})
-	}
-	for i := range jobs {
-		if ctx.Err() != nil {
-			break
-		}
-		next <- i
-	}
-	close(next)
-	workers.Wait()
-	for _, err := range errs {
-		if err != nil && !errors.Is(err, context.Canceled) {
-			return nil, err
-		}
-	}
-	return results, ctx.Err()
-}
-
-// Metric is a figure of a result.
+// Metric is a value of a result.
 type Metric struct {
 	Name   string
 	Unit   string
@@ -77,7 +23,7 @@
 	Of     func(*Result) float64
 }
 
-// Metrics are what a comparison tells.
+// Metrics returns the metrics of a comparison.
 func Metrics() []Metric {
 	lost := func(pick func(*ClassResult) int) func(*Result) float64 {
 		return func(r *Result) float64 {
@@ -90,7 +36,7 @@
 	}
 	return []Metric{
 		{"served worth", "share", 1, func(r *Result) float64 { return r.Share }},
-		{"worst 5 s", "share", 1, func(r *Result) float64 { return r.Worst(5) }},
+		{"worst 5 s", "share", 1, func(r *Result) float64 { return r.WorstShare(5) }},
 		{"refused", "share", -1, lost(func(c *ClassResult) int { return c.Refused })},
 		{"failed or left", "share", -1, lost(func(c *ClassResult) int { return c.Failed + c.GaveUp })},
 		{"late", "share", -1, lost(func(c *ClassResult) int { return c.Late })},
@@ -98,32 +44,12 @@
 		{"p99", "ms", -1, func(r *Result) float64 { return r.P99 }},
 		{"attempts a request", "", -1, func(r *Result) float64 { return r.PerRequest }},
 		{"connections opened", "", -1, func(r *Result) float64 { return float64(r.Connections) }},
-		{"rules broken", "", -1, func(r *Result) float64 { return float64(r.BreakCount) }},
-		{"cold servers pushed over", "", -1, func(r *Result) float64 { return float64(r.Falls) }},
-	}
-}
-
-// Worst is the least share of the worth that was earned over so many seconds in a row. What is earned is counted when it is, so a
-// share can pass 1 as retries come back.
-func (r *Result) Worst(seconds int) float64 {
-	worst := math.Inf(1)
-	for i := 0; i+seconds <= len(r.Course); i++ {
-		asked, earned := 0.0, 0.0
-		for _, s := range r.Course[i : i+seconds] {
-			asked += s.Worth
-			earned += s.Earned
-		}
-		if asked > 0 {
-			worst = min(worst, earned/asked)
-		}
-	}
-	if math.IsInf(worst, 1) {
-		return r.Share
+		{"rules broken", "", -1, func(r *Result) float64 { return float64(r.ViolationCount) }},
+		{"cold servers pushed over", "", -1, func(r *Result) float64 { return float64(r.Overloads) }},
 	}
-	return worst
 }
 
-// Difference is that of one metric between a variant and the one it is compared with, over the seeds that both have.
+// Difference is the difference of a metric between a variant and its base, over the seeds that both have.
 type Difference struct {
 	Metric  string  `json:"metric"`
 	Unit    string  `json:"unit"`
@@ -133,18 +59,19 @@
 	Low     float64 `json:"low"` // of the interval that holds the mean difference with 95% confidence
 	High    float64 `json:"high"`
 	Seeds   int     `json:"seeds"`
-	Verdict string  `json:"verdict"` // better, worse or not told apart
+	Verdict string  `json:"verdict"` // better, worse or no difference that can be shown
 }
 
-// notTold is the verdict where the interval holds 0: the seeds do not tell the variants apart.
-const notTold = "not told apart"
+// notDistinguished is the verdict if the interval contains 0.
+const notDistinguished = "not told apart"
 
+// Parameters of the bootstrap.
 const (
 	resamples  = 10_000
 	confidence = 0.95
 )
 
-// Compare tells how results differ, pair by pair of equal seeds. Both have to be of one scenario.
+// Compare compares results of one scenario, pair by pair of equal seeds.
 func Compare(base, other []*Result) ([]Difference, error) {
 	type pair struct{ a, b *Result }
 	bySeed := map[uint64]*Result{}
@@ -184,17 +111,18 @@
 	return out, nil
 }
 
+// verdict says whether an interval is better or worse.
 func verdict(low, high float64, better int) string {
 	switch {
 	case low <= 0 && high >= 0:
-		return notTold
+		return notDistinguished
 	case (low > 0) == (better > 0):
 		return "better"
 	}
 	return "worse"
 }
 
-// bootstrap is the interval of the mean by percentiles of resamples (Efron and Tibshirani). The draws are always the same.
+// bootstrap returns the percentile interval of the mean (Efron and Tibshirani). Its draws are always the same.
 func bootstrap(d []float64) (low, high float64) {
 	r := rand.New(rand.NewPCG(1, uint64(len(d))))
 	means := make([]float64, resamples)
--- a/internal/emulate/compare_test.go
+++ b/internal/emulate/compare_test.go
@@ -32,7 +32,7 @@
 		noisy = append(noisy, &Result{Seed: seed, Share: share + 0.1*(r.Float64()-0.5), P95: 100})
 	}
 	same, err := Compare(a, a)
-	if err != nil || figure(t, same, "served worth").Verdict != notTold || figure(t, same, "p95").Mean != 0 {
+	if err != nil || figure(t, same, "served worth").Verdict != notDistinguished || figure(t, same, "p95").Mean != 0 {
 		t.Errorf("%+v, %v", same, err)
 	}
 	d, err := Compare(a, b)
@@ -45,7 +45,7 @@
 	if s := figure(t, d, "p95"); s.Verdict != "worse" || s.Mean != 20 {
 		t.Errorf("%+v", s)
 	}
-	if d, err = Compare(a, noisy); err != nil || figure(t, d, "served worth").Verdict != notTold {
+	if d, err = Compare(a, noisy); err != nil || figure(t, d, "served worth").Verdict != notDistinguished {
 		t.Errorf("%+v, %v", d, err)
 	}
 	again, _ := Compare(a, noisy)
@@ -75,7 +75,7 @@
 		}
 	}
 	heard := 0
-	results, err := Play(t.Context(), jobs, 3, func(*Result) { heard++ })
+	results, err := RunAll(t.Context(), jobs, 3, func(*Result) { heard++ })
 	if err != nil || heard != 8 {
 		t.Fatal(err, heard)
 	}
@@ -98,13 +98,13 @@
 	sc := load(t, "../../deploy/scenarios/calm.toml", "for=600s")
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	if _, err := Play(ctx, []Job{{sc, "", 1}, {sc, "", 2}}, 2, nil); !errors.Is(err, context.Canceled) {
+	if _, err := RunAll(ctx, []Job{{sc, "", 1}, {sc, "", 2}}, 2, nil); !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
 	bad := *load(t, "../../deploy/scenarios/calm.toml")
 	bad.Pool.Classes = nil
 	bad.Work = nil
-	if _, err := Play(t.Context(), []Job{{&bad, "", 1}, {sc, "", 2}}, 1, nil); err == nil {
+	if _, err := RunAll(t.Context(), []Job{{&bad, "", 1}, {sc, "", 2}}, 1, nil); err == nil {
 		t.Error("a pool without classes is played")
 	}
 }
--- /dev/null
+++ b/internal/emulate/discovery.go
@@ -0,0 +1,175 @@
+package emulate
+
+import (
+	"maps"
+	"slices"
+
+	"milletmast/balancer"
+	"milletmast/internal/rules"
+	"milletmast/internal/subset"
+)
+
+// discoveryState is the present list of discovery.
+type discoveryState struct {
+	entries map[uint32]balancer.ServerEntry
+	listed  []uint32 // those that are listed
+	changes []uint32 // servers, as they changed
+	ring    subset.Ring
+}
+
+// setListed changes the state of a server in the list. Sidecars get the change after their delays.
+func (w *simulation) setListed(s *server, st balancer.ServerState) {
+	t := &w.discovery
+	e := balancer.ServerEntry{Server: s.id, Zone: s.zone, Cell: s.cell, State: st, Weight: 1, Started: max(s.started, 0)}
+	old, listed := t.entries[s.id]
+	if listed && old == e || !listed && st == balancer.Gone {
+		return
+	}
+	t.entries[s.id] = e
+	switch {
+	case st == balancer.Gone:
+		if i := slices.Index(t.listed, s.id); i >= 0 {
+			t.listed = slices.Delete(t.listed, i, i+1)
+		}
+	case !listed || old.State == balancer.Gone:
+		t.listed = append(t.listed, s.id)
+	}
+	if st == balancer.Ready {
+		t.ring.Add(w.serverName(s.id), int(s.zone))
+	} else {
+		t.ring.Remove(w.serverName(s.id))
+	}
+	t.changes = append(t.changes, s.id)
+	for _, h := range w.sidecars {
+		if h.up && !h.listPending && h.listPosition >= 0 {
+			h.listPending = true
+			h.later(w.listDelay(h), h.applyChanges)
+		}
+	}
+}
+
+// entryOf returns the entry of a server for the module, with the overrides of operators.
+func (h *sidecar) entryOf(id uint32) balancer.ServerEntry {
+	e := h.sim.discovery.entries[id]
+	e.Started = h.overrides.StartTime(h.sim.serverName(id), e.Started)
+	if h.overrides.IsHeld(h.sim.serverName(id)) && e.State == balancer.Ready {
+		e.State = balancer.Draining
+	}
+	return e
+}
+
+// applyFullList gives the module the whole list, or the subset of this sidecar.
+func (h *sidecar) applyFullList(kind balancer.ListKind) {
+	ids := h.sim.discovery.listed
+	if h.sizer != nil {
+		ids = h.chooseSubset()
+	}
+	ev := balancer.Event{Kind: balancer.EvList, List: kind}
+	for _, id := range ids {
+		ev.Servers = append(ev.Servers, h.entryOf(id))
+	}
+	h.applyList(&ev)
+}
+
+// applyList gives the module a list, and records for the rules what the sidecar knows from now on.
+func (h *sidecar) applyList(ev *balancer.Event) {
+	w := h.sim
+	if ev.List != balancer.ListDelta {
+		named := make(map[uint32]bool, len(ev.Servers))
+		for _, e := range ev.Servers {
+			named[e.Server] = true
+		}
+		for _, id := range slices.Sorted(maps.Keys(h.known)) {
+			if !named[id] {
+				delete(h.known, id)
+				w.record(&rules.Fact{Kind: rules.ServerListed, Copy: h.copyID(), Server: id})
+			}
+		}
+	}
+	for _, e := range ev.Servers {
+		if e.State == balancer.Gone {
+			delete(h.known, e.Server)
+		} else {
+			h.known[e.Server] = e
+		}
+		w.record(&rules.Fact{Kind: rules.ServerListed, Copy: h.copyID(), Server: e.Server, Serves: e.State == balancer.Ready})
+	}
+	if h.sizer != nil {
+		ev.Copies = max(1, (h.sizer.Replicas*len(h.known)+w.discovery.ring.Len()/2)/max(w.discovery.ring.Len(), 1))
+	}
+	h.usable = 0
+	for _, e := range h.known {
+		if e.State == balancer.Ready {
+			h.usable++
+		}
+	}
+	w.result.lists++
+	h.handle(ev)
+}
+
+// chooseSubset returns the subset by the present list of discovery, with servers that drain and are known.
+func (h *sidecar) chooseSubset() []uint32 {
+	t := &h.sim.discovery
+	mine := t.ring.Select(h.sizer.Current(t.ring.Len()))
+	var ids []uint32
+	for _, id := range t.listed {
+		if _, knows := h.known[id]; mine[h.sim.serverName(id)] || knows && t.entries[id].State == balancer.Draining {
+			ids = append(ids, id)
+		}
+	}
+	return ids
+}
+
+// applyChanges gives the module the changes of the list since the last ones.
+func (h *sidecar) applyChanges() {
+	t := &h.sim.discovery
+	h.listPending = false
+	if h.listBlocks > 0 || h.listPosition < 0 || h.listPosition >= len(t.changes) {
+		return
+	}
+	if h.sizer != nil {
+		h.listPosition = len(t.changes)
+		h.refreshSubset()
+		return
+	}
+	ev := balancer.Event{Kind: balancer.EvList, List: balancer.ListDelta}
+	seen := map[uint32]bool{}
+	for _, id := range t.changes[h.listPosition:] {
+		if !seen[id] {
+			seen[id] = true
+			ev.Servers = append(ev.Servers, h.entryOf(id))
+		}
+	}
+	h.listPosition = len(t.changes)
+	h.applyList(&ev)
+}
+
+// refreshSubset gives the module the difference between its subset and what it knows.
+func (h *sidecar) refreshSubset() {
+	ev := balancer.Event{Kind: balancer.EvList, List: balancer.ListDelta}
+	want := map[uint32]bool{}
+	for _, id := range h.chooseSubset() {
+		want[id] = true
+		if e := h.entryOf(id); h.known[id] != e {
+			ev.Servers = append(ev.Servers, e)
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(h.known)) {
+		if !want[id] {
+			ev.Servers = append(ev.Servers, balancer.ServerEntry{Server: id, State: balancer.Gone})
+		}
+	}
+	if len(ev.Servers) > 0 {
+		h.applyList(&ev)
+	}
+}
+
+// updateSubset has the subset grow while too few of its servers are usable, and schedules itself.
+func (h *sidecar) updateSubset() {
+	t := &h.sim.discovery
+	usable := max(h.usable-h.balancer.Cuts(), 0)
+	if h.sizer.Update(h.sim.wallTime(), len(h.known), t.ring.Len(), usable) && h.listPosition >= 0 && h.listBlocks == 0 {
+		h.refreshSubset()
+	}
+	h.later(subsetInterval, h.updateSubset)
+}
--- a/internal/emulate/fault.go
+++ b/internal/emulate/fault.go
@@ -1,167 +1,147 @@
 package emulate
 
 import (
-	"math"
 	"math/rand/v2"
 
-	"whinknot"
+	"milletmast/balancer"
 )
 
-// befall has a fault begin now.
-func (w *world) befall(f *Fault, r *rand.Rand) {
+// startFault starts a fault.
+func (w *simulation) startFault(f *Fault, r *rand.Rand) {
 	span := f.For.MS()
 	after := func(do func()) { w.clock.after(span, do) }
 	switch f.Kind {
 	case faultSlow:
-		for _, s := range w.struck(f, r) {
-			s.slowed *= f.Speed
-			after(func() { s.slowed /= f.Speed })
+		for _, s := range w.chooseServers(f, r) {
+			s.speedFactor *= f.Speed
+			after(func() { s.speedFactor /= f.Speed })
 		}
 	case faultFailing:
-		for _, s := range w.struck(f, r) {
-			s.failing = f.Part
-			after(func() { s.failing = 0 })
+		for _, s := range w.chooseServers(f, r) {
+			s.failureShare = f.Part
+			after(func() { s.failureShare = 0 })
 		}
 	case faultSilent:
-		for _, s := range w.struck(f, r) {
-			if s.state != serves {
+		for _, s := range w.chooseServers(f, r) {
+			if s.state != serving {
 				continue
 			}
 			s.state = silent
 			after(func() {
 				if s.state == silent {
-					s.state = serves
+					s.state = serving
 					s.next()
 				}
 			})
 		}
 	case faultCrash:
-		for _, s := range w.struck(f, r) {
-			w.crash(s, true)
-			after(func() { w.back(s) })
+		for _, s := range w.chooseServers(f, r) {
+			w.crashServer(s, true)
+			after(func() { w.restartServer(s) })
 		}
 	case faultReplace:
-		w.replace(w.struck(f, r), f)
+		w.replaceServers(w.chooseServers(f, r), f)
 	case faultZone:
 		w.loseZone(f)
 	case faultCut:
 		w.cutZone(f, 1)
 		after(func() { w.cutZone(f, -1) })
 	case faultRestart:
-		w.restart(w.hit(f, r), f)
+		w.restartSidecars(w.chooseSidecars(f, r), f)
 	case faultStall:
-		for _, h := range w.hit(f, r) {
+		for _, h := range w.chooseSidecars(f, r) {
 			h.stalled = max(h.stalled, w.now()+span)
 		}
 	case faultDeaf:
-		for _, h := range w.hit(f, r) {
-			h.deaf++
+		for _, h := range w.chooseSidecars(f, r) {
+			h.listBlocks++
 			after(func() {
-				h.deaf--
-				h.run(h.life, h.hear)
+				h.listBlocks--
+				h.run(h.starts, h.applyChanges)
 			})
 		}
 	case faultShort:
-		w.cutShort(f, r)
+		w.omitFromLists(f, r)
 	case faultHold:
-		w.holdOut(w.struck(f, r), f)
+		w.holdServers(w.chooseServers(f, r), f)
 	}
 }
 
-// Number is how many of n a fault befalls.
-func (f *Fault) Number(n int) int {
-	switch {
-	case f.Count > 0:
-		return min(f.Count, n)
-	case f.Share > 0:
-		return int(math.Round(f.Share * float64(n)))
-	}
-	return n // of the zone all
-}
-
-// struck are the servers that a fault befalls, in an order by chance.
-func (w *world) struck(f *Fault, r *rand.Rand) []*server {
+// chooseServers draws the servers of a fault, in a random order.
+func (w *simulation) chooseServers(f *Fault, r *rand.Rand) []*server {
 	var all, out []*server
 	for _, s := range w.servers {
-		if f.Zone == "" || w.zone(int(s.zone)) == f.Zone {
+		if f.Zone == "" || w.zoneName(int(s.zone)) == f.Zone {
 			all = append(all, s)
 		}
 	}
-	for _, i := range shuffled(r, len(all), f.Number(len(all))) {
+	for _, i := range drawSome(r, len(all), f.Number(len(all))) {
 		out = append(out, all[i])
 	}
 	return out
 }
 
-// hit are the copies that a fault befalls.
-func (w *world) hit(f *Fault, r *rand.Rand) []*host {
-	var all, out []*host
-	for _, h := range w.hosts {
-		if f.Zone == "" || w.zone(h.zone) == f.Zone {
+// chooseSidecars draws the sidecars of a fault, in a random order.
+func (w *simulation) chooseSidecars(f *Fault, r *rand.Rand) []*sidecar {
+	var all, out []*sidecar
+	for _, h := range w.sidecars {
+		if f.Zone == "" || w.zoneName(h.zone) == f.Zone {
 			all = append(all, h)
 		}
 	}
-	for _, i := range shuffled(r, len(all), f.Number(len(all))) {
+	for _, i := range drawSome(r, len(all), f.Number(len(all))) {
 		out = append(out, all[i])
 	}
 	return out
 }
 
-func (w *world) zone(i int) string {
-	if i < len(w.sc.Pool.Zones) {
-		return w.sc.Pool.Zones[i]
+// zoneName returns the name of a zone; "" without zones.
+func (w *simulation) zoneName(i int) string {
+	if i < len(w.scenario.Pool.Zones) {
+		return w.scenario.Pool.Zones[i]
 	}
 	return ""
 }
 
-// crash ends a server.
-func (w *world) crash(s *server, detect bool) {
-	if s.state == away {
-		return
-	}
-	s.crash()
-	w.ended(s, detect)
-}
-
-// inSteps does something for each of n, a part of them at each of so many even steps over a time.
-func (w *world) inSteps(n, steps int, span float64, do func(i int)) {
+// runInSteps calls do with each number below n, an equal share of them at each of so many steps over a time.
+func (w *simulation) runInSteps(n, steps int, span float64, do func(i int)) {
 	steps = max(min(steps, n), 1)
 	for i := range n {
 		w.clock.after(span*float64(i*steps/n)/float64(steps), func() { do(i) })
 	}
 }
 
-// replace drains servers and has others start cold in their place once they have ended.
-func (w *world) replace(old []*server, f *Fault) {
-	w.inSteps(len(old), f.Steps, f.For.MS(), func(i int) {
+// replaceServers drains servers, and adds others, cold, in their slots once they have ended.
+func (w *simulation) replaceServers(old []*server, f *Fault) {
+	w.runInSteps(len(old), f.Steps, f.For.MS(), func(i int) {
 		s := old[i]
-		if s.gone || w.servers[s.place] != s {
+		if s.replaced || w.servers[s.slot] != s {
 			return // replaced by another fault meanwhile
 		}
-		s.gone = true
-		w.list(s, whinknot.Draining)
+		s.replaced = true
+		w.setListed(s, balancer.Draining)
 		w.clock.after(f.Drain.MS(), func() {
-			w.crash(s, false)
-			w.list(s, whinknot.Gone)
-			w.addServer(s.place, w.now())
+			w.crashServer(s, false)
+			w.setListed(s, balancer.Gone)
+			w.addServer(s.slot, w.now())
 		})
 	})
 }
 
-// loseZone ends the servers and the copies of a zone; the servers come back cold, the copies as they start.
-func (w *world) loseZone(f *Fault) {
+// loseZone ends the servers and the sidecars of a zone. They start again at the end, the servers cold.
+func (w *simulation) loseZone(f *Fault) {
 	for _, s := range w.servers {
-		if w.zone(int(s.zone)) == f.Zone {
-			w.crash(s, true)
-			w.clock.after(f.For.MS(), func() { w.back(s) })
+		if w.zoneName(int(s.zone)) == f.Zone {
+			w.crashServer(s, true)
+			w.clock.after(f.For.MS(), func() { w.restartServer(s) })
 		}
 	}
-	for _, h := range w.hosts {
-		if w.zone(h.zone) == f.Zone && h.up {
-			h.die()
+	for _, h := range w.sidecars {
+		if w.zoneName(h.zone) == f.Zone && h.up {
+			h.kill()
 			w.clock.after(f.For.MS(), func() {
 				if !h.up {
-					h.boot()
+					h.start()
 				}
 			})
 		}
@@ -169,102 +149,119 @@
 }
 
 // cutZone cuts a zone off from the others, or joins it again.
-func (w *world) cutZone(f *Fault, by int) {
+func (w *simulation) cutZone(f *Fault, by int) {
 	for _, s := range w.servers {
-		if w.zone(int(s.zone)) == f.Zone {
-			s.cut += by
+		if w.zoneName(int(s.zone)) == f.Zone {
+			s.cutFaults += by
 		}
 	}
-	for _, h := range w.hosts {
-		if w.zone(h.zone) == f.Zone {
-			h.cut += by
+	for _, h := range w.sidecars {
+		if w.zoneName(h.zone) == f.Zone {
+			h.cutFaults += by
 		}
 	}
 }
 
-// restart ends copies and has them start again.
-func (w *world) restart(copies []*host, f *Fault) {
-	w.inSteps(len(copies), f.Steps, f.For.MS(), func(i int) {
+// restartSidecars ends sidecars and starts them again.
+func (w *simulation) restartSidecars(copies []*sidecar, f *Fault) {
+	w.runInSteps(len(copies), f.Steps, f.For.MS(), func(i int) {
 		h := copies[i]
-		h.end(f.Kill)
+		h.shutDown(f.Kill)
 		var again func()
 		again = func() {
 			if h.up { // it finishes what it has
 				w.clock.after(100, again)
 				return
 			}
-			h.boot()
+			h.start()
 		}
 		w.clock.after(f.Down.MS(), again)
 	})
 }
 
-// cutShort tells copies whole lists from which servers are missing, and at the end the true ones.
-func (w *world) cutShort(f *Fault, r *rand.Rand) {
+// omitFromLists gives sidecars full lists without some servers, and at the end the true ones.
+func (w *simulation) omitFromLists(f *Fault, r *rand.Rand) {
 	missing := map[uint32]bool{}
-	for _, s := range w.struck(f, r) {
+	for _, s := range w.chooseServers(f, r) {
 		missing[s.id] = true
 	}
-	for _, h := range w.hosts {
+	for _, h := range w.sidecars {
 		if !h.up {
 			continue
 		}
-		life := h.life
-		h.deaf++
+		life := h.starts
+		h.listBlocks++
 		h.run(life, func() {
-			ev := whinknot.Event{Kind: whinknot.EvList, List: whinknot.ListFull}
-			ids := w.truth.order
-			if h.keeper != nil {
-				ids = h.chosen()
+			ev := balancer.Event{Kind: balancer.EvList, List: balancer.ListFull}
+			ids := w.discovery.listed
+			if h.sizer != nil {
+				ids = h.chooseSubset()
 			}
 			for _, id := range ids {
 				if !missing[id] {
-					ev.Servers = append(ev.Servers, h.entry(id))
+					ev.Servers = append(ev.Servers, h.entryOf(id))
 				}
 			}
-			h.tell(&ev)
+			h.applyList(&ev)
 		})
 		w.clock.after(f.For.MS(), func() {
-			h.deaf--
-			h.run(h.life, func() {
-				if h.heard >= 0 {
-					h.heard = len(w.truth.changes)
-					h.tellAll(whinknot.ListFull)
+			h.listBlocks--
+			h.run(h.starts, func() {
+				if h.listPosition >= 0 {
+					h.listPosition = len(w.discovery.changes)
+					h.applyFullList(balancer.ListFull)
 				}
 			})
 		})
 	}
 }
 
-// holdOut has operators hold servers out at every copy, and release them at the end.
-func (w *world) holdOut(out []*server, f *Fault) {
+// holdServers has operators hold servers at every sidecar, and release them at the end.
+func (w *simulation) holdServers(out []*server, f *Fault) {
 	apply := func(hold bool) {
-		for _, h := range w.hosts {
-			for _, s := range out {
-				if hold {
-					set, err := h.held.Hold(w.name(s.id), w.now())
-					if err != nil {
-						w.fail(err)
-						return
-					}
-					h.held = set
-				} else {
-					h.held = h.held.Release(w.name(s.id), w.now())
-				}
+		for _, h := range w.sidecars {
+			if err := h.setHeld(out, hold); err != nil {
+				w.setError(err)
+				return
 			}
-			h.run(h.life, func() {
-				ev := whinknot.Event{Kind: whinknot.EvList, List: whinknot.ListDelta}
-				for _, s := range out {
-					if _, ok := h.known[s.id]; ok {
-						ev.Servers = append(ev.Servers, h.entry(s.id))
-					}
-				}
-				if len(ev.Servers) > 0 {
-					h.tell(&ev)
-				}
-			})
+			h.run(h.starts, func() { h.updateEntries(out) })
 		}
 	}
 	apply(true)
 	w.clock.after(f.For.MS(), func() { apply(false) })
 }
+
+// setHeld changes the overrides of the sidecar so that servers are held, or not any more.
+func (h *sidecar) setHeld(servers []*server, hold bool) error {
+	for _, s := range servers {
+		name, now := h.sim.serverName(s.id), h.sim.now()
+		if !hold {
+			h.overrides = h.overrides.Release(name, now)
+			continue
+		}
+		set, err := h.overrides.Hold(name, now)
+		if err != nil {
+			return err
+		}
+		h.overrides = set
+	}
+	return nil
+}
+
+// updateEntries gives the module the present entries of those of the servers that it knows.
+func (h *sidecar) updateEntries(servers []*server) {
+	ev := balancer.Event{Kind: balancer.EvList, List: balancer.ListDelta}
+	for _, s := range servers {
+		if _, ok := h.known[s.id]; ok {
+			ev.Servers = append(ev.Servers, h.entryOf(s.id))
+		}
+	}
+	if len(ev.Servers) > 0 {
+		h.applyList(&ev)
+	}
+}
+
+// drawSome draws some of n, in a random order.
+func drawSome(r *rand.Rand, n, most int) []int {
+	return r.Perm(n)[:min(n, most)]
+}
--- /dev/null
+++ b/internal/emulate/fleet.go
@@ -0,0 +1,76 @@
+package emulate
+
+import (
+	"fmt"
+	"time"
+
+	"milletmast/internal/loadshed"
+	"milletmast/internal/rules"
+)
+
+// summaryDelay is the time in ms from the summary of a sidecar to its handling by the others.
+const summaryDelay = 20.0
+
+// memberName returns the name of the sidecar as a member of the fleet.
+func (h *sidecar) memberName() string { return fmt.Sprint("c", h.rank) }
+
+// startFleetShedding starts load shedding with the other sidecars. All of them are members: their views are played over processes
+// only.
+func (h *sidecar) startFleetShedding() {
+	h.shedder = nil
+	w := h.sim
+	if !w.scenario.Copies.Allot {
+		return
+	}
+	worths := make([]float64, len(w.scenario.Pool.Classes))
+	for i, c := range w.scenario.Pool.Classes {
+		worths[i] = c.Worth
+	}
+	door, err := loadshed.NewShedder(loadshed.DefaultConfig(h.memberName(), worths))
+	if err != nil {
+		w.setError(err)
+		return
+	}
+	names := make([]string, 0, w.scenario.Copies.Count)
+	for k := range w.scenario.Copies.Count {
+		names = append(names, fmt.Sprint("c", k))
+	}
+	door.SetMembers(names)
+	h.shedder = door
+	every := float64(loadshed.Interval / time.Millisecond)
+	h.later(every*w.random.uniform(drawList, uint64(h.rank), h.starts<<33), h.exchangeSummaries)
+}
+
+// exchangeSummaries sends the summary of this sidecar to the others, and decides what is shed from now on.
+func (h *sidecar) exchangeSummaries() {
+	w := h.sim
+	memory := h.balancer.Export()
+	s := h.shedder.Update(h.starts, func(class int) float64 { return memory.Classes[class].Latency }, w.wallTime())
+	w.clock.after(summaryDelay, func() {
+		for _, o := range w.sidecars {
+			if o != h && o.up && o.shedder != nil && (o.zone == h.zone || o.cutFaults == 0 && h.cutFaults == 0) && o.stalled <= w.now() {
+				o.shedder.HandleSummary(s, w.wallTime())
+			}
+		}
+	})
+	h.later(float64(loadshed.Interval/time.Millisecond), h.exchangeSummaries)
+}
+
+// admitByFleet applies the decision of all sidecars to a call.
+func (h *sidecar) admitByFleet(c *call) {
+	if h.shedder == nil || c.event.Shed {
+		return
+	}
+	c.admittedByFleet = h.shedder.Admit(int(c.event.Class), c.try.Caller.Who)
+	c.event.Shed = !c.admittedByFleet
+}
+
+// recordFleetResult records the end of a call that was admitted.
+func (h *sidecar) recordFleetResult(c *call, answer rules.Answer) {
+	if h.shedder == nil || !c.admittedByFleet {
+		return
+	}
+	took := h.sim.now() - c.arrivedAt
+	inTime := answer == rules.Served && took <= h.sim.scenario.Pool.Classes[c.event.Class].Aim.MS()
+	h.shedder.RecordResult(int(c.event.Class), answer == rules.Refused, inTime)
+}
--- a/internal/emulate/model_test.go
+++ b/internal/emulate/model_test.go
@@ -10,17 +10,17 @@
 )
 
 // feed plays a Poisson process of work straight into a server, and gives the mean time that requests wait for a core.
-func feed(seed uint64, spec *Servers, rate float64, f shape, mean float64, n int) float64 {
+func feed(seed uint64, spec *ServerSpec, rate float64, f workShape, mean float64, n int) float64 {
 	c := &clock{}
-	s := &server{spec: spec, w: c, speed: 1, slowed: 1, started: -1, fell: func() {}}
-	r := streams(seed).of("feed")
+	s := &server{spec: spec, clock: c, speed: 1, speedFactor: 1, started: -1, onOverload: func() {}}
+	r := randomStreams(seed).stream("feed")
 	waited, counted, at := 0.0, 0, 0.0
 	for i := range n {
 		at += r.ExpFloat64() * 1000 / rate
 		work := mean * f(r.Float64())
-		c.at(at, func() {
+		c.schedule(at, func() {
 			came := c.now
-			s.offer(&job{work: work, done: func(jobOutcome) {
+			s.accept(&job{work: work, onEnd: func(jobOutcome) {
 				if i > n/10 {
 					waited += c.now - came - work
 					counted++
@@ -60,18 +60,18 @@
 		{"M/M/16 at 0.9", 16, 1440, "exponential", 0, erlangC(16, 14.4) * 10 / (16 * 0.1)},
 		{"M/D/1 at 0.6", 1, 60, "fixed", 0, 0.6 / 0.4 * 10 / 2},
 		{"M/G/1 lognormal at 0.6", 1, 60, "lognormal", 1.5, 0.6 / 0.4 * 10 * (1 + 1.5*1.5) / 2},
-		{"M/G/1 uniform at 0.5", 1, 50, "uniform", 0, 0.5 / 0.5 * 10 * (1 + 1./3) / 2},
+		{"M/G/1 uniform at 0.5", 1, 50, "uniform", 0, 0.5 / (1 - 0.5) * 10 * (1 + 1./3) / 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			f, ok := newShape(c.shape, c.deviation)
+			f, ok := newWorkShape(c.shape, c.deviation)
 			if !ok {
 				t.Fatal("no such shape")
 			}
 			const runs = 16
 			var means []float64
 			for i := range uint64(runs) {
-				means = append(means, feed(i+1, &Servers{Cores: c.cores, Queue: 1 << 30}, c.rate, f, 10, 30_000))
+				means = append(means, feed(i+1, &ServerSpec{Cores: c.cores, Queue: 1 << 30}, c.rate, f, 10, 30_000))
 			}
 			mean, deviation := stat.MeanStdDev(means, nil)
 			half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: runs - 1}.Quantile(0.9995) * deviation / math.Sqrt(runs)
@@ -85,37 +85,37 @@
 // A queue that is full answers so, and what its callers have left is not begun.
 func TestServerQueue(t *testing.T) {
 	c := &clock{}
-	s := &server{spec: &Servers{Cores: 1, Queue: 2}, w: c, speed: 1, slowed: 1, started: -1, fell: func() {}}
+	s := &server{spec: &ServerSpec{Cores: 1, Queue: 2}, clock: c, speed: 1, speedFactor: 1, started: -1, onOverload: func() {}}
 	var told []jobOutcome
 	var at []float64
 	jobs := make([]*job, 4)
 	for i := range jobs {
-		jobs[i] = &job{work: 10, done: func(o jobOutcome) { told, at = append(told, o), append(at, c.now) }}
-		s.offer(jobs[i])
+		jobs[i] = &job{work: 10, onEnd: func(o jobOutcome) { told, at = append(told, o), append(at, c.now) }}
+		s.accept(jobs[i])
 	}
-	jobs[1].gone = true
+	jobs[1].abandoned = true
 	for c.next() < math.Inf(1) {
 		c.step()
 	}
 	if !slices.Equal(told, []jobOutcome{jobFull, jobDone, jobDone}) || at[2] != 20 {
 		t.Errorf("told %v at %v", told, at)
 	}
-	if s.held() != 0 {
-		t.Errorf("%d are held", s.held())
+	if s.load() != 0 {
+		t.Errorf("%d are held", s.load())
 	}
 }
 
 // A server that ends loses what waits and what runs, once, and what ran then does not come back when it serves again.
 func TestServerEnds(t *testing.T) {
 	c := &clock{}
-	s := &server{spec: &Servers{Cores: 2, Queue: 9, ColdFrom: 0.5, Ramp: Duration(1e9)}, w: c, speed: 1, slowed: 1, started: -1, fell: func() {}}
+	s := &server{spec: &ServerSpec{Cores: 2, Queue: 9, ColdFrom: 0.5, Ramp: Duration(1e9)}, clock: c, speed: 1, speedFactor: 1, started: -1, onOverload: func() {}}
 	told := map[int][]jobOutcome{}
 	for i := range 5 {
-		s.offer(&job{work: 10, done: func(o jobOutcome) { told[i] = append(told[i], o) }})
+		s.accept(&job{work: 10, onEnd: func(o jobOutcome) { told[i] = append(told[i], o) }})
 	}
-	c.at(5, s.crash)
-	c.at(6, s.restart)
-	c.at(7, func() { s.offer(&job{work: 10, done: func(o jobOutcome) { told[5] = append(told[5], o) }}) })
+	c.schedule(5, s.crash)
+	c.schedule(6, s.restart)
+	c.schedule(7, func() { s.accept(&job{work: 10, onEnd: func(o jobOutcome) { told[5] = append(told[5], o) }}) })
 	for c.next() < math.Inf(1) {
 		c.step()
 	}
@@ -135,12 +135,12 @@
 	const n = 5000
 	var order []int
 	for i := range n {
-		c.at(float64(10-i%2*5), func() { order = append(order, i) })
+		c.schedule(float64(10-i%2*5), func() { order = append(order, i) })
 	}
-	c.at(7, func() {
-		c.at(3, func() { order = append(order, -1) })
+	c.schedule(7, func() {
+		c.schedule(3, func() { order = append(order, -1) })
 		c.after(math.NaN(), func() { order = append(order, -2) })
-		c.at(10, func() { order = append(order, n) })
+		c.schedule(10, func() { order = append(order, n) })
 	})
 	for c.next() < math.Inf(1) {
 		c.step()
@@ -161,7 +161,7 @@
 // The shapes of work have the mean 1.
 func TestShapes(t *testing.T) {
 	for _, name := range []string{"fixed", "exponential", "lognormal", "uniform"} {
-		f, _ := newShape(name, 1.2)
+		f, _ := newWorkShape(name, 1.2)
 		sum := 0.0
 		const n = 200_000
 		for i := range n {
--- a/internal/emulate/result.go
+++ b/internal/emulate/result.go
@@ -1,16 +1,15 @@
 package emulate
 
 import (
-	"context"
 	"fmt"
 	"math"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"whinknot/internal/rules"
+	"milletmast/internal/rules"
 )
 
-// Result is what came of a run. Counts are of requests that came after the warmup, with all their tries, unless a field says else.
+// Result is the result of a run. Counts are of requests after the warmup with all their tries, unless a field says otherwise.
 type Result struct {
 	Scenario string        `json:"scenario"`
 	Variant  string        `json:"variant,omitempty"`
@@ -18,7 +17,7 @@
 	Classes  []ClassResult `json:"classes"`
 	Asked    int           `json:"asked"`
 	Tries    int           `json:"tries"`
-	Worth    float64       `json:"worth"`  // asked for
+	Worth    float64       `json:"worth"`  // of the requests, whatever comes of them
 	Earned   float64       `json:"earned"` // answered in time, and of late answers the part that their class gives
 	Share    float64       `json:"share"`  // earned of worth
 	P50      float64       `json:"p50_ms"` // of answers, each from its try's beginning
@@ -26,31 +25,31 @@
 	P99      float64       `json:"p99_ms"`
 
 	// Of the whole run:
-	Attempts     int           `json:"attempts"`
-	PerRequest   float64       `json:"attempts_per_request"`
-	Connections  int           `json:"connections"` // opened
-	Lists        int           `json:"lists"`       // told to copies
-	Backstops    int           `json:"backstops"`   // calls that the module left unanswered
-	LevelChanges int           `json:"level_changes"`
-	Falls        int           `json:"falls"` // cold servers pushed over
-	Breaks       []string      `json:"breaks"`
-	BreakCount   int           `json:"break_count"`
-	Margins      rules.Margins `json:"margins"`
-	Little       Little        `json:"little"`
-	Course       []Second      `json:"course"`
-	Events       uint64        `json:"events"`
-	Hash         string        `json:"hash"` // of all facts in their order: equal for equal runs
+	Attempts       int           `json:"attempts"`
+	PerRequest     float64       `json:"attempts_per_request"`
+	Connections    int           `json:"connections"` // opened
+	Lists          int           `json:"lists"`       // given to sidecars
+	Backstops      int           `json:"backstops"`   // calls that the module left unanswered
+	LevelChanges   int           `json:"level_changes"`
+	Overloads      int           `json:"falls"` // cold servers pushed over
+	Violations     []string      `json:"breaks"`
+	ViolationCount int           `json:"break_count"`
+	Margins        rules.Margins `json:"margins"`
+	Little         LittlesLaw    `json:"little"`
+	Seconds        []Second      `json:"course"`
+	Events         uint64        `json:"events"`
+	Hash           string        `json:"hash"` // of all facts in their order: equal for equal runs
 
 	attempts, connections, lists, backstops, levelChanges int
 	start                                                 float64 // ms on the run's clock
-	spread                                                *hdrhistogram.Histogram
+	latencies                                             *hdrhistogram.Histogram
 	last                                                  float64
-	inside                                                int
-	waited                                                float64
+	open                                                  int
+	totalTime                                             float64
 	aims, worths, lates                                   []float64
 }
 
-// ClassResult is what came of the requests of one class, by how their last try ended.
+// ClassResult counts the requests of a class by the end of their last try.
 type ClassResult struct {
 	Name    string  `json:"name"`
 	Asked   int     `json:"asked"`
@@ -63,15 +62,15 @@
 	Earned  float64 `json:"earned"`
 }
 
-// Little is Little's law over the whole run: the mean number of tries inside is their rate times their mean time. Both sides are
-// counted apart, so a difference is a mistake of the emulator's.
-type Little struct {
+// LittlesLaw compares both sides of Little's law over the whole run: the mean number of open tries, and their rate times their mean
+// time. They are counted independently, so that a difference is an error of the emulator.
+type LittlesLaw struct {
 	Inside float64 `json:"inside"`
 	RateBy float64 `json:"rate_by_time"`
 	area   float64
 }
 
-// Second is what happened in one second of the run; also in the warmup.
+// Second counts one second of the run, also of the warmup.
 type Second struct {
 	At      float64 `json:"at_s"`
 	Tries   int     `json:"tries"`
@@ -82,7 +81,7 @@
 	Earned  float64 `json:"earned"`
 }
 
-// Try is one try of a caller's request, as results count it. Times are ms on the run's clock.
+// Try is one try of a request for a result. Times are in ms of the run.
 type Try struct {
 	At     float64
 	Class  int
@@ -90,9 +89,14 @@
 	Counts bool // it came after the warmup
 }
 
-// NewResult begins the count of a run that starts at a time.
+// maxLatency is the longest latency that is recorded, in µs.
+const maxLatency = 3_600_000_000
+
+// NewResult returns the result of a run that starts at a time.
 func NewResult(sc *Scenario, seed uint64, start float64) *Result {
-	r := &Result{Scenario: sc.Name, Seed: seed, start: start, last: start, spread: hdrhistogram.New(1, 3_600_000_000, 3), Breaks: []string{}}
+	r := &Result{
+		Scenario: sc.Name, Seed: seed, start: start, last: start, latencies: hdrhistogram.New(1, maxLatency, 3), Violations: []string{},
+	}
 	for _, c := range sc.Pool.Classes {
 		r.Classes = append(r.Classes, ClassResult{Name: c.Name})
 		r.aims, r.worths, r.lates = append(r.aims, c.Aim.MS()), append(r.worths, c.Worth), append(r.lates, c.Late)
@@ -100,25 +104,25 @@
 	return r
 }
 
-// second is that of a time.
+// second returns the second of a time.
 func (r *Result) second(at float64) *Second {
 	n := max(int((at-r.start)/1000), 0)
-	for len(r.Course) <= n {
-		r.Course = append(r.Course, Second{At: float64(len(r.Course))})
+	for len(r.Seconds) <= n {
+		r.Seconds = append(r.Seconds, Second{At: float64(len(r.Seconds))})
 	}
-	return &r.Course[n]
+	return &r.Seconds[n]
 }
 
-// area notes how long how many tries were inside.
-func (r *Result) area(now float64, change int) {
-	r.Little.area += float64(r.inside) * (now - r.last)
+// addOpenTime adds the time since the last change of the number of open tries, and changes that number.
+func (r *Result) addOpenTime(now float64, change int) {
+	r.Little.area += float64(r.open) * (now - r.last)
 	r.last = now
-	r.inside += change
+	r.open += change
 }
 
-// Came counts a try as it begins.
-func (r *Result) Came(q Try) {
-	r.area(q.At, 1)
+// RecordTry counts a try that starts.
+func (r *Result) RecordTry(q Try) {
+	r.addOpenTime(q.At, 1)
 	s := r.second(q.At)
 	s.Tries++
 	if q.Number == 1 {
@@ -135,11 +139,11 @@
 	}
 }
 
-// Settled counts a try as it ends; last tells that its caller does not ask again.
-func (r *Result) Settled(q Try, answer rules.Answer, now float64, last bool) {
-	r.area(now, -1)
+// RecordEnd counts a try that ends. Last says that its caller does not try again.
+func (r *Result) RecordEnd(q Try, answer rules.Answer, now float64, last bool) {
+	r.addOpenTime(now, -1)
 	took := now - q.At
-	r.waited += took
+	r.totalTime += took
 	s := r.second(now)
 	earned := 0.0
 	if answer == rules.Served {
@@ -160,7 +164,7 @@
 		return
 	}
 	if answer == rules.Served {
-		r.spread.RecordValue(max(int64(took*1000), 1))
+		_ = r.latencies.RecordValue(max(int64(took*1000), 1)) // fails over maxLatency: such a one is not counted
 	}
 	if !last {
 		return
@@ -181,8 +185,8 @@
 	}
 }
 
-// Sum sums up at the end of a run, from the figures of its whole time.
-func (r *Result) Sum(now float64, taken uint64, checker *rules.Checker) {
+// Summarize computes the totals at the end of a run.
+func (r *Result) Summarize(now float64, taken uint64, checker *rules.Checker) {
 	for i := range r.Classes {
 		c := &r.Classes[i]
 		r.Asked += c.Asked
@@ -190,42 +194,45 @@
 		r.Earned += c.Earned
 	}
 	r.Share = r.Earned / max(r.Worth, 1e-9)
-	at := func(q float64) float64 { return float64(r.spread.ValueAtQuantile(q)) / 1000 }
-	if r.spread.TotalCount() > 0 {
+	at := func(q float64) float64 { return float64(r.latencies.ValueAtQuantile(q)) / 1000 }
+	if r.latencies.TotalCount() > 0 {
 		r.P50, r.P95, r.P99 = at(50), at(95), at(99)
 	}
 	r.PerRequest = float64(r.Attempts) / math.Max(float64(taken), 1)
-	for _, b := range checker.Breaks {
+	for _, b := range checker.Violations {
 		b.At -= r.start
-		r.Breaks = append(r.Breaks, b.String())
+		r.Violations = append(r.Violations, b.String())
 	}
-	r.BreakCount, r.Margins = checker.Count, checker.Margins
-	r.area(now, 0)
+	r.ViolationCount, r.Margins = checker.ViolationCount, checker.Margins
+	r.addOpenTime(now, 0)
 	if span := now - r.start; span > 0 {
-		r.Little.Inside, r.Little.RateBy = r.Little.area/span, r.waited/span
+		r.Little.Inside, r.Little.RateBy = r.Little.area/span, r.totalTime/span
 	}
 }
 
-// finish sums up.
-func (r *Result) finish(w *world) {
+// finish computes the totals of an emulated run.
+func (r *Result) finish(w *simulation) {
 	r.Attempts, r.Connections, r.Lists, r.Backstops, r.LevelChanges = r.attempts, r.connections, r.lists, r.backstops, r.levelChanges
-	r.Sum(w.now(), w.taken, w.checker)
-	r.Events, r.Hash = w.clock.done, fmt.Sprintf("%016x", w.hash.Sum64())
+	r.Summarize(w.now(), w.requestCount, w.checker)
+	r.Events, r.Hash = w.clock.executed, fmt.Sprintf("%016x", w.hash.Sum64())
 }
 
-// Run plays a scenario from one seed. The same scenario and seed give the same result, whatever the machine.
-func Run(sc *Scenario, seed uint64) (*Result, error) { return RunUntil(context.Background(), sc, seed) }
-
-// RunUntil does so unless ctx ends before.
-func RunUntil(ctx context.Context, sc *Scenario, seed uint64) (*Result, error) {
-	w := newWorld(sc, seed)
-	w.stopped = func() bool { return ctx.Err() != nil }
-	w.play()
-	if err := ctx.Err(); err != nil {
-		return nil, err
+// WorstShare returns the least share of the worth that was earned over so many seconds in a row. Worth is earned when the response
+// comes, so that a share can exceed 1 when retries succeed.
+func (r *Result) WorstShare(seconds int) float64 {
+	worst := math.Inf(1)
+	for i := 0; i+seconds <= len(r.Seconds); i++ {
+		asked, earned := 0.0, 0.0
+		for _, s := range r.Seconds[i : i+seconds] {
+			asked += s.Worth
+			earned += s.Earned
+		}
+		if asked > 0 {
+			worst = min(worst, earned/asked)
+		}
 	}
-	if w.err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrScenario, w.err)
+	if math.IsInf(worst, 1) {
+		return r.Share
 	}
-	return w.result, nil
+	return worst
 }
--- a/internal/emulate/scenario_test.go
+++ b/internal/emulate/scenario_test.go
@@ -5,8 +5,6 @@
 	"os"
 	"strings"
 	"testing"
-
-	"whinknot/internal/operator"
 )
 
 const least = `for = "10s"
@@ -110,6 +108,5 @@
 				t.Errorf("taken: %+v", fault)
 			}
 		}
-		_ = operator.Pool(s.Pool)
 	})
 }
--- a/internal/emulate/world_test.go
+++ b/internal/emulate/world_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"whinknot"
-	"whinknot/internal/rules"
+	"milletmast/balancer"
+	"milletmast/internal/rules"
 )
 
 // kept are the scenarios that the repository keeps.
@@ -46,8 +46,8 @@
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			t.Parallel()
 			r := play(t, load(t, path, "for=22s", "demand.rate=1000"), 1)
-			if r.BreakCount > 0 || r.Falls > 0 {
-				t.Errorf("%d cold servers fell, breaks: %v", r.Falls, r.Breaks)
+			if r.ViolationCount > 0 || r.Overloads > 0 {
+				t.Errorf("%d cold servers fell, breaks: %v", r.Overloads, r.Violations)
 			}
 			sum := 0
 			for _, c := range r.Classes {
@@ -97,12 +97,12 @@
 	sc := load(t, "../../deploy/drills/moving-door.toml")
 	for seed := range uint64(3) {
 		r := play(t, sc, seed+1)
-		if r.BreakCount > 0 {
-			t.Errorf("seed %d: %v", seed+1, r.Breaks)
+		if r.ViolationCount > 0 {
+			t.Errorf("seed %d: %v", seed+1, r.Violations)
 		}
 		for _, from := range []int{5, 17, 24} { // each move and five seconds; all copies need no time
 			asked, earned := 0.0, 0.0
-			for _, s := range r.Course[from : from+6] {
+			for _, s := range r.Seconds[from : from+6] {
 				asked += s.Worth
 				earned += s.Earned
 			}
@@ -121,12 +121,12 @@
 	}
 	requests := func(overrides ...string) map[uint64]seen {
 		sc := load(t, "../../deploy/scenarios/slow.toml", append(overrides, "for=11s", "demand.rate=1000")...)
-		w := newWorld(sc, 3)
+		w := newSimulation(sc, 3)
 		out := map[uint64]seen{}
-		w.wrap = func(h *host, d decider) decider {
-			return wrapped{d, func(ev *whinknot.Event) {
-				if c := h.calls[ev.Request]; ev.Kind == whinknot.EvRequest && c.asked.try == 1 {
-					out[c.asked.Number] = seen{c.asked.at, c.asked.Work}
+		w.wrapModule = func(h *sidecar, d module) module {
+			return wrapped{d, func(ev *balancer.Event) {
+				if c := h.calls[ev.Request]; ev.Kind == balancer.EvRequest && c.try.number == 1 {
+					out[c.try.Number] = seen{c.try.at, c.try.Work}
 				}
 			}, nil}
 		}
@@ -146,16 +146,16 @@
 
 // wrapped is a module that hears, or does, something else.
 type wrapped struct {
-	decider
-	hears func(*whinknot.Event)
-	does  func(ev *whinknot.Event, actions []whinknot.Action) []whinknot.Action
+	module
+	hears func(*balancer.Event)
+	does  func(ev *balancer.Event, actions []balancer.Action) []balancer.Action
 }
 
-func (m wrapped) Handle(now float64, ev *whinknot.Event, actions []whinknot.Action) []whinknot.Action {
+func (m wrapped) Handle(now float64, ev *balancer.Event, actions []balancer.Action) []balancer.Action {
 	if m.hears != nil {
 		m.hears(ev)
 	}
-	actions = m.decider.Handle(now, ev, actions)
+	actions = m.module.Handle(now, ev, actions)
 	if m.does != nil {
 		actions = m.does(ev, actions)
 	}
@@ -164,99 +164,99 @@
 
 // A module that breaks a rule is found out, whichever rule it is.
 func TestPlantedBreaksAreFound(t *testing.T) {
-	send := func(q, server uint32, until float64) whinknot.Action {
-		return whinknot.Action{Kind: whinknot.ActSend, Request: q, Server: server, Until: until}
+	send := func(q, server uint32, until float64) balancer.Action {
+		return balancer.Action{Kind: balancer.ActSend, Request: q, Server: server, Until: until}
 	}
 	for _, c := range []struct {
 		name     string
 		scenario string
 		rule     int
 		says     string
-		does     func(h *host) func(*whinknot.Event, []whinknot.Action) []whinknot.Action
+		does     func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action
 	}{
-		{"two at once", "calm", 4, "beside one that is out", func(h *host) func(*whinknot.Event, []whinknot.Action) []whinknot.Action {
-			return func(_ *whinknot.Event, list []whinknot.Action) []whinknot.Action {
+		{"two at once", "calm", 4, "beside one that is out", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
+			return func(_ *balancer.Event, list []balancer.Action) []balancer.Action {
 				for _, a := range list {
-					if a.Kind == whinknot.ActSend && a.Request%50 == 0 {
+					if a.Kind == balancer.ActSend && a.Request%50 == 0 {
 						return append(list, send(a.Request, 1+a.Server%12, a.Until))
 					}
 				}
 				return list
 			}
 		}},
-		{"an unsafe one again", "short", 4, "unsafe request", func(h *host) func(*whinknot.Event, []whinknot.Action) []whinknot.Action {
-			return func(ev *whinknot.Event, list []whinknot.Action) []whinknot.Action {
+		{"an unsafe one again", "short", 4, "unsafe request", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
+			return func(ev *balancer.Event, list []balancer.Action) []balancer.Action {
 				c := h.calls[ev.Request]
-				if ev.Kind == whinknot.EvRequest && c.asked.Class == 1 { // its answer would be late: called off, and again
-					return append(list, whinknot.Action{Kind: whinknot.ActCancel, Request: ev.Request})
+				if ev.Kind == balancer.EvRequest && c.try.Class == 1 { // its answer would be late: called off, and again
+					return append(list, balancer.Action{Kind: balancer.ActCancel, Request: ev.Request})
 				}
-				if ev.Kind == whinknot.EvOutcome && ev.Outcome == whinknot.Cancelled && c != nil {
-					return []whinknot.Action{send(ev.Request, 1, h.w.now()+500)}
+				if ev.Kind == balancer.EvOutcome && ev.Outcome == balancer.Cancelled && c != nil {
+					return []balancer.Action{send(ev.Request, 1, h.sim.now()+500)}
 				}
 				return list
 			}
 		}},
-		{"refused though it may run", "calm", 4, "may have run", func(h *host) func(*whinknot.Event, []whinknot.Action) []whinknot.Action {
-			return func(_ *whinknot.Event, list []whinknot.Action) []whinknot.Action {
+		{"refused though it may run", "calm", 4, "may have run", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
+			return func(_ *balancer.Event, list []balancer.Action) []balancer.Action {
 				for _, a := range list {
-					if c := h.calls[a.Request]; a.Kind == whinknot.ActSend && c != nil && c.asked.Class == 1 {
-						return append(list, whinknot.Action{Kind: whinknot.ActRefuse, Request: a.Request})
+					if c := h.calls[a.Request]; a.Kind == balancer.ActSend && c != nil && c.try.Class == 1 {
+						return append(list, balancer.Action{Kind: balancer.ActRefuse, Request: a.Request})
 					}
 				}
 				return list
 			}
 		}},
-		{"after the answer", "calm", 1, "after the final answer", func(h *host) func(*whinknot.Event, []whinknot.Action) []whinknot.Action {
-			return func(_ *whinknot.Event, list []whinknot.Action) []whinknot.Action {
+		{"after the answer", "calm", 1, "after the final answer", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
+			return func(_ *balancer.Event, list []balancer.Action) []balancer.Action {
 				for _, a := range list {
-					if c := h.calls[a.Request]; a.Kind == whinknot.ActSend && c != nil && c.asked.Class == 0 {
-						return append(list, whinknot.Action{Kind: whinknot.ActFail, Request: a.Request}, send(a.Request, a.Server, a.Until))
+					if c := h.calls[a.Request]; a.Kind == balancer.ActSend && c != nil && c.try.Class == 0 {
+						return append(list, balancer.Action{Kind: balancer.ActFail, Request: a.Request}, send(a.Request, a.Server, a.Until))
 					}
 				}
 				return list
 			}
 		}},
-		{"to one that drains", "replace", 2, "takes nothing new", func(h *host) func(*whinknot.Event, []whinknot.Action) []whinknot.Action {
+		{"to one that drains", "replace", 2, "takes nothing new", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
 			left := uint32(0)
-			return func(ev *whinknot.Event, list []whinknot.Action) []whinknot.Action {
+			return func(ev *balancer.Event, list []balancer.Action) []balancer.Action {
 				for _, e := range ev.Servers {
-					if e.State == whinknot.Draining {
+					if e.State == balancer.Draining {
 						left = e.Server
 					}
 				}
 				for i := range list {
-					if list[i].Kind == whinknot.ActSend && left != 0 {
+					if list[i].Kind == balancer.ActSend && left != 0 {
 						list[i].Server = left
 					}
 				}
 				return list
 			}
 		}},
-		{"all to a cold one", "replace", 3, "the cold server", func(h *host) func(*whinknot.Event, []whinknot.Action) []whinknot.Action {
+		{"all to a cold one", "replace", 3, "the cold server", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
 			cold := uint32(0)
-			return func(ev *whinknot.Event, list []whinknot.Action) []whinknot.Action {
+			return func(ev *balancer.Event, list []balancer.Action) []balancer.Action {
 				for _, e := range ev.Servers {
 					if e.Started > 0 && cold == 0 {
 						cold = e.Server
 					}
 				}
 				for i := range list {
-					if list[i].Kind == whinknot.ActSend && cold != 0 {
+					if list[i].Kind == balancer.ActSend && cold != 0 {
 						list[i].Server = cold
 					}
 				}
 				return list
 			}
 		}},
-		{"too many", "calm", 4, "attempt 4 of 3", func(h *host) func(*whinknot.Event, []whinknot.Action) []whinknot.Action {
-			return func(ev *whinknot.Event, list []whinknot.Action) []whinknot.Action {
+		{"too many", "calm", 4, "attempt 4 of 3", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
+			return func(ev *balancer.Event, list []balancer.Action) []balancer.Action {
 				c := h.calls[ev.Request]
-				if c == nil || c.asked.Class != 0 || c.ended || len(c.attempts) > 4 {
+				if c == nil || c.try.Class != 0 || c.ended || len(c.attempts) > 4 {
 					return list
 				}
-				called := whinknot.Action{Kind: whinknot.ActCancel, Request: ev.Request, Attempt: uint16(len(c.attempts))}
-				if ev.Kind == whinknot.EvOutcome {
-					return []whinknot.Action{send(ev.Request, 1, h.w.now()+500), called}
+				called := balancer.Action{Kind: balancer.ActCancel, Request: ev.Request, Attempt: uint16(len(c.attempts))}
+				if ev.Kind == balancer.EvOutcome {
+					return []balancer.Action{send(ev.Request, 1, h.sim.now()+500), called}
 				}
 				return append(list, called)
 			}
@@ -264,18 +264,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(load(t, "../../deploy/scenarios/"+c.scenario+".toml", "for=20s"), 5)
-			w.wrap = func(h *host, d decider) decider { return wrapped{d, nil, c.does(h)} }
+			w := newSimulation(load(t, "../../deploy/scenarios/"+c.scenario+".toml", "for=20s"), 5)
+			w.wrapModule = func(h *sidecar, d module) module { return wrapped{d, nil, c.does(h)} }
 			w.play()
 			found := false
-			for _, b := range w.checker.Breaks {
+			for _, b := range w.checker.Violations {
 				found = found || b.Rule == c.rule && strings.Contains(b.Text, c.says)
 			}
 			if !found {
-				t.Errorf("%d breaks, none of rule %d that says %q: %v", w.checker.Count, c.rule, c.says, w.result.Breaks[:min(3, len(w.result.Breaks))])
+				t.Errorf("%d breaks, none of rule %d that says %q: %v", w.checker.ViolationCount, c.rule, c.says, w.result.Violations[:min(3, len(w.result.Violations))])
 			}
-			if len(w.result.Breaks) > 0 && !strings.Contains(w.result.Breaks[0], "request ") {
-				t.Errorf("%q names no request", w.result.Breaks[0])
+			if len(w.result.Violations) > 0 && !strings.Contains(w.result.Violations[0], "request ") {
+				t.Errorf("%q names no request", w.result.Violations[0])
 			}
 		})
 	}
@@ -283,11 +283,11 @@
 
 // A module that never asks to be woken leaves calls unanswered: the host answers them in time, and no rule breaks.
 func TestModuleThatIsNeverWoken(t *testing.T) {
-	w := newWorld(load(t, "../../deploy/scenarios/calm.toml", "for=12s", "demand.rate=2500"), 5)
-	w.wrap = func(h *host, d decider) decider {
-		return wrapped{d, nil, func(_ *whinknot.Event, list []whinknot.Action) (kept []whinknot.Action) {
+	w := newSimulation(load(t, "../../deploy/scenarios/calm.toml", "for=12s", "demand.rate=2500"), 5)
+	w.wrapModule = func(h *sidecar, d module) module {
+		return wrapped{d, nil, func(_ *balancer.Event, list []balancer.Action) (kept []balancer.Action) {
 			for _, a := range list {
-				if a.Kind != whinknot.ActTimer && a.Kind != whinknot.ActRefuse && a.Kind != whinknot.ActFail {
+				if a.Kind != balancer.ActTimer && a.Kind != balancer.ActRefuse && a.Kind != balancer.ActFail {
 					kept = append(kept, a)
 				}
 			}
@@ -295,11 +295,11 @@
 		}}
 	}
 	w.play()
-	if w.result.Backstops == 0 || w.result.BreakCount > 0 {
-		t.Errorf("%d answered by the hosts, breaks: %v", w.result.Backstops, w.result.Breaks)
+	if w.result.Backstops == 0 || w.result.ViolationCount > 0 {
+		t.Errorf("%d answered by the hosts, breaks: %v", w.result.Backstops, w.result.Violations)
 	}
-	if w.pending != 0 {
-		t.Errorf("%d requests have no end", w.pending)
+	if w.pendingTries != 0 {
+		t.Errorf("%d requests have no end", w.pendingTries)
 	}
 }
 
@@ -307,20 +307,20 @@
 func TestColdRampTwice(t *testing.T) {
 	sc := load(t, "../../deploy/scenarios/calm.toml", "for=14s", "servers.ramp=6s", "pool.ramp=6s", "discovery.detect=100ms",
 		`fault=[{kind="crash", at="2s", for="1s", count=4}, {kind="crash", at="5s", for="1s", share=1.0}]`)
-	w := newWorld(sc, 2)
+	w := newSimulation(sc, 2)
 	var at []float64
-	w.clock.at(epoch+5900, func() {
+	w.clock.schedule(epoch+5900, func() {
 		for _, s := range w.servers {
-			if s.state != away {
+			if s.state != down {
 				t.Errorf("server %d is not away", s.id)
 			}
 		}
 	})
 	for _, ms := range []float64{4500, 6100} {
-		w.clock.at(epoch+ms, func() {
+		w.clock.schedule(epoch+ms, func() {
 			cold := 0
 			for _, s := range w.servers {
-				if s.cold() {
+				if s.isCold() {
 					cold++
 					at = append(at, s.warmth())
 				}
@@ -334,18 +334,18 @@
 	if len(at) != 16 || at[0] < 0.4 || at[15] > 0.35 {
 		t.Errorf("warmths %v", at)
 	}
-	if w.result.BreakCount > 0 {
-		t.Error(w.result.Breaks)
+	if w.result.ViolationCount > 0 {
+		t.Error(w.result.Violations)
 	}
 }
 
 // With subsets, servers that cannot be dealt out evenly to zones are all sent to.
 func TestSubsetsReachAllServers(t *testing.T) {
 	sc := load(t, "../../deploy/scenarios/calm.toml", "for=12s", "servers.count=31", "copies.count=20", "pool.subset=5", "demand.rate=600")
-	w := newWorld(sc, 1)
+	w := newSimulation(sc, 1)
 	known := map[uint32]int{}
-	w.wrap = func(h *host, d decider) decider {
-		return wrapped{d, func(ev *whinknot.Event) {
+	w.wrapModule = func(h *sidecar, d module) module {
+		return wrapped{d, func(ev *balancer.Event) {
 			for _, e := range ev.Servers {
 				known[e.Server]++
 			}
@@ -355,13 +355,13 @@
 	if len(known) != 31 || w.result.Share < 0.95 {
 		t.Errorf("%d of 31 servers are known, share %v", len(known), w.result.Share)
 	}
-	for _, h := range w.hosts {
+	for _, h := range w.sidecars {
 		if len(h.known) >= 31 || len(h.known) < 5 {
 			t.Errorf("copy %d knows %d servers", h.rank, len(h.known))
 		}
 	}
-	if w.result.BreakCount > 0 {
-		t.Error(w.result.Breaks)
+	if w.result.ViolationCount > 0 {
+		t.Error(w.result.Violations)
 	}
 }
 
@@ -370,17 +370,17 @@
 	for retries, most := range map[int]int{0: 4, 1: 2, 2: 3} {
 		sc := load(t, "../../deploy/scenarios/failing.toml", "for=14s", "demand.rate=500", "pool.attempts=4", fmt.Sprintf("copies.retries=%d", retries),
 			`fault=[{kind="failing", at="1s", for="13s", share=0.8}]`)
-		w := newWorld(sc, 1)
+		w := newSimulation(sc, 1)
 		sent, seen := map[uint64]int{}, 0
-		w.heard = func(f *rules.Fact) {
-			if f.Kind == rules.Sent {
+		w.onFact = func(f *rules.Fact) {
+			if f.Kind == rules.AttemptSent {
 				sent[f.Request]++
 				seen = max(seen, sent[f.Request])
 			}
 		}
 		w.play()
-		if seen != most || w.result.BreakCount > 0 {
-			t.Errorf("%d retries: up to %d attempts, want %d; breaks %v", retries, seen, most, w.result.Breaks)
+		if seen != most || w.result.ViolationCount > 0 {
+			t.Errorf("%d retries: up to %d attempts, want %d; breaks %v", retries, seen, most, w.result.Violations)
 		}
 	}
 }
@@ -397,14 +397,14 @@
 	replaced := `fault=[{kind="restart", at="10s", share=1.0, kill=true, down="3s"}, {kind="crash", at="10s", for="1s", share=1.0}]`
 	var shares [4]float64
 	for i, more := range [][]string{nil, {"copies.keep=2s"}, {replaced}, {replaced, "copies.keep=2s"}} {
-		results, err := Play(t.Context(), jobs(more...), 4, nil)
+		results, err := RunAll(t.Context(), jobs(more...), 4, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, r := range results {
 			shares[i] += r.Share / 4
-			if r.BreakCount > 0 || r.Falls > 0 {
-				t.Errorf("%v: %d fell, %v", more, r.Falls, r.Breaks)
+			if r.ViolationCount > 0 || r.Overloads > 0 {
+				t.Errorf("%v: %d fell, %v", more, r.Overloads, r.Violations)
 			}
 		}
 	}
@@ -431,8 +431,8 @@
 				`pool.level=[{name="lean", enter=[{signal="wait", over=0.05}], shed=[{class="browse"}]}]`, "callers.0.leave=0.02")
 			for seed := range uint64(2) {
 				r := play(t, sc, seed)
-				if r.BreakCount > 0 {
-					t.Errorf("seed %d: %v", seed, r.Breaks[:min(len(r.Breaks), 3)])
+				if r.ViolationCount > 0 {
+					t.Errorf("seed %d: %v", seed, r.Violations[:min(len(r.Violations), 3)])
 				}
 				if r.Earned == 0 {
 					t.Error("nothing was served")
@@ -461,8 +461,8 @@
 		return r
 	}
 	alone, together, again := play("false"), play("true"), play("true")
-	if together.Share < 0.84 || together.Share < alone.Share+0.25 || together.BreakCount > 0 {
-		t.Errorf("served %.3f of the worth, %.3f alone; %d breaks", together.Share, alone.Share, together.BreakCount)
+	if together.Share < 0.84 || together.Share < alone.Share+0.25 || together.ViolationCount > 0 {
+		t.Errorf("served %.3f of the worth, %.3f alone; %d breaks", together.Share, alone.Share, together.ViolationCount)
 	}
 	if together.Hash != again.Hash {
 		t.Errorf("two plays of one seed: %s and %s", together.Hash, again.Hash)
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,138 +1,150 @@
-// Package exchange is one request on one connection, and what is certain of both: a state machine without I/O, with one function for
-// its changes. Who reads and writes tells it what happened and goes by what it says. Its table is in docs/design/answers.md.
+// Package exchange is the state machine of one HTTP exchange: a request on a connection, its response, and what is certain of
+// both. It has no I/O: the code that reads and writes reports events, and acts on the resulting state. One function, Next,
+// makes all changes. docs/design/answers.md has its table.
+//
+// Two rules depend on it. A request that may have run is sent again only if it is idempotent, so NotWritten must be certain.
+// And a connection carries another request only if nothing on it can belong to an earlier one.
 package exchange
 
-// Fate is how far an exchange with a peer got, as far as this end can tell for certain.
-type Fate uint8
+// Outcome is what is certain of an exchange once it is done.
+type Outcome uint8
 
-// The fates.
+// The outcomes.
 const (
-	NeverWritten Fate = iota // not all of the request left: it cannot have run
-	Whole                    // its own answer came whole
-	Broken                   // it was written, and then there was no sound answer
-	TooLate                  // it was written, and no answer came in time
-	CalledOff                // nobody wants the answer any more; it may have been written
+	NotWritten       Outcome = iota // not all of the request was written: it cannot have run
+	Completed                       // its response was received in full
+	ConnectionFailed                // it was written, and no valid response was received
+	TimedOut                        // it was written, and no response was received in time
+	Canceled                        // the caller gave up; it may have been written
 )
 
-// Stage is how far an exchange has come.
-type Stage uint8
+var outcomeNames = [...]string{"not_written", "completed", "connection_failed", "timed_out", "canceled"}
 
+func (o Outcome) String() string { return outcomeNames[o] }
+
+// State is the progress of an exchange.
+type State uint8
+
+// The states, in the order in which an exchange goes through them.
 const (
-	Resting   Stage = iota // nothing of a request has left, and nothing is owed
-	Writing                // bytes of the request may have left, not all
-	Asking                 // its head has left whole; its body waits for the peer's word that it takes it
-	Awaiting               // all of it has left, and the head of its answer has not come
-	Receiving              // the head of its own answer has come, and the answer not whole
-	Over                   // its fate is certain
+	Idle             State = iota // nothing of a request was written, and no response is due
+	Writing                       // a part of the request may have been written
+	AwaitingContinue              // its head was written, and its body waits for a 100 Continue
+	AwaitingResponse              // all of it was written, and the head of its response has not been received
+	ReadingResponse               // the head of its response was received, the rest not yet
+	Done                          // its outcome is certain
 )
 
-// Event is what the one who reads and writes has met.
+// Event is something that happened to an exchange or its connection.
 type Event uint8
 
+// The events.
 const (
-	Begins    Event = iota // the first byte goes out
-	Asks                   // the head is out, and the body waits
-	Invited                // a 100 Continue to what asked
-	Written                // the last byte is out
-	Stray                  // a whole final answer that belongs to another request
-	Owns                   // the head of the request's own final answer
-	Finishes               // the last byte of that answer
-	Mumbles                // bytes that are no answer, while the request has not left whole
-	Breaks                 // a reset, an end, or bytes that are no answer
-	Silence                // the time is over
-	Abandoned              // nobody wants the answer any more
-	Closes                 // the peer has said, or shown, that it closes the connection
-	Surplus                // bytes that nobody asked for, behind an answer or at rest
+	WriteStarted      Event = iota // the first byte of the request is written
+	ContinueRequested              // the head was written, with Expect: 100-continue
+	ContinueReceived               // a 100 Continue was received
+	RequestWritten                 // the last byte of the request was written
+	OtherResponse                  // a final response was received that belongs to another request
+	ResponseStarted                // the head of the request's own final response was received
+	ResponseCompleted              // the last byte of that response was received
+	GarbageReceived                // bytes that are no response, before the request was written in full
+	ConnectionBroken               // a reset, an end of the stream, or bytes that are no response
+	DeadlineExceeded               // the time for the exchange is over
+	RequestCanceled                // the caller gave up
+	PeerClosing                    // the peer announced that it closes the connection, or closed it
+	UnexpectedBytes                // bytes after a response, or without a request
 )
 
-// mostStrays are the answers to other requests that are passed over before the wanted one.
-const mostStrays = 4
+// maxOtherResponses is the number of responses to other requests from which the connection counts as broken.
+const maxOtherResponses = 4
 
-// Exchange is one request on one connection, and what is certain of both. The zero value is a connection at rest.
+// Exchange is the state of one request on one connection. The zero value is an idle connection.
 type Exchange struct {
-	Stage  Stage
-	Fate   Fate // once it is over
-	strays uint8
-	spoilt bool // the connection carries no request after this one
+	State          State
+	Outcome        Outcome // once the state is Done
+	otherResponses uint8
+	unusable       bool // the connection must not carry another request
 }
 
-// Next is the exchange after an event. What cannot happen at a stage ends it, as one that may have run.
-func (x Exchange) Next(h Event) Exchange {
-	switch h {
-	case Closes, Surplus:
-		x.spoilt = true
+// Next returns the exchange after an event. An event that is impossible in a state ends the exchange, as one that may have run.
+func (x Exchange) Next(event Event) Exchange {
+	switch event {
+	case PeerClosing, UnexpectedBytes:
+		x.unusable = true
 		return x
-	case Breaks, Silence, Abandoned:
-		return x.cut(h)
+	case ConnectionBroken, DeadlineExceeded, RequestCanceled:
+		return x.abort(event)
 	}
 	switch {
-	case x.Stage == Over: // what comes then is of no request
-		x.spoilt = true
-	case x.Stage == Resting && h == Begins:
-		x.Stage = Writing
-	case x.Stage == Writing && h == Asks:
-		x.Stage = Asking
-	case x.Stage == Asking && h == Invited:
-		x.Stage = Writing
-	case x.Stage == Writing && h == Written:
-		x.Stage = Awaiting
-	case h == Stray && x.Stage >= Writing && x.Stage <= Awaiting:
-		if x.strays++; x.strays >= mostStrays {
-			return x.cut(Breaks)
+	case x.State == Done: // it belongs to no request
+		x.unusable = true
+	case x.State == Idle && event == WriteStarted:
+		x.State = Writing
+	case x.State == Writing && event == ContinueRequested:
+		x.State = AwaitingContinue
+	case x.State == AwaitingContinue && event == ContinueReceived:
+		x.State = Writing
+	case x.State == Writing && event == RequestWritten:
+		x.State = AwaitingResponse
+	case event == OtherResponse && x.State >= Writing && x.State <= AwaitingResponse:
+		if x.otherResponses++; x.otherResponses >= maxOtherResponses {
+			return x.abort(ConnectionBroken)
 		}
-	case h == Mumbles && x.Stage == Writing: // it has begun to answer what it does not have whole
-		return x.end(Broken)
-	case h == Owns && x.Stage >= Writing && x.Stage <= Awaiting:
-		x.spoilt = x.spoilt || x.Stage == Writing // nobody can tell what of the request will be read
-		x.Stage = Receiving
-	case x.Stage == Receiving && h == Finishes:
-		x.Stage, x.Fate = Over, Whole
+	case event == GarbageReceived && x.State == Writing: // the peer has responded to a part of the request
+		return x.finish(ConnectionFailed)
+	case event == ResponseStarted && x.State >= Writing && x.State <= AwaitingResponse:
+		x.unusable = x.unusable || x.State == Writing // it is unknown how much of the request the peer will read
+		x.State = ReadingResponse
+	case x.State == ReadingResponse && event == ResponseCompleted:
+		x.State, x.Outcome = Done, Completed
 	default:
-		return x.cut(Breaks)
+		return x.abort(ConnectionBroken)
 	}
 	return x
 }
 
-// cut is the exchange after what ends it without an answer.
-func (x Exchange) cut(h Event) Exchange {
+// abort returns the exchange after an event that ends it without a response.
+func (x Exchange) abort(event Event) Exchange {
 	switch {
-	case x.Stage == Over:
-		x.spoilt = x.spoilt || h != Abandoned
+	case x.State == Done:
+		x.unusable = x.unusable || event != RequestCanceled
 		return x
-	case x.Stage == Resting && h == Abandoned:
+	case x.State == Idle && event == RequestCanceled:
 		return x
-	case h == Abandoned:
-		return x.end(CalledOff)
-	case x.Stage < Awaiting && (x.Stage != Writing || x.strays == 0):
-		return x.end(NeverWritten)
-	case h == Silence:
-		return x.end(TooLate)
+	case event == RequestCanceled:
+		return x.finish(Canceled)
+	case x.State < AwaitingResponse && (x.State != Writing || x.otherResponses == 0):
+		return x.finish(NotWritten)
+	case event == DeadlineExceeded:
+		return x.finish(TimedOut)
 	}
-	return x.end(Broken)
+	return x.finish(ConnectionFailed)
 }
 
-func (x Exchange) end(f Fate) Exchange {
-	x.Stage, x.Fate, x.spoilt = Over, f, true
+// finish returns the exchange with an outcome other than Completed: its connection is not used again.
+func (x Exchange) finish(outcome Outcome) Exchange {
+	x.State, x.Outcome, x.unusable = Done, outcome, true
 	return x
 }
 
-// Reusable tells whether the connection may carry another request.
+// Reusable reports whether the connection may carry another request.
 func (x Exchange) Reusable() bool {
-	return !x.spoilt && (x.Stage == Resting || x.Stage == Over && x.Fate == Whole)
+	return !x.unusable && (x.State == Idle || x.State == Done && x.Outcome == Completed)
 }
 
-// Doubtful tells whether other answers came before the request's own: a word of that that it has not run is not to be believed, as one of
-// the others may have been what it was given.
-func (x Exchange) Doubtful() bool { return x.strays > 0 }
+// SawOtherResponse reports whether responses to other requests were received before the request's own. Then a response that
+// says that the request was not executed proves nothing, as one of the others may have been meant for it.
+func (x Exchange) SawOtherResponse() bool { return x.otherResponses > 0 }
 
-// Belongs tells whether an answer that names the requests got is the answer to the request want, which may have no name. One that names
-// none can be anybody's: only a peer that is a program of our own, and answers each request in its turn, may leave the name out.
-func Belongs(want string, got []string, own bool) bool {
+// ResponseMatches reports whether a response that names some request ids is the response to a request, whose id may be
+// empty. A response without an id may belong to any request; it is accepted only from a program of our own, which answers
+// requests in their order.
+func ResponseMatches(requestID string, responseIDs []string, peerIsOurs bool) bool {
 	switch {
-	case len(got) == 0 || len(got) == 1 && got[0] == "":
-		return own || want == ""
-	case len(got) == 1:
-		return got[0] == want
+	case len(responseIDs) == 0 || len(responseIDs) == 1 && responseIDs[0] == "":
+		return peerIsOurs || requestID == ""
+	case len(responseIDs) == 1:
+		return responseIDs[0] == requestID
 	}
 	return false
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -5,72 +5,72 @@
 	"testing"
 )
 
-// What is certain after each way that an exchange can take: the table of docs/design/answers.md.
-func TestExchange(t *testing.T) {
+// What is certain after each course of an exchange: the table of docs/design/answers.md.
+func TestExchangeOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		met  []Event
-		fate Fate
+		fate Outcome
 		over bool
 		on   bool // the connection carries another request
 	}{
-		"nothing":                        {nil, NeverWritten, false, true},
-		"called off at rest":             {[]Event{Abandoned}, NeverWritten, false, true},
-		"surplus at rest":                {[]Event{Surplus}, NeverWritten, false, false},
-		"closed at rest":                 {[]Event{Closes}, NeverWritten, false, false},
-		"half written":                   {[]Event{Begins, Breaks}, NeverWritten, true, false},
-		"half written, time over":        {[]Event{Begins, Silence}, NeverWritten, true, false},
-		"half written, called off":       {[]Event{Begins, Abandoned}, CalledOff, true, false},
-		"asked, never invited":           {[]Event{Begins, Asks, Silence}, NeverWritten, true, false},
-		"asked, cut":                     {[]Event{Begins, Asks, Breaks}, NeverWritten, true, false},
-		"asked, answered at once":        {[]Event{Begins, Asks, Owns, Finishes}, Whole, true, true},
-		"asked, invited, served":         {[]Event{Begins, Asks, Invited, Written, Owns, Finishes}, Whole, true, true},
-		"asked, invited, cut":            {[]Event{Begins, Asks, Invited, Breaks}, NeverWritten, true, false},
-		"written, cut":                   {[]Event{Begins, Written, Breaks}, Broken, true, false},
-		"written, silent":                {[]Event{Begins, Written, Silence}, TooLate, true, false},
-		"written, called off":            {[]Event{Begins, Written, Abandoned}, CalledOff, true, false},
-		"served":                         {[]Event{Begins, Written, Owns, Finishes}, Whole, true, true},
-		"served, then closed":            {[]Event{Begins, Written, Owns, Closes, Finishes}, Whole, true, false},
-		"served, with more behind":       {[]Event{Begins, Written, Owns, Finishes, Surplus}, Whole, true, false},
-		"cut in the answer":              {[]Event{Begins, Written, Owns, Breaks}, Broken, true, false},
-		"silent in the answer":           {[]Event{Begins, Written, Owns, Silence}, TooLate, true, false},
-		"answered before it was whole":   {[]Event{Begins, Owns, Finishes}, Whole, true, false},
-		"answered so, and cut":           {[]Event{Begins, Owns, Breaks}, Broken, true, false},
-		"answered so, by no answer":      {[]Event{Begins, Mumbles}, Broken, true, false},
-		"another's answer, half written": {[]Event{Begins, Stray, Breaks}, Broken, true, false},
-		"another's answer, asked":        {[]Event{Begins, Asks, Stray, Invited, Written, Owns, Finishes}, Whole, true, true},
-		"what cannot be":                 {[]Event{Begins, Written, Invited}, Broken, true, false},
-		"another's answers only":         {[]Event{Begins, Written, Stray, Stray, Stray, Stray}, Broken, true, false},
+		"nothing":                        {nil, NotWritten, false, true},
+		"called off at rest":             {[]Event{RequestCanceled}, NotWritten, false, true},
+		"surplus at rest":                {[]Event{UnexpectedBytes}, NotWritten, false, false},
+		"closed at rest":                 {[]Event{PeerClosing}, NotWritten, false, false},
+		"half written":                   {[]Event{WriteStarted, ConnectionBroken}, NotWritten, true, false},
+		"half written, time over":        {[]Event{WriteStarted, DeadlineExceeded}, NotWritten, true, false},
+		"half written, called off":       {[]Event{WriteStarted, RequestCanceled}, Canceled, true, false},
+		"asked, never invited":           {[]Event{WriteStarted, ContinueRequested, DeadlineExceeded}, NotWritten, true, false},
+		"asked, cut":                     {[]Event{WriteStarted, ContinueRequested, ConnectionBroken}, NotWritten, true, false},
+		"asked, answered at once":        {[]Event{WriteStarted, ContinueRequested, ResponseStarted, ResponseCompleted}, Completed, true, true},
+		"asked, invited, served":         {[]Event{WriteStarted, ContinueRequested, ContinueReceived, RequestWritten, ResponseStarted, ResponseCompleted}, Completed, true, true},
+		"asked, invited, cut":            {[]Event{WriteStarted, ContinueRequested, ContinueReceived, ConnectionBroken}, NotWritten, true, false},
+		"written, cut":                   {[]Event{WriteStarted, RequestWritten, ConnectionBroken}, ConnectionFailed, true, false},
+		"written, silent":                {[]Event{WriteStarted, RequestWritten, DeadlineExceeded}, TimedOut, true, false},
+		"written, called off":            {[]Event{WriteStarted, RequestWritten, RequestCanceled}, Canceled, true, false},
+		"served":                         {[]Event{WriteStarted, RequestWritten, ResponseStarted, ResponseCompleted}, Completed, true, true},
+		"served, then closed":            {[]Event{WriteStarted, RequestWritten, ResponseStarted, PeerClosing, ResponseCompleted}, Completed, true, false},
+		"served, with more behind":       {[]Event{WriteStarted, RequestWritten, ResponseStarted, ResponseCompleted, UnexpectedBytes}, Completed, true, false},
+		"cut in the answer":              {[]Event{WriteStarted, RequestWritten, ResponseStarted, ConnectionBroken}, ConnectionFailed, true, false},
+		"silent in the answer":           {[]Event{WriteStarted, RequestWritten, ResponseStarted, DeadlineExceeded}, TimedOut, true, false},
+		"answered before it was whole":   {[]Event{WriteStarted, ResponseStarted, ResponseCompleted}, Completed, true, false},
+		"answered so, and cut":           {[]Event{WriteStarted, ResponseStarted, ConnectionBroken}, ConnectionFailed, true, false},
+		"answered so, by no answer":      {[]Event{WriteStarted, GarbageReceived}, ConnectionFailed, true, false},
+		"another's answer, half written": {[]Event{WriteStarted, OtherResponse, ConnectionBroken}, ConnectionFailed, true, false},
+		"another's answer, asked":        {[]Event{WriteStarted, ContinueRequested, OtherResponse, ContinueReceived, RequestWritten, ResponseStarted, ResponseCompleted}, Completed, true, true},
+		"what cannot be":                 {[]Event{WriteStarted, RequestWritten, ContinueReceived}, ConnectionFailed, true, false},
+		"another's answers only":         {[]Event{WriteStarted, RequestWritten, OtherResponse, OtherResponse, OtherResponse, OtherResponse}, ConnectionFailed, true, false},
 	} {
 		var x Exchange
 		for _, h := range c.met {
 			x = x.Next(h)
 		}
-		if x.Fate != c.fate || (x.Stage == Over) != c.over || x.Reusable() != c.on {
+		if x.Outcome != c.fate || (x.State == Done) != c.over || x.Reusable() != c.on {
 			t.Errorf("%s: %+v, reusable %v; want fate %d, over %v, reusable %v", name, x, x.Reusable(), c.fate, c.over, c.on)
 		}
 	}
 }
 
-// Whatever happens in whatever order: what was written whole is never said to be unwritten, what is over stays as it ended, and a
-// connection that met anything but whole answers of its own requests carries no other.
-func TestExchangeHolds(t *testing.T) {
+// For any sequence of events: a request that was written in full never counts as NotWritten, an outcome never changes, and a
+// connection on which anything but complete responses to its own requests was received is not reused.
+func TestExchangeInvariants(t *testing.T) {
 	r := rand.New(rand.NewPCG(55, 5))
 	for range 200_000 {
 		var x Exchange
 		out, sound := false, true
 		for range r.IntN(12) {
-			h := Event(r.IntN(int(Surplus) + 1))
+			h := Event(r.IntN(int(UnexpectedBytes) + 1))
 			before := x
 			x = x.Next(h)
-			out = out || before.Stage != Over && x.Stage == Awaiting
-			sound = sound && h != Surplus && h != Closes && h != Breaks && h != Silence
-			if before.Stage == Over && (x.Stage != Over || x.Fate != before.Fate) {
+			out = out || before.State != Done && x.State == AwaitingResponse
+			sound = sound && h != UnexpectedBytes && h != PeerClosing && h != ConnectionBroken && h != DeadlineExceeded
+			if before.State == Done && (x.State != Done || x.Outcome != before.Outcome) {
 				t.Fatalf("%+v is %+v after %d", before, x, h)
 			}
-			if out && x.Stage == Over && x.Fate == NeverWritten {
+			if out && x.State == Done && x.Outcome == NotWritten {
 				t.Fatalf("%+v was written, and is %+v after %d", before, x, h)
 			}
-			if h == Stray && before.Stage >= Writing && before.Stage <= Awaiting && !x.Doubtful() {
+			if h == OtherResponse && before.State >= Writing && before.State <= AwaitingResponse && !x.SawOtherResponse() {
 				t.Fatalf("%+v is believed after another's answer", x)
 			}
 			if !sound && x.Reusable() {
@@ -80,8 +80,8 @@
 	}
 }
 
-// An answer is told to be a request's own by its name alone, but for a peer of our own.
-func TestBelongs(t *testing.T) {
+// A response belongs to a request by its id alone, unless the peer is a program of our own.
+func TestResponseMatches(t *testing.T) {
 	for _, c := range []struct {
 		want string
 		got  []string
@@ -92,7 +92,7 @@
 		{"a", []string{"a", "b"}, false, false}, {"a", []string{"a", "a"}, true, false}, {"a", nil, true, true}, {"a", []string{"b"}, true, false},
 		{"", nil, false, true}, {"", []string{"a"}, false, false}, {"", []string{"a"}, true, false}, {"", []string{""}, true, true},
 	} {
-		if is := Belongs(c.want, c.got, c.own); is != c.is {
+		if is := ResponseMatches(c.want, c.got, c.own); is != c.is {
 			t.Errorf("%q to %q, own %v: %v", c.got, c.want, c.own, is)
 		}
 	}
--- a/internal/drill/drill_test.go
+++ b/internal/faultdrill/drill_test.go
@@ -1,4 +1,4 @@
-package drill
+package faultdrill
 
 import (
 	"bytes"
@@ -11,14 +11,14 @@
 	"sync"
 	"testing"
 
-	"whinknot/internal/emulate"
-	"whinknot/internal/rig"
+	"milletmast/internal/emulate"
+	"milletmast/internal/testcluster"
 )
 
 const roleRogue = "rogue"
 
 func TestMain(m *testing.M) {
-	rig.Main(map[string]func() error{roleRogue: rogueMain})
+	testcluster.Main(map[string]func() error{roleRogue: rogueMain})
 	code := m.Run()
 	if dir, err := build(); err == nil {
 		os.RemoveAll(dir)
@@ -32,7 +32,7 @@
 	if err != nil {
 		return "", err
 	}
-	out, err := exec.Command("go", "build", "-o", dir+"/", "whinknot/cmd/milletmast").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", dir+"/", "milletmast/cmd/milletmast").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
@@ -173,8 +173,8 @@
 			}
 			r := play(t, text+c.faults, self, "MILLETMAST_RIG_ROLE="+roleRogue, rogueVariable+"="+c.wrong)
 			if c.want == "" {
-				if r.BreakCount != 0 || r.Asked < 200 {
-					t.Errorf("%d asked, breaks %v", r.Asked, r.Breaks)
+				if r.ViolationCount != 0 || r.Asked < 200 {
+					t.Errorf("%d asked, breaks %v", r.Asked, r.Violations)
 				}
 				return
 			}
@@ -182,12 +182,12 @@
 			if text == "" {
 				rule, text = "", rule
 			}
-			for _, b := range r.Breaks {
+			for _, b := range r.Violations {
 				if strings.Contains(b, rule) && strings.Contains(b, text) {
 					return
 				}
 			}
-			t.Errorf("%d breaks %v, want %s", r.BreakCount, r.Breaks, c.want)
+			t.Errorf("%d breaks %v, want %s", r.ViolationCount, r.Violations, c.want)
 		})
 	}
 }
@@ -217,8 +217,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			r := play(t, short+c.faults, filepath.Join(bin, "milletmast"))
-			if r.BreakCount != 0 {
-				t.Errorf("breaks %v\n%s", r.Breaks, r.Logs)
+			if r.ViolationCount != 0 {
+				t.Errorf("breaks %v\n%s", r.Violations, r.Logs)
 			}
 			if r.Share < c.least {
 				t.Errorf("served %.3f of the worth, want %.2f at least", r.Share, c.least)
@@ -227,7 +227,7 @@
 			if err := Report(&page, []*Result{r}); err != nil || strings.Count(page.String(), "<svg") != 2 {
 				t.Errorf("a report of %d bytes, %v", page.Len(), err)
 			}
-			t.Logf("served %.3f, %d asked, load late by %v", r.Share, r.Asked, r.Late)
+			t.Logf("served %.3f, %d asked, load late by %v", r.Share, r.Asked, r.MaxDelay)
 		})
 	}
 }
@@ -251,15 +251,15 @@
 	fault := fmt.Sprintf("\n[[fault]]\nkind = \"restart\"\nat = \"100ms\"\ncount = 1\nkill = true\ndown = \"10ms\"\nprogram = %q\n", other)
 	r := play(t, short+fault+failing, filepath.Join(bin, "milletmast"))
 	by := map[string]int{}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		for _, c := range []string{"c0.1", "c0.2", "c1.1", "c1.2"} {
 			if strings.Contains(b, c) {
 				by[c]++
 			}
 		}
 	}
-	if r.BreakCount == 0 || by["c0.1"]+by["c1.1"] > 0 || by["c0.2"]+by["c1.2"] == 0 {
-		t.Errorf("breaks by copy %v: %v", by, r.Breaks)
+	if r.ViolationCount == 0 || by["c0.1"]+by["c1.1"] > 0 || by["c0.2"]+by["c1.2"] == 0 {
+		t.Errorf("breaks by copy %v: %v", by, r.Violations)
 	}
 }
 
@@ -300,15 +300,15 @@
 		"[inner.pool]", "[inner.pool]\nattempts = 4\nretry_share = 0.1\nretry_free = 2\nretry_window = \"1s\"",
 		"[inner.servers]\ncount = 2", "[inner.servers]\ncount = 2\ncores = 1\nqueue = 1").Replace(short + behind)
 	res := play(t, text, bin+"/milletmast")
-	if res.BreakCount > 0 {
-		t.Errorf("%d rules broken", res.BreakCount)
+	if res.ViolationCount > 0 {
+		t.Errorf("%d rules broken", res.ViolationCount)
 	}
 	for _, v := range res.Verdicts {
 		const free = 2 * 4 * 4 // in each second at each of up to four copies
-		if most := 1.1*float64(v.Tried) + free; v.Tried == 0 || float64(v.Attempts) > most {
-			t.Errorf("%s: %d attempts for %d requests, %.0f at most", v.Tier, v.Attempts, v.Tried, most)
+		if most := 1.1*float64(v.Requests) + free; v.Requests == 0 || float64(v.Attempts) > most {
+			t.Errorf("%s: %d attempts for %d requests, %.0f at most", v.Tier, v.Attempts, v.Requests, most)
 		}
-		t.Logf("%s: %d attempts for %d requests", v.Tier, v.Attempts, v.Tried)
+		t.Logf("%s: %d attempts for %d requests", v.Tier, v.Attempts, v.Requests)
 	}
 }
 
@@ -352,19 +352,19 @@
 		t.Fatal(err)
 	}
 	at := func(ms int64) int64 { return ms * 1e6 }
-	facts := []rig.Fact{
-		{At: at(1), Kind: rig.FactUp, Server: "s0", By: "s0"},
-		{At: at(100), Kind: rig.FactClosed, Copy: "c0.1", Request: "r1", Class: "browse", Due: at(600)},
-		{At: at(400), Kind: rig.FactSent, Copy: "c0.1", Server: "s0", Request: "r1", Conn: 1},
-		{At: at(450), Kind: rig.FactKill, Copy: "c0.1"},
-		{At: at(451), Kind: rig.FactCut, Copy: "c0.1", Request: "r1"},
-		{At: at(452), Kind: rig.FactOver, Copy: "c0.1", Server: "s0", Request: "r1", Conn: 1},
+	facts := []testcluster.Fact{
+		{At: at(1), Kind: testcluster.FactStarted, Server: "s0", By: "s0"},
+		{At: at(100), Kind: testcluster.FactConnClosed, Copy: "c0.1", Request: "r1", Class: "browse", Due: at(600)},
+		{At: at(400), Kind: testcluster.FactSent, Copy: "c0.1", Server: "s0", Request: "r1", Conn: 1},
+		{At: at(450), Kind: testcluster.FactKilled, Copy: "c0.1"},
+		{At: at(451), Kind: testcluster.FactConnEnded, Copy: "c0.1", Request: "r1"},
+		{At: at(452), Kind: testcluster.FactAttemptEnded, Copy: "c0.1", Server: "s0", Request: "r1", Conn: 1},
 	}
 	for killed, want := range map[bool]int{true: 0, false: 1} {
-		all := slices.DeleteFunc(slices.Clone(facts), func(f rig.Fact) bool { return f.Kind == rig.FactKill && !killed })
-		v := judge("outer", &sc.Pool, &sc.Servers, map[string]Place{"s0": {}}, all, 0, func(string, string) bool { return true })
-		if v.Count != want {
-			t.Errorf("killed %v: %d breaks, want %d: %v", killed, v.Count, want, v.Breaks)
+		all := slices.DeleteFunc(slices.Clone(facts), func(f testcluster.Fact) bool { return f.Kind == testcluster.FactKilled && !killed })
+		v := checkHistory("outer", &sc.Pool, &sc.Servers, map[string]ServerPlace{"s0": {}}, all, startOf(all), 0)
+		if v.ViolationCount != want {
+			t.Errorf("killed %v: %d breaks, want %d: %v", killed, v.ViolationCount, want, v.Violations)
 		}
 	}
 }
--- a/internal/drill/rogue_test.go
+++ b/internal/faultdrill/rogue_test.go
@@ -1,4 +1,4 @@
-package drill
+package faultdrill
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"whinknot/internal/operator"
+	"milletmast/internal/operator"
 )
 
 // rogue is a sidecar of the tests' own that does one thing wrong, by its name. It takes an operator file as serve does.
@@ -102,8 +102,8 @@
 			time.Sleep(2 * time.Second)
 			return
 		case r.wrong == rogueGone && now:
-			c.SetReadDeadline(time.Now().Add(3 * time.Second))
-			reader.Peek(1) // until the client goes
+			_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
+			_, _ = reader.Peek(1) // until the client goes
 			time.Sleep(300 * time.Millisecond)
 			send(to, req)
 			return
@@ -128,7 +128,7 @@
 		if r.wrong == rogueTwice && now {
 			answer += answer
 		}
-		io.WriteString(c, answer)
+		_, _ = io.WriteString(c, answer)
 	}
 }
 
@@ -143,7 +143,7 @@
 	if err != nil {
 		return http.StatusBadGateway
 	}
-	c.SetDeadline(time.Now().Add(time.Duration(left * float64(time.Second)))) // it answers in time, also where the machine is slow
+	_ = c.SetDeadline(time.Now().Add(time.Duration(left * float64(time.Second)))) // it answers in time, also where the machine is slow
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: h\r\n", req.Method, req.RequestURI)
 	if err := errors.Join(req.Header.Write(&b)); err != nil {
@@ -152,7 +152,7 @@
 	if req.Method != http.MethodGet {
 		b.WriteString("Content-Length: 0\r\n")
 	}
-	io.WriteString(c, b.String()+"\r\n")
+	_, _ = io.WriteString(c, b.String()+"\r\n")
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return http.StatusBadGateway
--- /dev/null
+++ b/internal/faultdrill/verdict.go
@@ -0,0 +1,279 @@
+package faultdrill
+
+import (
+	"fmt"
+	"time"
+
+	"milletmast/internal/emulate"
+	"milletmast/internal/operator"
+	"milletmast/internal/rules"
+	"milletmast/internal/testcluster"
+)
+
+// What is observed from outside is observed late: a relay or a client reads what a process has written when the machine runs it. A
+// verdict must not depend on the order of two events of different processes within observationDelay and the longest stall of the
+// process of the drill.
+const (
+	observationDelay = 100 * time.Millisecond
+	relayDelay       = 2 * time.Millisecond // between two events that a relay reads one after the other
+	informedShare    = 2. / 3               // of the work that overloads a cold server, from replicas that knew its start
+	maxViolations    = 20                   // that are described, beside those of the checker
+)
+
+// Verdict is what the rules say of a tier.
+type Verdict struct {
+	Tier           string        `json:"tier"`
+	Violations     []string      `json:"breaks"`
+	ViolationCount int           `json:"count"`
+	Margins        rules.Margins `json:"margins"`
+
+	Requests int `json:"tried"`    // that were sent to a server
+	Attempts int `json:"attempts"` // over Requests: by how much retries add to the load
+
+	checker *rules.Checker
+}
+
+// ServerPlace is the zone and the cell of a server.
+type ServerPlace struct{ Zone, Cell int }
+
+// attempt is an attempt as the links saw it. Times are in ns.
+type attempt struct {
+	copy, server    string
+	sentAt, endedAt int64
+	mayHaveExecuted bool
+	ended           bool
+	answered        bool // by the server, and so open until then
+}
+
+// timeSpan is a time in which a replica was suspended, in ns.
+type timeSpan struct{ from, to int64 }
+
+// idTable gives names numbers, from 1.
+type idTable map[string]uint64
+
+func (n idTable) of(name string) uint64 {
+	if n[name] == 0 {
+		n[name] = uint64(len(n) + 1)
+	}
+	return n[name]
+}
+
+// name returns the name of a number.
+func (n idTable) name(number uint64) string {
+	for name, v := range n {
+		if v == number {
+			return name
+		}
+	}
+	return "-"
+}
+
+// historyChecker checks the facts of a tier. It needs nothing but the facts and the scenario.
+type historyChecker struct {
+	delay     time.Duration // within which events may have been observed late
+	verdict   *Verdict
+	pool      *operator.Pool
+	servers   map[string]ServerPlace
+	start     float64 // of the history, in ms
+	copies    idTable
+	serverIDs idTable
+	requests  idTable
+	classes   map[string]int
+
+	written        map[string]*testcluster.Fact // by request
+	attempts       map[string][]*attempt        // by request
+	ends           map[string]int64             // of requests: the final response, or when the client left
+	suspensions    map[string][]timeSpan        // by replica
+	killed         map[string]bool              // replicas; their open requests get no response
+	lostOnIdleConn map[string]bool              // requests that were received on an idle connection that was closed
+}
+
+func ms(d time.Duration) float64 { return d.Seconds() * 1000 }
+
+// startOf returns the time of the first fact, in ms.
+func startOf(facts []testcluster.Fact) float64 {
+	if len(facts) == 0 {
+		return 0
+	}
+	return float64(facts[0].At) / 1e6
+}
+
+// checkHistory checks the facts of a tier. Start is the start of the history in ms, stall the longest stall of this process.
+func checkHistory(
+	tier string, pool *operator.Pool, spec *emulate.ServerSpec, servers map[string]ServerPlace,
+	facts []testcluster.Fact, start float64, stall time.Duration,
+) *Verdict {
+	delay := observationDelay + stall
+	v := &Verdict{Tier: tier, Violations: []string{}}
+	v.checker = rules.NewChecker(rules.Limits{
+		Classes:       pool.Settings().Classes,
+		MaxAttempts:   pool.Attempts,
+		AnswerSlack:   ms(clientGrace),
+		DrainGrace:    pool.DrainGrace.MS() + ms(listPollInterval+delay),
+		FallMultiple:  spec.Fall,
+		FallAfter:     spec.FallAfter.MS(),
+		InformedShare: informedShare,
+	})
+	h := &historyChecker{
+		delay:          delay,
+		verdict:        v,
+		pool:           pool,
+		servers:        servers,
+		start:          start,
+		copies:         idTable{},
+		serverIDs:      idTable{},
+		requests:       idTable{},
+		classes:        map[string]int{},
+		written:        map[string]*testcluster.Fact{},
+		attempts:       map[string][]*attempt{},
+		ends:           map[string]int64{},
+		suspensions:    map[string][]timeSpan{},
+		killed:         map[string]bool{},
+		lostOnIdleConn: map[string]bool{},
+	}
+	for i, c := range pool.Classes {
+		h.classes[c.Name] = i
+	}
+	h.index(facts)
+	h.replay(facts)
+	h.addViolations()
+	v.Margins, v.Requests = v.checker.Margins, len(h.attempts)
+	for _, attempts := range h.attempts {
+		v.Attempts += len(attempts)
+	}
+	return v
+}
+
+// addViolations adds the violations that the checker has found to the verdict.
+func (h *historyChecker) addViolations() {
+	v := h.verdict
+	v.ViolationCount += v.checker.ViolationCount
+	for _, b := range v.checker.Violations {
+		v.Violations = append(v.Violations, fmt.Sprintf("rule %d at %.3f s: %s, %s, %s: %s", b.Rule, (b.At-h.start)/1000,
+			h.copies.name(uint64(b.Copy)), h.serverIDs.name(uint64(b.Server)), h.requests.name(b.Request), b.Text))
+	}
+}
+
+// violate adds a violation that the checker does not know.
+func (h *historyChecker) violate(rule int, at int64, format string, args ...any) {
+	v := h.verdict
+	v.ViolationCount++
+	if len(v.Violations) < maxViolations {
+		seconds := (float64(at)/1e6 - h.start) / 1000
+		v.Violations = append(v.Violations, fmt.Sprintf("rule %d at %.3f s: %s", rule, seconds, fmt.Sprintf(format, args...)))
+	}
+}
+
+// attemptKey identifies an attempt that is open on a connection.
+type attemptKey struct {
+	request, server string
+	conn            uint64
+}
+
+// index collects the facts by request and by replica.
+func (h *historyChecker) index(facts []testcluster.Fact) {
+	open := map[attemptKey]*attempt{}
+	for i := range facts {
+		f := &facts[i]
+		switch f.Kind {
+		case testcluster.FactWritten:
+			h.written[f.Request] = f
+		case testcluster.FactAnswered, testcluster.FactClientLeft, testcluster.FactUnanswered:
+			if h.ends[f.Request] == 0 {
+				h.ends[f.Request] = f.At
+			}
+		case testcluster.FactSent:
+			a := &attempt{copy: f.Copy, server: f.Server, sentAt: f.At}
+			h.attempts[f.Request] = append(h.attempts[f.Request], a)
+			open[attemptKey{f.Request, f.Server, f.Conn}] = a
+		case testcluster.FactAttemptEnded:
+			if a := open[attemptKey{f.Request, f.Server, f.Conn}]; a != nil && !a.ended {
+				a.ended, a.endedAt, a.mayHaveExecuted, a.answered = true, f.At, !f.NotRun, f.Status != 0
+			}
+		case testcluster.FactKilled:
+			h.killed[f.Copy] = true
+		case testcluster.FactSuspended:
+			h.indexSuspension(f)
+		}
+	}
+	h.indexClosedConns(facts)
+	for request, attempts := range h.attempts {
+		h.orderAttempts(attempts, h.ends[request])
+	}
+}
+
+func (h *historyChecker) indexSuspension(f *testcluster.Fact) {
+	if !f.Serves {
+		h.suspensions[f.Copy] = append(h.suspensions[f.Copy], timeSpan{f.At, f.At})
+	} else if spans := h.suspensions[f.Copy]; len(spans) > 0 {
+		spans[len(spans)-1].to = f.At
+	}
+}
+
+// indexClosedConns finds the requests that were received on an idle connection that was closed without a response: an attempt shows
+// that the request was received before the connection was closed.
+func (h *historyChecker) indexClosedConns(facts []testcluster.Fact) {
+	for i := range facts {
+		f := &facts[i]
+		if f.Kind == testcluster.FactConnClosed && len(h.attempts[f.Request]) > 0 {
+			h.written[f.Request] = f
+			h.lostOnIdleConn[f.Request] = true
+		}
+	}
+}
+
+// orderAttempts moves what was observed late before what must have come after it. End is that of the request; 0 for none. A response
+// is observed before it is passed on, so that whatever was sent before it was sent at the same time. The end of a connection by the
+// sidecar is observed when the relay reads it.
+func (h *historyChecker) orderAttempts(attempts []*attempt, end int64) {
+	delay := int64(h.delay)
+	for i, a := range attempts {
+		isAborted := a.ended && !a.answered
+		if i > 0 && isAborted && a.endedAt-a.sentAt < int64(relayDelay) {
+			// It was written and aborted while it waited to be read by a link.
+			if before := attempts[i-1]; a.sentAt < before.endedAt && a.sentAt-before.sentAt <= delay {
+				a.sentAt, a.endedAt = before.sentAt-1, before.sentAt-1
+			}
+		}
+		if i+1 < len(attempts) && isAborted {
+			if next := attempts[i+1]; a.endedAt > next.sentAt && a.endedAt-next.sentAt <= delay {
+				a.endedAt = next.sentAt - 1
+			}
+		}
+		if end > 0 && a.sentAt > end && a.sentAt-end <= delay {
+			a.sentAt = end - 1
+			a.endedAt = max(a.endedAt, end)
+		}
+	}
+}
+
+// knownAt returns when a replica knows at the latest what it was told at a time: not while it is suspended.
+func (h *historyChecker) knownAt(copyName string, at int64) int64 {
+	for _, s := range h.suspensions[copyName] {
+		if at >= s.from-int64(h.delay) && at <= s.to {
+			at = s.to + int64(h.delay)
+		}
+	}
+	return at
+}
+
+// wasSuspended reports whether a replica was suspended in a time, so that it could not respond.
+func (h *historyChecker) wasSuspended(copyName string, from, to int64) bool {
+	for _, s := range h.suspensions[copyName] {
+		if s.from <= to && s.to+int64(h.delay) >= from {
+			return true
+		}
+	}
+	return false
+}
+
+// dueAt returns when the response to a request is due. A replica that is suspended cannot respond before it is resumed.
+func (h *historyChecker) dueAt(written *testcluster.Fact) int64 {
+	due := written.Due
+	for _, s := range h.suspensions[written.Copy] {
+		if s.from <= due && s.to >= written.At {
+			due = max(due, s.to+int64(h.delay))
+		}
+	}
+	return due
+}
--- a/internal/drill/sparse.go
+++ b/internal/faultdrill/withoutdefaults.go
@@ -1,23 +1,23 @@
-package drill
+package faultdrill
 
 import (
 	"encoding"
 	"reflect"
 
-	"whinknot/internal/operator"
+	"milletmast/internal/operator"
 )
 
-// sparse is a table of an operator file with only what differs from its defaults: a program that does not know a newer key can be played
-// beside one that does.
-func sparse(v reflect.Value) map[string]any {
-	usual := reflect.New(v.Type())
-	if d, ok := usual.Interface().(operator.Defaulter); ok {
+// withoutDefaults returns a table of an operator file with only the keys that differ from their defaults, so that an older program
+// that does not know a newer key can be played beside a newer one.
+func withoutDefaults(v reflect.Value) map[string]any {
+	defaults := reflect.New(v.Type())
+	if d, ok := defaults.Interface().(operator.Defaulter); ok {
 		d.SetDefaults()
 	}
 	out := map[string]any{}
 	for i := range v.NumField() {
 		field, key := v.Field(i), v.Type().Field(i).Tag.Get("toml")
-		if key == "" || reflect.DeepEqual(field.Interface(), usual.Elem().Field(i).Interface()) {
+		if key == "" || reflect.DeepEqual(field.Interface(), defaults.Elem().Field(i).Interface()) {
 			continue
 		}
 		switch text, ok := field.Interface().(encoding.TextMarshaler); {
@@ -28,11 +28,11 @@
 			}
 			out[key] = string(b)
 		case field.Kind() == reflect.Struct:
-			out[key] = sparse(field)
+			out[key] = withoutDefaults(field)
 		case field.Kind() == reflect.Slice && field.Type().Elem().Kind() == reflect.Struct:
 			var list []map[string]any
 			for n := range field.Len() {
-				list = append(list, sparse(field.Index(n)))
+				list = append(list, withoutDefaults(field.Index(n)))
 			}
 			out[key] = list
 		default:
--- a/internal/member/member_test.go
+++ b/internal/gossip/group_test.go
@@ -1,4 +1,4 @@
-package member
+package gossip
 
 import (
 	"bufio"
@@ -14,14 +14,14 @@
 
 	"go.uber.org/goleak"
 
-	"whinknot/internal/rig"
-	"whinknot/internal/view"
+	"milletmast/internal/clusterview"
+	"milletmast/internal/testcluster"
 )
 
 const roleMember = "member"
 
 func TestMain(m *testing.M) {
-	rig.Main(map[string]func() error{roleMember: memberMain})
+	testcluster.Main(map[string]func() error{roleMember: memberMain})
 	goleak.VerifyTestMain(m)
 }
 
@@ -29,17 +29,17 @@
 func memberMain() error {
 	number, _ := strconv.Atoi(os.Getenv("NUMBER"))
 	count, _ := strconv.Atoi(os.Getenv("COUNT"))
-	set := view.Defaults()
-	set.Expected, set.Rank, set.Hold = count, number%count, 4*time.Second
+	set := clusterview.DefaultConfig()
+	set.ConfiguredReplicas, set.ConfiguredRank, set.HoldTime = count, number%count, 4*time.Second
 	c := Config{
-		Name: os.Getenv("NAME"), Start: uint64(time.Now().UnixNano()), Version: "1", Cluster: os.Getenv("CLUSTER"), Address: "127.0.0.1:0",
-		Seeds: strings.Fields(os.Getenv("SEEDS")), Bytes: 256 << 10, Probe: 200 * time.Millisecond, View: set,
+		Name: os.Getenv("NAME"), Incarnation: uint64(time.Now().UnixNano()), Version: "1", Cluster: os.Getenv("CLUSTER"), Address: "127.0.0.1:0",
+		Seeds: strings.Fields(os.Getenv("SEEDS")), MaxBytesPerSecond: 256 << 10, ProbeInterval: 200 * time.Millisecond, View: set,
 	}
 	for _, k := range strings.Fields(os.Getenv("KEYS")) {
 		c.Keys = append(c.Keys, []byte(k))
 	}
 	var routes sync.Map // as they come by the input, a line of JSON each: the address here for the address there
-	c.Route = func(address string) string {
+	c.TranslateAddress = func(address string) string {
 		if to, ok := routes.Load(address); ok {
 			return to.(string)
 		}
@@ -64,7 +64,7 @@
 	fmt.Println("address", g.Address())
 	out := json.NewEncoder(os.Stdout)
 	tick := time.NewTicker(100 * time.Millisecond)
-	var last view.View
+	var last clusterview.View
 	for n := 0; ; n++ {
 		<-tick.C
 		v := g.View()
@@ -72,50 +72,50 @@
 			continue
 		}
 		last = v
-		sent, held := g.Sent()
-		if err := out.Encode(told{v, sent, held}); err != nil {
+		sent, held := g.ByteCounts()
+		if err := out.Encode(report{v, sent, held}); err != nil {
 			return err
 		}
 	}
 }
 
-type told struct {
-	view.View
+type report struct {
+	clusterview.View
 	Sent, Held uint64
 }
 
-// fleet is member processes.
-type fleet struct {
-	t     *testing.T
-	rig   *rig.Rig
-	count int
-	seed  string
-	procs map[string]*rig.Proc
-	input map[string]*os.File
-	links map[[2]string]*pair
+// testGroup is member processes.
+type testGroup struct {
+	t       *testing.T
+	cluster *testcluster.Cluster
+	count   int
+	seed    string
+	procs   map[string]*testcluster.Process
+	input   map[string]*os.File
+	links   map[[2]string]*pair
 }
 
 // pair is the links from one member to another.
-type pair struct{ udp, tcp *rig.Link }
+type pair struct{ udp, tcp *testcluster.Link }
 
 func (p *pair) cut(on bool) error {
-	for _, l := range []*rig.Link{p.udp, p.tcp} {
-		l.Set(rig.There, rig.Way{Held: on})
-		l.Set(rig.Back, rig.Way{Held: on})
+	for _, l := range []*testcluster.Link{p.udp, p.tcp} {
+		l.SetConditions(testcluster.Forward, testcluster.Conditions{Blocked: on})
+		l.SetConditions(testcluster.Backward, testcluster.Conditions{Blocked: on})
 	}
 	if on {
 		p.tcp.Reset()
-		return p.tcp.Meet(rig.Refused)
+		return p.tcp.SetMode(testcluster.Refusing)
 	}
-	return p.tcp.Meet(rig.Open)
+	return p.tcp.SetMode(testcluster.Accepting)
 }
 
 // route leads all that each member sends another over a pair of links of theirs.
-func (f *fleet) route() {
+func (f *testGroup) route() {
 	f.t.Helper()
 	address := map[string]string{}
 	for n, p := range f.procs {
-		line, _, _ := strings.Cut(p.Out.String(), "\n")
+		line, _, _ := strings.Cut(p.Output.String(), "\n")
 		address[n] = strings.TrimPrefix(line, "address ")
 	}
 	for from := range f.procs {
@@ -128,10 +128,10 @@
 			var p pair
 			var err error
 			for range 20 {
-				if p.tcp, err = f.rig.Listen(from+">"+to, addr, 1, rig.Sight{}); err != nil {
+				if p.tcp, err = f.cluster.Listen(from+">"+to, addr, 1, testcluster.Observer{}); err != nil {
 					continue
 				}
-				if p.udp, err = f.rig.ListenUDPAt(from+">"+to, p.tcp.Addr(), addr, 1); err == nil {
+				if p.udp, err = f.cluster.ListenUDPAt(from+">"+to, p.tcp.Addr(), addr, 1); err == nil {
 					break
 				}
 			}
@@ -152,7 +152,7 @@
 }
 
 // cut cuts the links between two sides, or joins them.
-func (f *fleet) cut(on bool, a, b []string) {
+func (f *testGroup) cut(on bool, a, b []string) {
 	f.t.Helper()
 	for _, x := range a {
 		for _, y := range b {
@@ -165,21 +165,21 @@
 	}
 }
 
-func newFleet(t *testing.T, n int) *fleet {
+func newFleet(t *testing.T, n int) *testGroup {
 	t.Helper()
-	r, err := rig.New()
+	r, err := testcluster.New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	f := &fleet{t: t, rig: r, count: n, procs: map[string]*rig.Proc{}, input: map[string]*os.File{}, links: map[[2]string]*pair{}}
+	f := &testGroup{t: t, cluster: r, count: n, procs: map[string]*testcluster.Process{}, input: map[string]*os.File{}, links: map[[2]string]*pair{}}
 	for i := range n {
 		f.start(fmt.Sprint("m", i), i)
 	}
 	return f
 }
 
-func (f *fleet) start(name string, number int, env ...string) {
+func (f *testGroup) start(name string, number int, env ...string) {
 	f.t.Helper()
 	env = append([]string{"NAME=" + name, fmt.Sprint("NUMBER=", number), fmt.Sprint("COUNT=", f.count), "SEEDS=" + f.seed, "CLUSTER=a", "KEYS=0123456789abcdef"}, env...)
 	read, write, err := os.Pipe()
@@ -187,26 +187,26 @@
 		f.t.Fatal(err)
 	}
 	defer read.Close()
-	p, err := f.rig.Start(rig.Spec{Name: name, Role: roleMember, Env: env, Stdin: read})
+	p, err := f.cluster.Start(testcluster.ProcessSpec{Name: name, Role: roleMember, Env: env, Stdin: read})
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.rig.OnClose(func() { write.Close() })
+	f.cluster.OnClose(func() { write.Close() })
 	f.procs[name], f.input[name] = p, write
-	f.wait(name+" listens", func() bool { return strings.Contains(p.Out.String(), "address ") })
+	f.wait(name+" listens", func() bool { return strings.Contains(p.Output.String(), "address ") })
 	if f.seed == "" {
-		rest, _, _ := strings.Cut(p.Out.String(), "\n")
+		rest, _, _ := strings.Cut(p.Output.String(), "\n")
 		f.seed = strings.TrimPrefix(rest, "address ")
 	}
 }
 
-func (f *fleet) wait(what string, holds func() bool) time.Duration {
+func (f *testGroup) wait(what string, holds func() bool) time.Duration {
 	f.t.Helper()
 	begun := time.Now()
-	if err := rig.Await(context.Background(), what, 40*time.Second, holds); err != nil {
+	if err := testcluster.WaitFor(context.Background(), what, 40*time.Second, holds); err != nil {
 		for name := range f.procs {
 			v := f.view(name)
-			f.t.Logf("%s: %v %+v", name, v.Standing, v.Figures)
+			f.t.Logf("%s: %v %+v", name, v.Confidence, v.Position)
 		}
 		f.t.Fatal(err)
 	}
@@ -214,8 +214,8 @@
 }
 
 // view is what a member told last.
-func (f *fleet) view(name string) (v told) {
-	text := f.procs[name].Out.String()
+func (f *testGroup) view(name string) (v report) {
+	text := f.procs[name].Output.String()
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	for i := len(lines) - 1; i >= 0; i-- {
 		if json.Unmarshal([]byte(lines[i]), &v) == nil {
@@ -226,12 +226,12 @@
 }
 
 // agree tells whether members are agreed on a number of copies, with one hash and a rank each.
-func (f *fleet) agree(copies int, names ...string) func() bool {
+func (f *testGroup) agree(copies int, names ...string) func() bool {
 	return func() bool {
 		hashes, ranks := map[uint64]bool{}, map[int]bool{}
 		for _, n := range names {
 			v := f.view(n)
-			if v.Standing != view.Agreed || v.Copies != copies {
+			if v.Confidence != clusterview.Agreed || v.Replicas != copies {
 				return false
 			}
 			hashes[v.Hash], ranks[v.Rank] = true, true
@@ -259,18 +259,18 @@
 	f.start("m4", 4)
 	t.Logf("it is back within %v", f.wait("ten agree again", f.agree(10, names(0, 10)...)))
 
-	if err := f.procs["m7"].Stop(); err != nil {
+	if err := f.procs["m7"].Suspend(); err != nil {
 		t.Fatal(err)
 	}
 	f.wait("nine agree without the one that stands still", f.agree(9, append(names(0, 7), names(8, 10)...)...))
 	time.Sleep(5 * time.Second) // it stands for longer than it takes to be found
-	if err := f.procs["m7"].Continue(); err != nil {
+	if err := f.procs["m7"].Resume(); err != nil {
 		t.Fatal(err)
 	}
 	least := 100
 	t.Logf("it is back within %v", f.wait("ten agree with it", func() bool {
-		if v := f.view("m7"); v.Standing != 0 {
-			least = min(least, v.Copies)
+		if v := f.view("m7"); v.Confidence != 0 {
+			least = min(least, v.Replicas)
 		}
 		return f.agree(10, names(0, 10)...)()
 	}))
@@ -278,8 +278,8 @@
 		t.Errorf("the one that stood still went by %d copies", least)
 	}
 	for n, p := range f.procs {
-		if v := f.view(n); v.Sent == 0 || float64(v.Sent) > 256<<10*(p.Took().Seconds()+2) {
-			t.Errorf("%s has sent %d bytes in %v", n, v.Sent, p.Took())
+		if v := f.view(n); v.Sent == 0 || float64(v.Sent) > 256<<10*(p.Lifetime().Seconds()+2) {
+			t.Errorf("%s has sent %d bytes in %v", n, v.Sent, p.Lifetime())
 		}
 	}
 }
@@ -287,7 +287,7 @@
 // Nine processes are cut into five and four: at no moment do all together allow themselves more than the bound of what each takes a part
 // of; the five go on by themselves, the four by twice as many copies as there were; once the links are back all agree again, without a hand,
 // also as all seeds are on one side.
-func TestCutInTwo(t *testing.T) {
+func TestPartition(t *testing.T) {
 	n := 9
 	if more, err := strconv.Atoi(os.Getenv("MEMBERS")); err == nil && more >= 5 && more <= 60 {
 		n = more // the larger run that docs/design/members.md names
@@ -304,7 +304,7 @@
 		return func() bool {
 			sum := 0.0
 			for name := range f.procs {
-				sum += 1 / float64(max(f.view(name).Copies, 1))
+				sum += 1 / float64(max(f.view(name).Replicas, 1))
 			}
 			most = max(most, sum)
 			return holds()
@@ -313,7 +313,7 @@
 	f.cut(true, few, many)
 	f.wait("the many go on, and the few are at twice as many", sums(func() bool {
 		for _, name := range few {
-			if v := f.view(name); v.Standing != view.Unsure || v.Copies != 2*n {
+			if v := f.view(name); v.Confidence != clusterview.Uncertain || v.Replicas != 2*n {
 				return false
 			}
 		}
@@ -328,13 +328,13 @@
 		return len(hashes) == 1
 	})))
 	t.Logf("agreed after %v more", f.wait("all agree again", sums(f.agree(n, names(0, n)...))))
-	if t.Logf("the most that all allowed themselves: %.3f", most); most > view.Bound {
-		t.Errorf("all allowed themselves %.3f of the whole, over %v", most, view.Bound)
+	if t.Logf("the most that all allowed themselves: %.3f", most); most > clusterview.MaxTotalShare {
+		t.Errorf("all allowed themselves %.3f of the whole, over %v", most, clusterview.MaxTotalShare)
 	}
 }
 
 // Members of another cluster, or with another key, are not heard; a key is changed while both are understood.
-func TestStrangers(t *testing.T) {
+func TestOtherClustersAndKeys(t *testing.T) {
 	f := newFleet(t, 3)
 	f.wait("three agree", f.agree(3, names(0, 3)...))
 	f.start("other", 0, "CLUSTER=b")
@@ -351,11 +351,11 @@
 	}
 }
 
-func TestConfigurationsThatCannotBe(t *testing.T) {
-	good := Config{Name: "a", Address: "127.0.0.1:0", Bytes: 1 << 16, Probe: time.Second, View: view.Defaults()}
+func TestInvalidConfig(t *testing.T) {
+	good := Config{Name: "a", Address: "127.0.0.1:0", MaxBytesPerSecond: 1 << 16, ProbeInterval: time.Second, View: clusterview.DefaultConfig()}
 	for _, change := range []func(*Config){
-		func(c *Config) { c.Name = "" }, func(c *Config) { c.Address = "here" }, func(c *Config) { c.Bytes = 10 }, func(c *Config) { c.Probe = 0 },
-		func(c *Config) { c.Keys = [][]byte{{1}} }, func(c *Config) { c.View.Expected = 0 }, func(c *Config) { c.Address = "127.0.0.1:x" },
+		func(c *Config) { c.Name = "" }, func(c *Config) { c.Address = "here" }, func(c *Config) { c.MaxBytesPerSecond = 10 }, func(c *Config) { c.ProbeInterval = 0 },
+		func(c *Config) { c.Keys = [][]byte{{1}} }, func(c *Config) { c.View.ConfiguredReplicas = 0 }, func(c *Config) { c.Address = "127.0.0.1:x" },
 	} {
 		c := good
 		change(&c)
--- a/internal/grpcfront/call.go
+++ b/internal/grpcfront/call.go
@@ -9,26 +9,26 @@
 	"strings"
 	"time"
 
-	"whinknot/internal/h2"
+	"milletmast/internal/h2"
 )
 
-// Call is the head of a call, as its caller sent it.
+// Call is the header list of a call, as its caller sent it.
 type Call struct {
-	Method    string // POST, as gRPC asks
-	Path      string // /package.Service/Method
-	Authority string
-	Metadata  []h2.Field    // all but pseudo-headers, te and grpc-timeout, in their order
-	Header    http.Header   // the same for look-ups by name
-	Timeout   time.Duration // the caller waits so long; as told
-	Told      bool
-	Remote    string // the caller's host
+	Method     string // POST, as gRPC requires
+	Path       string // /package.Service/Method
+	Authority  string
+	Metadata   []h2.Field    // all but pseudo-headers, te and grpc-timeout, in their order
+	Header     http.Header   // the same, by name
+	Timeout    time.Duration // the caller waits so long, if HasTimeout
+	HasTimeout bool
+	RemoteHost string // the host of the caller
 }
 
-// maxTimeout is the longest timeout that is told apart from none.
+// maxTimeout stands for all longer timeouts.
 const maxTimeout = math.MaxInt64
 
-// readCall reads a head. A status other than 0 is one of HTTP/1.1 that says why it is none of gRPC.
-func readCall(head []h2.Field) (c *Call, status int, complaint string) {
+// parseCall parses a header list. A status other than 0 is the HTTP status for a call that is invalid, with the reason.
+func parseCall(head []h2.Field) (c *Call, status int, reason string) {
 	c = &Call{Metadata: make([]h2.Field, 0, len(head)+3), Header: make(http.Header, len(head))}
 	for _, f := range head {
 		switch f.Name {
@@ -41,13 +41,13 @@
 		case ":scheme", "te":
 		case "grpc-timeout":
 			var err error
-			if c.Told {
+			if c.HasTimeout {
 				return c, http.StatusBadRequest, "grpc-timeout comes twice"
 			}
-			if c.Timeout, err = readTimeout(f.Value); err != nil {
+			if c.Timeout, err = parseTimeout(f.Value); err != nil {
 				return c, http.StatusBadRequest, err.Error()
 			}
-			c.Told = true
+			c.HasTimeout = true
 		default:
 			c.Metadata = append(c.Metadata, f)
 			name := http.CanonicalHeaderKey(f.Name)
@@ -57,41 +57,45 @@
 	return c, 0, ""
 }
 
-// isGRPC tells whether a content type is of gRPC: application/grpc, alone or with + or ; behind it.
+// isGRPC reports whether a content type is one of gRPC: application/grpc, alone or followed by + or ;.
 func isGRPC(contentType string) bool {
 	rest, ok := strings.CutPrefix(contentType, "application/grpc")
 	return ok && (rest == "" || rest[0] == '+' || rest[0] == ';')
 }
 
-var errTimeout = errors.New("grpc-timeout cannot be read")
+var errBadTimeout = errors.New("grpc-timeout cannot be read")
 
-// readTimeout reads a timeout as gRPC's "Timeout" says: up to 8 digits and a unit. What is longer than can be told is as
-// long as that.
-func readTimeout(text string) (time.Duration, error) {
-	if len(text) < 2 || len(text) > 9 {
-		return 0, errTimeout
+// parseTimeout parses the "Timeout" of gRPC: up to 8 digits and a unit. A timeout over maxTimeout is maxTimeout.
+func parseTimeout(text string) (time.Duration, error) {
+	if len(text) < 2 || len(text) > maxTimeoutDigits+1 {
+		return 0, errBadTimeout
 	}
 	digits, unit := text[:len(text)-1], text[len(text)-1]
 	n, err := strconv.ParseUint(digits, 10, 32)
 	if err != nil || digits[0] == '+' {
-		return 0, errTimeout
+		return 0, errBadTimeout
 	}
-	of, ok := units[unit]
+	unitTime, ok := timeoutUnits[unit]
 	if !ok {
-		return 0, errTimeout
+		return 0, errBadTimeout
 	}
-	if n > uint64(maxTimeout/of) {
+	if n > uint64(maxTimeout/unitTime) {
 		return maxTimeout, nil
 	}
-	return time.Duration(n) * of, nil
+	return time.Duration(n) * unitTime, nil
 }
 
-var units = map[byte]time.Duration{
+// maxTimeoutDigits is the most digits of a timeout.
+const maxTimeoutDigits = 8
+
+// timeoutUnits are the durations of the units of a timeout.
+var timeoutUnits = map[byte]time.Duration{
 	'H': time.Hour, 'M': time.Minute, 'S': time.Second, 'm': time.Millisecond, 'u': time.Microsecond, 'n': time.Nanosecond,
 }
 
-// Timeout writes a timeout, rounded down to what 8 digits hold, so that a server is never promised more than there is.
-func Timeout(d time.Duration) h2.Field {
+// TimeoutField returns the header field of a timeout. It is rounded down to 8 digits, so that a server never gets more time than
+// there is.
+func TimeoutField(d time.Duration) h2.Field {
 	text := ""
 	switch d = max(d, 0); {
 	case d < 1e8*time.Nanosecond:
@@ -106,57 +110,62 @@
 	return h2.Field{Name: "grpc-timeout", Value: text}
 }
 
-// Messages follows the framing of gRPC's messages (Length-Prefixed-Message) in a body, whatever pieces it comes in.
-type Messages struct {
-	Most  int64 // bytes of a message; 0 for any
-	Begun int   // messages of which a byte has come
-	Over  int   // messages that have come whole
+// MessageFraming follows the framing of the messages of gRPC (Length-Prefixed-Message) in a body that is received in pieces.
+type MessageFraming struct {
+	MaxBytes  int64 // of a message; 0 for no limit
+	Started   int   // messages of which a byte has been received
+	Completed int   // messages that have been received completely
 
-	prefix [5]byte
-	have   int   // bytes of the prefix
-	left   int64 // bytes of the message
+	prefix      [prefixLength]byte
+	prefixBytes int   // received of the prefix
+	remaining   int64 // bytes of the message that have not been received
 }
 
-// ErrMessage is a body that is no sequence of messages; ErrTooLong, a message over the bound.
+// prefixLength is the length of the prefix of a message: a compression flag and the length of the message.
+const prefixLength = 5
+
+// Errors of a body.
 var (
-	ErrMessage = errors.New("the message cannot be read")
-	ErrTooLong = errors.New("the message is over the limit")
+	// ErrBadMessage is a body that is not a sequence of messages.
+	ErrBadMessage = errors.New("the message cannot be read")
+	// ErrMessageTooLong is a message of more than MaxBytes.
+	ErrMessageTooLong = errors.New("the message is over the limit")
 )
 
-// Add takes the next piece.
-func (m *Messages) Add(p []byte) error {
+// Add follows the next piece of the body.
+func (m *MessageFraming) Add(p []byte) error {
 	for len(p) > 0 {
-		if m.left > 0 {
-			n := min(int64(len(p)), m.left)
+		if m.remaining > 0 {
+			n := min(int64(len(p)), m.remaining)
 			p = p[n:]
-			if m.left -= n; m.left == 0 {
-				m.Over++
-				m.have = 0
+			if m.remaining -= n; m.remaining == 0 {
+				m.Completed++
+				m.prefixBytes = 0
 			}
 			continue
 		}
-		if m.have == 0 {
-			m.Begun++
+		if m.prefixBytes == 0 {
+			m.Started++
 		}
-		n := copy(m.prefix[m.have:], p)
-		m.have += n
-		if p = p[n:]; m.have < len(m.prefix) {
+		n := copy(m.prefix[m.prefixBytes:], p)
+		m.prefixBytes += n
+		if p = p[n:]; m.prefixBytes < len(m.prefix) {
 			return nil
 		}
 		if m.prefix[0] > 1 {
-			return fmt.Errorf("%w: its compression flag is %d", ErrMessage, m.prefix[0])
+			return fmt.Errorf("%w: its compression flag is %d", ErrBadMessage, m.prefix[0])
 		}
-		m.left = int64(m.prefix[1])<<24 | int64(m.prefix[2])<<16 | int64(m.prefix[3])<<8 | int64(m.prefix[4])
-		if m.Most > 0 && m.left > m.Most {
-			return ErrTooLong
+		m.remaining = int64(m.prefix[1])<<24 | int64(m.prefix[2])<<16 | int64(m.prefix[3])<<8 | int64(m.prefix[4])
+		if m.MaxBytes > 0 && m.remaining > m.MaxBytes {
+			return ErrMessageTooLong
 		}
-		if m.left == 0 {
-			m.Over++
-			m.have = 0
+		if m.remaining == 0 {
+			m.Completed++
+			m.prefixBytes = 0
 		}
 	}
 	return nil
 }
 
-// Between tells whether what has come ends with a whole message.
-func (m *Messages) Between() bool { return m.have == 0 && m.left == 0 }
+// AtBoundary reports whether what has been received ends with a complete message.
+func (m *MessageFraming) AtBoundary() bool { return m.prefixBytes == 0 && m.remaining == 0 }
