--- a/internal/explore/thin_test.go
+++ b/internal/mesh/modelcheck/thin_test.go
@@ -1,17 +1,17 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"whinknot/internal/tide"
+	"milletmast/internal/mesh/consensus"
 )
 
 // TestThinLinks: configurations of a megabyte over links that take seconds for one, sent again elsewhere while there is no answer, two
 // operators at once. Each number is acknowledged once its body can have reached a second disk, and nothing piles up: no word waits longer
 // than for a few bodies.
-func TestThinLinks(t *testing.T) {
+func TestSlowLinks(t *testing.T) {
 	const size = 1_000_000
 	for _, c := range []struct {
 		machines, rate int
@@ -26,13 +26,13 @@
 	} {
 		once := time.Duration(size) * time.Second / time.Duration(c.rate)
 		each := 3*once + 3*time.Second
-		p := Plan{Seed: 1, Seeds: c.machines, Machines: c.machines, Losses: c.machines / 2, End: 2*time.Second + 3*each, Rate: c.rate}
+		p := Plan{Seed: 1, InitialVoters: c.machines, Machines: c.machines, FaultBudget: c.machines / 2, End: 2*time.Second + 3*each, LinkBytesPerSecond: c.rate}
 		put := func(at time.Duration, i, to int, body string) {
-			o := Order{At: at, Kind: "put", Key: "config", Number: uint64(i + 1), Body: fmt.Sprintf("r%d/%s*%d", i+1, body, size)}
-			for try := range int(each / patience) {
-				o.To = append(o.To, (to+try)%c.machines)
+			o := Command{At: at, Kind: "put", Key: "config", Number: uint64(i + 1), Body: fmt.Sprintf("r%d/%s*%d", i+1, body, size)}
+			for try := range int(each / attemptTimeout) {
+				o.Machines = append(o.Machines, (to+try)%c.machines)
 			}
-			p.Orders = append(p.Orders, o)
+			p.Commands = append(p.Commands, o)
 		}
 		for i := range 3 {
 			at := 2*time.Second + time.Duration(i)*each
@@ -41,27 +41,27 @@
 				put(at, i, i+1, "B")
 			}
 		}
-		w := new(world)
+		w := new(simulation)
 		r := w.begin(p, hooks{})
-		if len(r.Faults) > 0 {
-			t.Errorf("%+v: %v", c, r.Faults)
+		if len(r.Violations) > 0 {
+			t.Errorf("%+v: %v", c, r.Violations)
 		}
 		first := map[uint64]time.Duration{}
 		for _, x := range w.ops {
-			if n := x.order.Number; x.order.Kind == "put" && n <= 3 && x.result.Outcome == tide.Done {
+			if n := x.command.Number; x.command.Kind == "put" && n <= 3 && x.result.Outcome == consensus.Committed {
 				if _, ok := first[n]; !ok {
 					first[n] = x.returned - 2*time.Second - time.Duration(n-1)*each
 				}
 			}
 		}
-		t.Logf("%+v: acknowledged after %v, longest wait %v, %d events", c, first, r.Backlog, r.Events)
+		t.Logf("%+v: acknowledged after %v, longest wait %v, %d events", c, first, r.MaxBacklog, r.Events)
 		for n := range uint64(3) {
 			if d, ok := first[n+1]; !ok || d > c.most {
 				t.Errorf("%+v: number %d was acknowledged after %v (%v)", c, n+1, d, ok)
 			}
 		}
-		if r.Backlog > 4*once {
-			t.Errorf("%+v: a message waited %v", c, r.Backlog)
+		if r.MaxBacklog > 4*once {
+			t.Errorf("%+v: a message waited %v", c, r.MaxBacklog)
 		}
 	}
 }
--- a/internal/berth/berth.go
+++ b/internal/mesh/nodeconfig/settings.go
@@ -1,5 +1,6 @@
-// Package berth reads what the platform tells a process: the settings file that MILLETMAST_NODE_FILE names.
-package berth
+// Package nodeconfig reads the settings of a process: the file of key=value lines that the platform
+// names in MILLETMAST_NODE_FILE.
+package nodeconfig
 
 import (
 	"errors"
@@ -15,56 +16,64 @@
 	"github.com/magiconair/properties"
 )
 
-// Variable names the environment variable that holds the path of the settings file.
-const Variable = "MILLETMAST_NODE_FILE"
+// PathVariable is the environment variable that holds the path of the settings file.
+const PathVariable = "MILLETMAST_NODE_FILE"
 
-// maxFile bounds the settings file in bytes.
-const maxFile = 1 << 20
+// maxFileBytes bounds the settings file.
+const maxFileBytes = 1 << 20
 
 var (
-	space = errorx.NewNamespace("berth")
-	// Unreadable is the type of errors about a settings file that cannot be read at all.
+	space = errorx.NewNamespace("nodeconfig")
+	// Unreadable is the type of errors of a settings file that cannot be read at all.
 	Unreadable = space.NewType("unreadable")
-	// Invalid is the type of errors about a field; each names file, line and field.
+	// Invalid is the type of errors of a field; each names the file, the line and the field.
 	Invalid = space.NewType("invalid")
 )
 
-// Bounds are the figures of the rules in force.
+// Bounds are the bounds of the platform's rules.
 type Bounds struct {
 	SeedLag, AddressReuse, Contact, Ack, CatchUp, Drain, Grace, LossSlack, Converge, RegressSlack, Skew time.Duration
 	RetryWindow, Evacuate, Recovery                                                                     time.Duration
 	RetryRatio, RetrySlack, WarmupExcess, WarmupSlack                                                   float64
 }
 
-// The figures that the times of the system's own talk were chosen by.
+// The bounds for which the time constants of the mesh's own protocols were chosen.
 const (
-	usualContact  = 3 * time.Second
-	usualCatchUp  = 4 * time.Second
-	usualConverge = 2 * time.Second
-	leastPace     = 0.2 // round trips and syncs do not get shorter
+	defaultContact  = 3 * time.Second
+	defaultCatchUp  = 4 * time.Second
+	defaultConverge = 2 * time.Second
+	minTimeScale    = 0.2 // round trips and syncs do not get shorter
 )
 
-// Pace is the part that is left of all times of the system's own talk (silences, beats, looks, turns), where the bounds leave less time than
-// the usual ones to be in touch again, to catch up, or to have a configuration everywhere: 1 at the most. A bound of 0 is not told.
-func (b *Bounds) Pace() float64 {
-	pace := 1.0
-	for _, x := range []struct{ told, usual time.Duration }{{b.Contact, usualContact}, {b.CatchUp, usualCatchUp}, {b.Converge, usualConverge}} {
-		if x.told > 0 {
-			pace = min(pace, float64(x.told)/float64(x.usual))
+// TimeScale returns the factor for all time constants of the mesh's own protocols (timeouts,
+// heartbeats, intervals), below 1 where the bounds leave less time than the default ones for
+// contact, catching up, or convergence of a configuration. A bound of 0 is not given.
+func (b *Bounds) TimeScale() float64 {
+	scale := 1.0
+	bounds := []struct{ given, standard time.Duration }{
+		{b.Contact, defaultContact},
+		{b.CatchUp, defaultCatchUp},
+		{b.Converge, defaultConverge},
+	}
+	for _, x := range bounds {
+		if x.given > 0 {
+			scale = min(scale, float64(x.given)/float64(x.standard))
 		}
 	}
-	return max(pace, leastPace)
+	return max(scale, minTimeScale)
 }
 
-// Paced is a time of the system's own talk, by the pace.
-func (b *Bounds) Paced(d time.Duration) time.Duration { return time.Duration(b.Pace() * float64(d)) }
+// Scale scales a time constant by TimeScale.
+func (b *Bounds) Scale(d time.Duration) time.Duration {
+	return time.Duration(b.TimeScale() * float64(d))
+}
 
-// Settings is what one process is told.
+// Settings are the settings of a process.
 type Settings struct {
 	Path                                  string
 	Node, Role, Class, IP, Zone, Region   string
-	Zones                                 map[string]string // region of each
-	Inbound, Outbound, Readiness, Control string            // addresses; "" where the role serves none
+	Zones                                 map[string]string // region by zone
+	Inbound, Outbound, Readiness, Control string            // addresses; empty where the role serves none
 	PortFrom, PortTo                      int
 	Seeds                                 []string
 	Bootstrap, InQuorum                   bool
@@ -73,27 +82,28 @@
 	StateDir                              string
 	Heartbeat                             time.Duration
 	LocalApp, Target                      string
-	LossMachines, LossZones               int
+	FaultBudgetMachines, FaultBudgetZones int
 	Bounds                                Bounds
 }
 
 // Load reads the settings file that the environment names.
 func Load() (*Settings, error) {
-	path := os.Getenv(Variable)
+	path := os.Getenv(PathVariable)
 	if path == "" {
-		return nil, Unreadable.New("%s is not set", Variable)
+		return nil, Unreadable.New("%s is not set", PathVariable)
 	}
 	return LoadFile(path)
 }
 
-// LoadFile reads a settings file. Unknown fields are left alone; the error names every field that is wrong.
+// LoadFile reads a settings file. Unknown fields are ignored; the error lists every field that is
+// wrong.
 func LoadFile(path string) (*Settings, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, Unreadable.Wrap(err, "%s", path)
 	}
-	if info.Size() > maxFile {
-		return nil, Unreadable.New("%s: %d bytes are more than %d", path, info.Size(), maxFile)
+	if info.Size() > maxFileBytes {
+		return nil, Unreadable.New("%s: %d bytes are more than %d", path, info.Size(), maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -102,7 +112,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads the text of a settings file; path is for errors only.
+// Parse parses the text of a settings file; path is used in errors only.
 func Parse(path string, text []byte) (*Settings, error) {
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	p, err := loader.LoadBytes(text)
@@ -111,14 +121,14 @@
 	}
 	r := reader{path: path, text: string(text), values: p.Map()}
 	s := &Settings{
-		Path: path, Node: r.need("node"), Role: r.values["role"], Class: r.values["machine_class"],
-		IP: r.need("ip"), Zone: r.need("zone"), Region: r.values["region"], Zones: map[string]string{},
+		Path: path, Node: r.required("node"), Role: r.values["role"], Class: r.values["machine_class"],
+		IP: r.required("ip"), Zone: r.required("zone"), Region: r.values["region"], Zones: map[string]string{},
 		Inbound: r.address("bind.inbound"), Outbound: r.address("bind.outbound"), Readiness: r.address("bind.readiness"),
-		Control: r.address("bind.control"), Seeds: r.list("seeds"), Bootstrap: r.truth("bootstrap"), InQuorum: r.truth("in_quorum"),
+		Control: r.address("bind.control"), Seeds: r.list("seeds"), Bootstrap: r.boolean("bootstrap"), InQuorum: r.boolean("in_quorum"),
 		CPU: r.number("limits.cpu_share", 1), MemoryMB: int(r.number("limits.memory_mb", 256)),
 		Descriptors: int(r.number("limits.file_descriptors", 1024)), StateDir: r.values["state_dir"],
 		Heartbeat: r.seconds("heartbeat_s", 1.5), LocalApp: r.address("local_app"), Target: r.values["target"],
-		LossMachines: int(r.number("fault_budget.machines", 1)), LossZones: int(r.number("fault_budget.zones", 0)),
+		FaultBudgetMachines: int(r.number("fault_budget.machines", 1)), FaultBudgetZones: int(r.number("fault_budget.zones", 0)),
 	}
 	for name, region := range r.values {
 		if zone, ok := strings.CutPrefix(name, "zones."); ok {
@@ -130,14 +140,14 @@
 		s.PortFrom, s.PortTo = r.port("ephemeral_ports", ports[0]), r.port("ephemeral_ports", ports[1])
 	}
 	if len(ports) != 2 || s.PortTo < s.PortFrom {
-		r.wrong("ephemeral_ports", "two ports are needed, the first and the last")
+		r.addError("ephemeral_ports", "two ports are needed, the first and the last")
 	}
 	if _, err := netip.ParseAddr(s.IP); err != nil && s.IP != "" {
-		r.wrong("ip", "is no address")
+		r.addError("ip", "is no address")
 	}
 	for _, seed := range s.Seeds {
 		if _, err := netip.ParseAddrPort(seed); err != nil {
-			r.wrong("seeds", "%q is no address and port", seed)
+			r.addError("seeds", "%q is no address and port", seed)
 		}
 	}
 	r.bounds(&s.Bounds)
@@ -147,15 +157,15 @@
 	return s, nil
 }
 
-// reader takes fields out of the file and notes what is wrong with them.
+// reader reads the fields of the file and collects errors.
 type reader struct {
 	path, text string
 	values     map[string]string
 	errs       []error
 }
 
-// wrong notes an error about a field, with its line.
-func (r *reader) wrong(field, format string, args ...any) {
+// addError adds an error about a field, with its line.
+func (r *reader) addError(field, format string, args ...any) {
 	line := 0
 	for i, l := range strings.Split(r.text, "\n") {
 		if name, _, ok := strings.Cut(l, "="); ok && strings.TrimSpace(name) == field {
@@ -165,10 +175,10 @@
 	r.errs = append(r.errs, fmt.Errorf("%s:%d: %s: %s", r.path, line, field, fmt.Sprintf(format, args...)))
 }
 
-func (r *reader) need(field string) string {
+func (r *reader) required(field string) string {
 	v := r.values[field]
 	if v == "" {
-		r.wrong(field, "is missing")
+		r.addError(field, "is missing")
 	}
 	return v
 }
@@ -179,7 +189,7 @@
 		return ""
 	}
 	if _, err := netip.ParseAddrPort(v); err != nil {
-		r.wrong(field, "%q is no address and port", v)
+		r.addError(field, "%q is no address and port", v)
 	}
 	return v
 }
@@ -194,60 +204,60 @@
 	return out
 }
 
-func (r *reader) truth(field string) bool {
+func (r *reader) boolean(field string) bool {
 	v, ok := r.values[field]
 	if !ok {
 		return false
 	}
 	b, err := strconv.ParseBool(v)
 	if err != nil {
-		r.wrong(field, "%q is neither true nor false", v)
+		r.addError(field, "%q is neither true nor false", v)
 	}
 	return b
 }
 
-func (r *reader) number(field string, otherwise float64) float64 {
+func (r *reader) number(field string, fallback float64) float64 {
 	v, ok := r.values[field]
 	if !ok {
-		return otherwise
+		return fallback
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(n >= 0) || n > 1e12 {
-		r.wrong(field, "%q is no number", v)
+		r.addError(field, "%q is no number", v)
 	}
 	return n
 }
 
-func (r *reader) seconds(field string, otherwise float64) time.Duration {
-	return time.Duration(r.number(field, otherwise) * float64(time.Second))
+func (r *reader) seconds(field string, fallback float64) time.Duration {
+	return time.Duration(r.number(field, fallback) * float64(time.Second))
 }
 
 func (r *reader) port(field, text string) int {
 	n, err := strconv.ParseUint(text, 10, 16)
 	if err != nil {
-		r.wrong(field, "%q is no port", text)
+		r.addError(field, "%q is no port", text)
 	}
 	return int(n)
 }
 
-// bounds reads the figures of the rules; those that are not told take the usual ones.
+// bounds reads the bounds; those that are not given have defaults.
 func (r *reader) bounds(b *Bounds) {
-	told := map[string]string{}
+	given := map[string]string{}
 	for _, text := range r.list("bounds") {
 		name, value, ok := strings.Cut(text, "=")
 		if !ok {
-			r.wrong("bounds", "%q is not of the form name=value", text)
+			r.addError("bounds", "%q is not of the form name=value", text)
 		}
-		told[name] = value
+		given[name] = value
 	}
 	figure := func(name string, otherwise float64) float64 {
-		v, ok := told[name]
+		v, ok := given[name]
 		if !ok {
 			return otherwise
 		}
 		n, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(n >= 0) || n > 1e9 {
-			r.wrong("bounds", "%s: %q is no number", name, v)
+			r.addError("bounds", "%s: %q is no number", name, v)
 		}
 		return n
 	}
@@ -266,7 +276,7 @@
 	b.WarmupExcess, b.WarmupSlack = figure("warmup_excess", 1), figure("warmup_slack", 0)
 }
 
-// SeedIPs are the addresses of the machines that the seeds name.
+// SeedIPs returns the IP addresses of the seeds.
 func (s *Settings) SeedIPs() []string {
 	var out []string
 	for _, seed := range s.Seeds {
@@ -277,10 +287,10 @@
 	return out
 }
 
-// At is where a process of the system listens on a machine, by the place of its port.
-func (s *Settings) At(ip string, place int) string {
-	return net.JoinHostPort(ip, strconv.Itoa(s.Port(place)))
+// PeerAddr returns the address of a process on a machine, by the index of its port.
+func (s *Settings) PeerAddr(ip string, index int) string {
+	return net.JoinHostPort(ip, strconv.Itoa(s.Port(index)))
 }
 
-// Port is one of the ports that processes of the system have for their own talk, by its place from 0.
-func (s *Settings) Port(place int) int { return s.PortFrom + place }
+// Port returns one of the ports for the mesh's own protocols, by its index from 0.
+func (s *Settings) Port(index int) int { return s.PortFrom + index }
--- a/internal/berth/berth_test.go
+++ b/internal/mesh/nodeconfig/settings_test.go
@@ -1,4 +1,4 @@
-package berth
+package nodeconfig
 
 import (
 	"strings"
@@ -18,7 +18,7 @@
 later.field=that nobody knows
 `
 
-func TestSettingsAreRead(t *testing.T) {
+func TestParse(t *testing.T) {
 	s, err := Parse("node.conf", []byte(usual))
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestWrongFieldsAreNamedWithFileLineAndField(t *testing.T) {
+func TestInvalidFields(t *testing.T) {
 	for field, wrong := range map[string]string{
 		"ip":               strings.Replace(usual, "ip=127.0.0.1", "ip=here", 1),
 		"seeds":            strings.Replace(usual, "127.0.0.2:8306", "somewhere", 1),
@@ -59,7 +59,7 @@
 }
 
 // With the usual bounds, longer ones, or none told, own talk keeps its times; the shortest bound has them all shortened, down to a least.
-func TestPace(t *testing.T) {
+func TestTimeScale(t *testing.T) {
 	for _, c := range []struct {
 		b    Bounds
 		want float64
@@ -69,9 +69,9 @@
 		{Bounds{Contact: 9 * time.Second, CatchUp: 6 * time.Second, Converge: 5 * time.Second}, 1},
 		{Bounds{Contact: 1500 * time.Millisecond, CatchUp: 4 * time.Second, Converge: 2 * time.Second}, 0.5},
 		{Bounds{Contact: 3 * time.Second, CatchUp: 3 * time.Second, Converge: time.Second}, 0.5},
-		{Bounds{Converge: time.Millisecond}, leastPace},
+		{Bounds{Converge: time.Millisecond}, minTimeScale},
 	} {
-		if got := c.b.Pace(); got != c.want {
+		if got := c.b.TimeScale(); got != c.want {
 			t.Errorf("%+v: %v, want %v", c.b, got, c.want)
 		}
 	}
--- /dev/null
+++ b/internal/mesh/outlier/decide.go
@@ -0,0 +1,110 @@
+package outlier
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+)
+
+// Ejection is an instance that is ejected, or was and has returned.
+type Ejection struct {
+	InstanceID, Service string
+	Count               int // how often it was ejected, this time included
+	Returned            bool
+}
+
+// Decide returns the ejections that are to replace the present ones; changed is false if they stay.
+// EjectedFor tells how long an instance has been ejected. Where more instances of a service look
+// unhealthy than may be ejected, the cause is another, and none is.
+func Decide(
+	limits Limits,
+	now time.Time,
+	instances []Instance,
+	votes []Vote,
+	ejected []Ejection,
+	ejectedFor func(instance string) time.Duration,
+) (next []Ejection, changed bool) {
+	next, changed = updateEjections(limits, instances, ejected, ejectedFor)
+	serving, out := map[string]int{}, map[string]int{} // by service: instances that accept requests, and that are ejected
+	for _, instance := range instances {
+		if instance.Serving {
+			serving[instance.Service]++
+		}
+	}
+	for _, e := range next {
+		if !e.Returned {
+			out[e.Service]++
+		}
+	}
+	agreed := map[string][]Tally{}
+	for _, t := range TallyVotes(limits, now, instances, votes) {
+		at := indexOf(next, t.ID)
+		if t.Serving && !t.ProxyRestarted && limits.QuorumAgrees(&t) && (at < 0 || next[at].Returned) {
+			agreed[t.Service] = append(agreed[t.Service], t)
+		}
+	}
+	for _, service := range slices.Sorted(maps.Keys(agreed)) {
+		tallies := agreed[service]
+		limit := int(limits.MaxEjectedShare * float64(serving[service]))
+		if out[service]+len(tallies) > limit {
+			continue
+		}
+		slices.SortFunc(tallies, func(a, b Tally) int { return cmp.Compare(a.ID, b.ID) })
+		for _, t := range tallies {
+			next, changed = eject(next, t.ID, service), true
+		}
+	}
+	return next, changed
+}
+
+// updateEjections drops the ejections of instances that have ended, and returns those whose time is
+// over to service.
+func updateEjections(
+	limits Limits,
+	instances []Instance,
+	ejected []Ejection,
+	ejectedFor func(instance string) time.Duration,
+) (next []Ejection, changed bool) {
+	known := map[string]bool{}
+	for _, instance := range instances {
+		known[instance.ID] = true
+	}
+	for _, e := range ejected {
+		if !known[e.InstanceID] {
+			changed = true
+			continue
+		}
+		if !e.Returned && ejectedFor(e.InstanceID) >= limits.ejectionTime(e.Count) {
+			e.Returned, changed = true, true
+		}
+		next = append(next, e)
+	}
+	return next, changed
+}
+
+// eject adds an ejection, or renews the one of an instance that has returned.
+func eject(ejections []Ejection, instance, service string) []Ejection {
+	if at := indexOf(ejections, instance); at >= 0 {
+		ejections[at].Count++
+		ejections[at].Returned = false
+		return ejections
+	}
+	return append(ejections, Ejection{InstanceID: instance, Service: service, Count: 1})
+}
+
+// indexOf returns the index of the ejection of an instance; -1 for none.
+func indexOf(ejections []Ejection, instance string) int {
+	return slices.IndexFunc(ejections, func(e Ejection) bool { return e.InstanceID == instance })
+}
+
+// ejectionTime returns how long an instance is ejected for the count-th time.
+func (l *Limits) ejectionTime(count int) time.Duration {
+	d := l.BaseEjectionTime
+	for range count - 1 {
+		if d = 2 * d; d >= l.MaxEjectionTime {
+			return l.MaxEjectionTime
+		}
+	}
+	return d
+}
--- a/internal/watch/watch_test.go
+++ b/internal/mesh/peerwatch/watcher_test.go
@@ -1,4 +1,4 @@
-package watch
+package peerwatch
 
 import (
 	"fmt"
@@ -18,13 +18,13 @@
 }
 
 // One that goes changes only the places that it had, and nobody is watched by nobody in a fleet of some size.
-func TestWhoWatchesWhom(t *testing.T) {
+func TestSelectPeers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := fleet(rapid.IntRange(2, 40).Draw(t, "size"))
 		gone := all[rapid.IntRange(0, len(all)-1).Draw(t, "gone")]
 		left := slices.DeleteFunc(slices.Clone(all), func(n Node) bool { return n == gone })
 		for _, me := range left {
-			before, after := Choose(me, all, 3), Choose(me, left, 3)
+			before, after := SelectPeers(me, all, 3), SelectPeers(me, left, 3)
 			if slices.Contains(before, me.Name) || len(before) != min(3, len(all)-1) {
 				t.Fatalf("%s watches %v", me.Name, before)
 			}
@@ -37,7 +37,7 @@
 	by := map[string]int{}
 	for _, me := range all {
 		far := false
-		for _, name := range Choose(me, all, 3) {
+		for _, name := range SelectPeers(me, all, 3) {
 			by[name]++
 			far = far || all[slices.IndexFunc(all, func(n Node) bool { return n.Name == name })].Zone != me.Zone
 		}
@@ -50,26 +50,26 @@
 	}
 }
 
-func TestThoseThatFallSilentTurnQuietOnce(t *testing.T) {
+func TestNewlySilentOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	w := NewWatch(time.Second)
-	if come, gone := w.Set(now, []string{"a", "b"}); len(come) != 2 || len(gone) != 0 {
+	w := NewWatcher(time.Second)
+	if come, gone := w.SetPeers(now, []string{"a", "b"}); len(come) != 2 || len(gone) != 0 {
 		t.Fatal(come, gone)
 	}
 	now = now.Add(900 * time.Millisecond)
-	w.Heard(now, "a")
+	w.HeardFrom(now, "a")
 	now = now.Add(200 * time.Millisecond)
-	if got := w.Quiet(now); !slices.Equal(got, []string{"b"}) || !w.Fresh("a") || w.Fresh("b") {
+	if got := w.NewlySilent(now); !slices.Equal(got, []string{"b"}) || !w.IsHealthy("a") || w.IsHealthy("b") {
 		t.Fatalf("quiet: %v", got)
 	}
-	if got := w.Quiet(now); len(got) > 0 {
+	if got := w.NewlySilent(now); len(got) > 0 {
 		t.Fatalf("quiet again: %v", got)
 	}
-	w.Heard(now, "b")
-	if !w.Fresh("b") {
+	w.HeardFrom(now, "b")
+	if !w.IsHealthy("b") {
 		t.Fatal("one that answers again is not fresh")
 	}
-	if come, gone := w.Set(now, []string{"b", "c"}); !slices.Equal(come, []string{"c"}) || !slices.Equal(gone, []string{"a"}) {
+	if come, gone := w.SetPeers(now, []string{"b", "c"}); !slices.Equal(come, []string{"c"}) || !slices.Equal(gone, []string{"a"}) {
 		t.Fatal(come, gone)
 	}
 }
--- a/internal/shore/shore_test.go
+++ b/internal/mesh/process/process_test.go
@@ -1,4 +1,4 @@
-package shore
+package process
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"github.com/rs/zerolog"
 
-	"whinknot/internal/berth"
+	"milletmast/internal/mesh/nodeconfig"
 )
 
 // drainer is a process that, once it is told to end, has something left to finish.
@@ -20,7 +20,7 @@
 	changed chan bool
 }
 
-func (d *drainer) Changed(*berth.Settings) { d.changed <- true }
+func (d *drainer) SettingsChanged(*nodeconfig.Settings) { d.changed <- true }
 
 func (d *drainer) Run(ctx context.Context) error {
 	d.signal(syscall.SIGHUP)
@@ -46,15 +46,15 @@
 }
 
 // A hangup that comes while a process finishes what it has does not end it; one before has the settings read again.
-func TestAHangupDoesNotEndAProcessThatDrains(t *testing.T) {
+func TestHangupDoesNotEndADrainingProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.conf")
 	text := "node=a\nip=127.0.0.1\nzone=z\nseeds=127.0.0.1:8306\nephemeral_ports=7620,7635\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv(berth.Variable, path)
+	t.Setenv(nodeconfig.PathVariable, path)
 	d := &drainer{t, make(chan bool, 4)}
-	code := Execute("test", []string{"run"}, func(*berth.Settings, zerolog.Logger) (Process, error) { return d, nil })
+	code := Execute("test", []string{"run"}, func(*nodeconfig.Settings, zerolog.Logger) (Process, error) { return d, nil })
 	if code != 0 {
 		t.Fatal(fmt.Sprint("exit code ", code))
 	}
--- /dev/null
+++ b/internal/mesh/proxy/bodybudget.go
@@ -0,0 +1,41 @@
+package proxy
+
+import (
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"milletmast/internal/sidecar"
+)
+
+const (
+	bodyMemoryFraction = 0.25      // of the memory limit, for all large bodies together
+	smallBodyBytes     = 256 << 10 // bodies up to this size are not counted
+	bodyRetryAfter     = time.Second
+)
+
+// bodyBudget bounds the memory of the large bodies that a proxy holds.
+type bodyBudget struct{ left atomic.Int64 }
+
+// reserve reserves memory for the body of a request until that ends. It returns the largest body to
+// accept, or the reply if there is no memory now: nothing of the body was read then.
+func (b *bodyBudget) reserve(req *sidecar.IncomingRequest, limit int64) (int64, *sidecar.Reply) {
+	if req.Length >= 0 && req.Length <= smallBodyBytes {
+		return limit, nil
+	}
+	n := req.Length
+	if n < 0 { // in chunks: the length is not known
+		n = min(limit, max(b.left.Load()/8, smallBodyBytes))
+		limit = n
+	}
+	if b.left.Add(-n) < 0 {
+		b.left.Add(n)
+		return 0, &sidecar.Reply{
+			Status:     http.StatusServiceUnavailable,
+			RetryAfter: bodyRetryAfter,
+			Body:       []byte("too many large bodies are under way\n"),
+		}
+	}
+	req.Release = func() { b.left.Add(n) }
+	return limit, nil
+}
--- /dev/null
+++ b/internal/mesh/proxy/config.go
@@ -0,0 +1,77 @@
+package proxy
+
+import (
+	"time"
+
+	"milletmast/internal/mesh/discovery"
+	"milletmast/internal/mesh/meshconfig"
+)
+
+// applyChange applies a change of the discovery state.
+func (p *Proxy) applyChange(changed discovery.Change) {
+	if trust := p.state.Trust(); trust != p.loggedTrust {
+		p.loggedTrust = trust
+		log := p.log.Info()
+		if trust == discovery.Uncertain {
+			log = p.log.Warn()
+		}
+		_, version := p.state.Config()
+		log.Stringer("trust", trust).Uint64("version", version).Msg("change trust level")
+	}
+	if changed.Config {
+		p.applyConfig()
+		p.controlPlanes.announceConfig()
+	}
+	if changed.Zones || changed.Config {
+		p.inbound.applyEjection(p.state)
+		p.inbound.applyEvacuation(p.state.Evacuation(p.settings.Zone), p.routing.Load().config)
+	}
+	if changed.Nodes || changed.Zones || changed.Config {
+		p.updateEndpoints()
+	}
+}
+
+// applyConfig compiles and applies the present configuration.
+func (p *Proxy) applyConfig() {
+	text, version := p.state.Config()
+	c, err := meshconfig.Parse(text)
+	if err != nil { // the configuration store has validated it, perhaps in another version of this program
+		p.log.Error().Err(err).Uint64("version", version).Msg("reject configuration")
+		return
+	}
+	services := make(map[string]*upstreamService, len(c.Services))
+	for name := range c.Services {
+		service := p.services[name]
+		if service == nil {
+			service = newUpstreamService(p, name)
+			p.services[name] = service
+		}
+		service.configure(c)
+		services[name] = service
+	}
+	first := p.routing.Load().config == nil
+	p.routing.Store(&routing{config: c, services: services})
+	if first {
+		close(p.configured)
+	}
+	p.log.Info().Uint64("version", c.Version).Int("routes", len(c.Routes)).Msg("apply configuration")
+}
+
+// avoid sends no requests to an instance for a while, as its proxy said that it accepts none.
+func (p *Proxy) avoid(instanceID string) {
+	if p.avoided[instanceID].IsZero() {
+		p.avoided[instanceID] = time.Now().Add(avoidTime)
+		p.updateEndpoints()
+	}
+}
+
+const avoidTime = time.Second
+
+// updateEndpoints updates the endpoints of every service.
+func (p *Proxy) updateEndpoints() {
+	nodes := p.state.Nodes()
+	p.inbound.guessCapacity(nodes)
+	for _, service := range p.services {
+		service.updateEndpoints(nodes)
+	}
+}
--- /dev/null
+++ b/internal/mesh/proxy/controlplanes.go
@@ -0,0 +1,347 @@
+package proxy
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"milletmast/internal/mesh/controlplane"
+	"milletmast/internal/mesh/discovery"
+	discoverywire "milletmast/internal/mesh/discovery/wire"
+	"milletmast/internal/mesh/nodeconfig"
+	"milletmast/internal/mesh/registry"
+	"milletmast/internal/mesh/transport"
+	"milletmast/internal/namehash"
+)
+
+const (
+	heartbeatInterval  = 800 * time.Millisecond // between two messages to a control plane
+	linkIdleTimeout    = 2200 * time.Millisecond
+	linkQueueLength    = 64                    // messages that a control plane has not taken
+	maxLinks           = 3                     // control planes that are connected at once
+	maxSearchLinks     = 11                    // while none of them has contact with a quorum
+	searchAfter        = linkIdleTimeout / 2   // without contact, others are tried too
+	firstBackoff       = 25 * time.Millisecond // before a control plane is retried
+	maxBackoff         = 250 * time.Millisecond
+	configRequestDelay = 60 * time.Millisecond // for the primary control plane to send the configuration unasked
+	configRequestRetry = 300 * time.Millisecond
+)
+
+// controlPlaneLinks are the connections to control planes. They are owned by the proxy's loop.
+type controlPlaneLinks struct {
+	proxy            *Proxy
+	settings         *nodeconfig.Settings
+	scale            func(time.Duration) time.Duration // scales a time by the settings at the start
+	zones            map[string]string                 // by address of the machine; empty where it is not known
+	active           map[string]*controlPlaneLink
+	retryAt          map[string]time.Time // by address
+	backoffs         map[string]*transport.Backoff
+	announcedPrimary string    // the primary control plane, as announced last
+	lastContact      time.Time // when one with contact was last connected; the start at first
+}
+
+type controlPlaneLink struct {
+	ip         string
+	conn       *transport.Conn // nil while it is being opened
+	outbox     *transport.Outbox
+	lastSent   time.Time
+	lastUpdate uint64
+}
+
+func newControlPlaneLinks(p *Proxy) *controlPlaneLinks {
+	return &controlPlaneLinks{
+		proxy:       p,
+		settings:    p.settings,
+		scale:       p.settings.Bounds.Scale,
+		zones:       map[string]string{},
+		active:      map[string]*controlPlaneLink{},
+		retryAt:     map[string]time.Time{},
+		backoffs:    map[string]*transport.Backoff{},
+		lastContact: time.Now(),
+	}
+}
+
+func (l *controlPlaneLinks) addSeeds() { l.proxy.loop.Post(func() { l.applySettings(l.settings) }) }
+
+// applySettings applies settings that were read again.
+func (l *controlPlaneLinks) applySettings(settings *nodeconfig.Settings) {
+	l.settings = settings
+	for _, ip := range settings.SeedIPs() {
+		l.zones[ip] += "" // a known zone stays
+	}
+	l.tick()
+}
+
+// ranked returns the machines of the core in order of preference.
+func (l *controlPlaneLinks) ranked() []string {
+	var out []string
+	for ip := range l.zones {
+		out = append(out, ip)
+	}
+	rank := func(ip string) uint64 { return namehash.Hash(ip + "|" + l.settings.Node) }
+	far := func(ip string) int {
+		if l.zones[ip] == l.settings.Zone {
+			return 0
+		}
+		return 1
+	}
+	slices.SortFunc(out, func(a, b string) int {
+		return cmp.Or(cmp.Compare(far(a), far(b)), cmp.Compare(rank(a), rank(b)))
+	})
+	return out
+}
+
+// tick opens connections while there are too few, closes surplus ones, and sends heartbeats.
+func (l *controlPlaneLinks) tick() {
+	now := time.Now()
+	order := l.ranked()
+	limit := l.limit(now)
+	for _, ip := range order {
+		if len(l.active) >= limit {
+			break
+		}
+		if l.active[ip] == nil && now.After(l.retryAt[ip]) {
+			l.connect(ip)
+		}
+	}
+	l.preferLocal(order, now)
+	if k := l.surplus(order, limit); k != nil {
+		k.conn.Close()
+	}
+	for _, k := range l.active {
+		if k.conn != nil && now.Sub(k.lastSent) >= l.scale(heartbeatInterval)-tickInterval/2 {
+			l.send(k, l.message(k))
+		}
+	}
+}
+
+// limit returns how many control planes to connect to: more while none of them has contact with a
+// quorum, as one that has may be among the less preferred.
+func (l *controlPlaneLinks) limit(now time.Time) int {
+	for ip, k := range l.active {
+		if k.conn != nil && l.proxy.state.HasContact(ip) {
+			l.lastContact = now
+		}
+	}
+	if now.Sub(l.lastContact) < l.scale(searchAfter) {
+		return maxLinks
+	}
+	return maxSearchLinks
+}
+
+// surplus returns the connection to close, if there are too many: the least preferred of those
+// without contact, or else of all.
+func (l *controlPlaneLinks) surplus(order []string, limit int) (farthest *controlPlaneLink) {
+	if len(l.active) <= limit {
+		return nil
+	}
+	for _, ip := range slices.Backward(order) {
+		k := l.active[ip]
+		if k == nil || k.conn == nil {
+			continue
+		}
+		if !l.proxy.state.HasContact(ip) {
+			return k
+		}
+		if farthest == nil {
+			farthest = k
+		}
+	}
+	return farthest
+}
+
+// preferLocal replaces the least preferred connection, if there is none to a reachable machine of
+// the own zone.
+func (l *controlPlaneLinks) preferLocal(order []string, now time.Time) {
+	if len(order) == 0 || l.zones[order[0]] != l.settings.Zone || l.active[order[0]] != nil || now.Before(l.retryAt[order[0]]) ||
+		len(l.active) < maxLinks {
+		return
+	}
+	for _, ip := range slices.Backward(order) {
+		if k := l.active[ip]; k != nil && k.conn != nil {
+			l.connect(order[0])
+			k.conn.Close()
+			return
+		}
+	}
+}
+
+// primary returns the primary control plane, which sends the nodes and whole configurations: the
+// most preferred connected one, if possible with contact.
+func (l *controlPlaneLinks) primary() string {
+	first := ""
+	for _, ip := range l.ranked() {
+		if k := l.active[ip]; k != nil && k.conn != nil {
+			if l.proxy.state.HasContact(ip) {
+				return ip
+			}
+			first = cmp.Or(first, ip)
+		}
+	}
+	return first
+}
+
+// announcePrimary informs the control planes that became and that was the primary one.
+func (l *controlPlaneLinks) announcePrimary() {
+	now := l.primary()
+	if now == l.announcedPrimary {
+		return
+	}
+	was := l.announcedPrimary
+	l.announcedPrimary = now
+	for _, ip := range []string{now, was} {
+		if k := l.active[ip]; k != nil && k.conn != nil {
+			l.send(k, l.message(k))
+		}
+	}
+}
+
+// message returns what every message to a control plane contains.
+func (l *controlPlaneLinks) message(k *controlPlaneLink) *discovery.ProxyMessage {
+	_, version := l.proxy.state.Config()
+	return &discovery.ProxyMessage{
+		AckedUpdate:   k.lastUpdate,
+		ConfigVersion: version,
+		Primary:       k.ip == l.primary(),
+		WantLastKnown: l.proxy.state.WantsLastKnown(time.Now()),
+	}
+}
+
+func (l *controlPlaneLinks) connect(ip string) {
+	k := &controlPlaneLink{ip: ip}
+	l.active[ip] = k
+	p := l.proxy
+	p.goroutines.Go(func() {
+		conn, err := transport.Dial(p.ctx, controlplane.Address(ip, l.settings), l.scale(linkIdleTimeout))
+		if err == nil {
+			defer conn.Close()
+			err = conn.Send(discoverywire.FromHandshake(&discovery.Handshake{ProxyNode: l.settings.Node}))
+		}
+		if err != nil {
+			p.loop.Post(func() { l.lost(k) })
+			return
+		}
+		out := transport.NewOutbox(conn, linkQueueLength)
+		p.goroutines.Go(out.Run)
+		p.loop.Post(func() {
+			k.conn, k.outbox = conn, out
+			if pause := l.backoffs[ip]; pause != nil {
+				pause.Reset()
+			}
+			sheet := p.record
+			msg := l.message(k)
+			msg.Record = &sheet
+			l.send(k, msg)
+			l.announcePrimary()
+		})
+		for {
+			var encoded discoverywire.Down
+			if err = conn.Receive(&encoded); err != nil {
+				break
+			}
+			d := encoded.ControlMessage()
+			p.loop.Post(func() { l.handleMessage(k, d) })
+		}
+		p.loop.Post(func() {
+			k.conn = nil
+			l.lost(k)
+		})
+	})
+}
+
+// send queues a message. A control plane that does not take its messages is disconnected.
+func (l *controlPlaneLinks) send(k *controlPlaneLink, msg *discovery.ProxyMessage) {
+	if k.outbox.Send(discoverywire.FromProxyMessage(msg)) {
+		k.lastSent = time.Now()
+	}
+}
+
+// announceRecord sends a record to all control planes.
+func (l *controlPlaneLinks) announceRecord(record registry.NodeRecord) {
+	for _, k := range l.active {
+		if k.conn != nil {
+			msg := l.message(k)
+			msg.Record = &record
+			l.send(k, msg)
+		}
+	}
+}
+
+// announceConfig informs all control planes that another version is in use: commands wait for that.
+func (l *controlPlaneLinks) announceConfig() {
+	for _, k := range l.active {
+		if k.conn != nil {
+			l.send(k, l.message(k))
+		}
+	}
+}
+
+// handleMessage applies a message and acknowledges it.
+func (l *controlPlaneLinks) handleMessage(k *controlPlaneLink, msg *discovery.ControlMessage) {
+	if msg.MinIncarnation >= l.proxy.record.Incarnation {
+		l.proxy.record.Incarnation = msg.MinIncarnation + 1
+		l.proxy.announce()
+	}
+	if msg.Poll != nil {
+		l.proxy.observer.setPolled(k.ip, msg.Poll.Instances)
+	}
+	for _, m := range msg.ControlPlanes {
+		l.zones[m.IP] = m.Zone
+	}
+	l.proxy.applyChange(l.proxy.state.HandleControlMessage(time.Now(), k.ip, msg))
+	l.announcePrimary()
+	if msg.Sequence > 0 {
+		k.lastUpdate = msg.Sequence
+		if k.conn != nil {
+			l.send(k, l.message(k))
+		}
+	}
+	if l.proxy.state.LacksConfig(k.ip) {
+		l.proxy.loop.PostAfter(configRequestDelay, func() { l.requestConfig(k) })
+	}
+}
+
+// requestConfig requests the configuration that a control plane has announced, until it has
+// arrived.
+func (l *controlPlaneLinks) requestConfig(k *controlPlaneLink) {
+	if l.active[k.ip] == k && k.conn != nil && l.proxy.state.LacksConfig(k.ip) {
+		msg := l.message(k)
+		msg.WantConfig = true
+		l.send(k, msg)
+		l.proxy.loop.PostAfter(configRequestRetry, func() { l.requestConfig(k) })
+	}
+}
+
+// sendOpinions sends the opinions about instances to one control plane.
+func (l *controlPlaneLinks) sendOpinions(now time.Time) {
+	opinions := l.proxy.observer.opinions(now)
+	if len(opinions) == 0 {
+		return
+	}
+	for _, k := range l.active {
+		if k.conn != nil {
+			msg := l.message(k)
+			msg.Opinions = opinions
+			l.send(k, msg)
+			return // control planes exchange them
+		}
+	}
+}
+
+// lost handles the loss of a connection.
+func (l *controlPlaneLinks) lost(k *controlPlaneLink) {
+	if l.active[k.ip] != k {
+		return
+	}
+	now := time.Now()
+	delete(l.active, k.ip)
+	if l.backoffs[k.ip] == nil {
+		l.backoffs[k.ip] = &transport.Backoff{Min: firstBackoff, Max: maxBackoff}
+	}
+	pause := l.backoffs[k.ip].Next()
+	l.retryAt[k.ip] = now.Add(pause)
+	l.proxy.loop.PostAfter(pause+time.Millisecond, l.tick)
+	l.proxy.applyChange(discovery.Change{Nodes: l.proxy.state.ControlPlaneLost(now, k.ip)})
+	l.announcePrimary()
+	l.tick()
+}
--- /dev/null
+++ b/internal/mesh/proxy/healthcheck.go
@@ -0,0 +1,101 @@
+package proxy
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	"milletmast/internal/exchange"
+	"milletmast/internal/mesh/admission"
+	"milletmast/internal/sidecar"
+)
+
+// checkHealth probes an endpoint that is not known or does not answer.
+func (ep *inboundEndpoint) checkHealth() {
+	ep.mu.Lock()
+	state, _ := ep.controller.State()
+	warm := ep.controller.WarmupLeft(time.Now()) == 0
+	ep.mu.Unlock()
+	if state == admission.Unknown || state == admission.Down {
+		ep.probe()
+	}
+	if e := ep.proxy.record.Endpoint; e != nil && e.WarmupLeft > 0 && warm {
+		ep.publishRecord() // proxies that start later must not take it for warming up
+	}
+}
+
+// probe sends a health check, unless one was sent just before.
+func (ep *inboundEndpoint) probe() {
+	ep.mu.Lock()
+	ok := ep.probePath != "" && !ep.probing && time.Since(ep.lastProbe) > probeInterval
+	path := ep.probePath
+	if ok {
+		ep.probing, ep.lastProbe = true, time.Now()
+		if ep.instanceCount == 0 {
+			ep.pool.SetServer(ep.proxy.settings.LocalApp, 0)
+		}
+	}
+	ep.mu.Unlock()
+	if !ok {
+		return
+	}
+	ep.proxy.goroutines.Go(func() {
+		head := func(time.Duration) []byte {
+			return []byte("GET " + path + " HTTP/1.1\r\nHost: " + ep.proxy.settings.LocalApp + "\r\n")
+		}
+		fate, r := ep.pool.RoundTrip(
+			ep.proxy.ctx,
+			&sidecar.Exchange{Head: head, OmitLength: true, MaxReplyBytes: 64 << 10},
+			time.Now().Add(probeTimeout),
+		)
+		ep.proxy.loop.Post(func() { ep.handleProbe(fate, r) })
+	})
+}
+
+// handleProbe handles the result of a health check.
+func (ep *inboundEndpoint) handleProbe(fate exchange.Outcome, r *sidecar.Reply) {
+	ep.mu.Lock()
+	ep.probing = false
+	state, instanceID := ep.controller.State()
+	changed := false
+	switch {
+	case fate == exchange.NotWritten:
+		if state == admission.Serving {
+			changed = ep.setState(instanceID, admission.Down)
+		}
+	case fate == exchange.Completed && r.Header.Get(instanceHeader) != "":
+		id := r.Header.Get(instanceHeader)
+		if r.Status == http.StatusOK && (state == admission.Unknown || state == admission.Down || id != instanceID) {
+			changed = ep.setState(id, admission.Serving)
+		}
+		if _, now := ep.controller.State(); now == id {
+			if ep.service == "" {
+				ep.service = ep.proxy.serviceName()
+			}
+			left, told := parseWarmupLeft(r.Header)
+			if told {
+				changed = changed || left > ep.controller.WarmupLeft(time.Now())+tickInterval
+				ep.controller.Report(time.Now(), ep.controller.Capacity(), left)
+			}
+		}
+		ep.connectFailures = 0
+	}
+	ep.mu.Unlock()
+	ep.processQueue()
+	if changed {
+		ep.publishRecord()
+	}
+}
+
+// parseWarmupLeft returns for how long an endpoint is warming up. A number above maxWarmup in
+// seconds is taken as milliseconds.
+func parseWarmupLeft(h http.Header) (time.Duration, bool) {
+	n, err := strconv.ParseFloat(h.Get(warmupHeader), 64)
+	if err != nil || !(n >= 0) || n > 1e9 {
+		return 0, err == nil
+	}
+	if d := time.Duration(n * float64(time.Second)); d <= maxWarmup {
+		return d, true
+	}
+	return time.Duration(n * float64(time.Millisecond)), true
+}
--- /dev/null
+++ b/internal/mesh/proxy/inbound.go
@@ -0,0 +1,230 @@
+package proxy
+
+import (
+	"sync"
+	"time"
+
+	"milletmast/internal/mesh/admission"
+	"milletmast/internal/mesh/controlapi"
+	"milletmast/internal/mesh/controlstate"
+	"milletmast/internal/mesh/discovery"
+	"milletmast/internal/mesh/meshconfig"
+	"milletmast/internal/mesh/registry"
+	"milletmast/internal/sidecar"
+)
+
+const (
+	maxBodyBytes    = 64 << 20
+	probeTimeout    = time.Second
+	probeInterval   = 300 * time.Millisecond // while the endpoint does not answer
+	poolIdleTimeout = 8 * time.Second
+	localLatency    = 5 * time.Millisecond
+	maxWarmup       = time.Minute // a longer warm-up time is taken as milliseconds
+)
+
+// inboundEndpoint is the endpoint beside this proxy: its admission control and the connections to
+// it.
+type inboundEndpoint struct {
+	proxy *Proxy
+	pool  *sidecar.SingleServerPool
+
+	mu                 sync.Mutex
+	controller         *admission.Controller
+	queued             map[*admission.Ticket]chan admission.Decision
+	timer              *time.Timer
+	probePath          string // of the health check
+	heartbeatSequences map[string]uint64
+	connectFailures    int // requests in a row that could not be sent to the endpoint
+	probing            bool
+	lastProbe          time.Time
+	instanceCount      float64 // number of instances seen
+	service            string
+	wasEvacuated       bool // at the last evacuation order
+	wasEjected         bool // the endpoint was ejected
+}
+
+func newInboundEndpoint(p *Proxy) *inboundEndpoint {
+	ep := &inboundEndpoint{proxy: p, queued: map[*admission.Ticket]chan admission.Decision{}, heartbeatSequences: map[string]uint64{}}
+	ep.controller = admission.New(ep.limits(nil))
+	ep.pool = sidecar.NewSingleServerPool(p.settings.Descriptors/4, poolIdleTimeout)
+	ep.timer = time.AfterFunc(time.Hour, ep.processQueue)
+	return ep
+}
+
+// limits returns the limits of the admission control.
+func (ep *inboundEndpoint) limits(c *meshconfig.Config) admission.Limits {
+	b := &ep.proxy.settings.Bounds
+	out := admission.Limits{Drain: b.Drain, WarmupExcess: b.WarmupExcess, WarmupSlack: b.WarmupSlack}
+	if c != nil {
+		if s := c.Services[ep.proxy.serviceName()]; s != nil {
+			out.WarmupRate, out.MaxConns = s.WarmupRate, s.MaxConns
+		}
+	}
+	return out
+}
+
+// applyEvacuation applies an evacuation order and a configuration.
+func (ep *inboundEndpoint) applyEvacuation(order controlstate.Evacuation, c *meshconfig.Config) {
+	ep.mu.Lock()
+	ep.controller.SetLimits(ep.limits(c))
+	ep.controller.SetEvacuation(order.Version.Number, order.Active)
+	evacuated := ep.controller.IsEvacuated()
+	if c != nil {
+		if s := c.Services[ep.proxy.serviceName()]; s != nil {
+			ep.probePath = s.ProbePath
+		}
+	}
+	if ep.wasEvacuated && !evacuated {
+		ep.lastProbe = time.Time{}
+	}
+	ep.wasEvacuated = evacuated
+	state, _ := ep.controller.State()
+	ep.mu.Unlock()
+	ep.processQueue()
+	if state == admission.Unknown || !evacuated {
+		ep.probe()
+	}
+}
+
+// applyEjection notes that the endpoint has returned from an ejection: it is treated as warming up.
+func (ep *inboundEndpoint) applyEjection(state *discovery.ClientState) {
+	ep.mu.Lock()
+	defer ep.mu.Unlock()
+	_, instanceID := ep.controller.State()
+	ejection, ok := state.Ejection(instanceID)
+	if ok && ejection.Returned && ep.wasEjected {
+		ep.controller.AssumeWarmingUp()
+	}
+	ep.wasEjected = ok && !ejection.Returned
+}
+
+// heartbeat applies a heartbeat of the endpoint. It is acknowledged once admission control has
+// applied it.
+func (ep *inboundEndpoint) heartbeat(h *controlapi.Heartbeat) {
+	e := h.Endpoint
+	ep.mu.Lock()
+	if last, ok := ep.heartbeatSequences[e.ID]; ok && h.Sequence < last {
+		ep.mu.Unlock()
+		return // a late heartbeat
+	}
+	if len(ep.heartbeatSequences) > 64 {
+		clear(ep.heartbeatSequences)
+	}
+	ep.heartbeatSequences[e.ID] = h.Sequence
+	state := admission.Serving
+	if e.State == registry.Draining {
+		state = admission.Draining
+	}
+	changed := ep.setState(e.ID, state)
+	if _, current := ep.controller.State(); current == e.ID {
+		was := ep.controller.WarmupLeft(time.Now())
+		changed = changed || e.WarmupLeft > was+tickInterval || ep.controller.Capacity() != e.Capacity
+		ep.controller.Report(time.Now(), e.Capacity, e.WarmupLeft)
+		ep.service = e.Target
+	}
+	ep.mu.Unlock()
+	ep.processQueue()
+	if changed {
+		ep.publishRecord()
+	}
+}
+
+// setState changes the state of an instance, and connects to a new one. ep.mu is held.
+func (ep *inboundEndpoint) setState(instanceID string, to admission.State) bool {
+	_, before := ep.controller.State()
+	changed := ep.controller.SetState(time.Now(), instanceID, to)
+	if _, now := ep.controller.State(); now != before {
+		ep.instanceCount++
+		ep.pool.SetServer(ep.proxy.settings.LocalApp, ep.instanceCount)
+		ep.connectFailures = 0
+	}
+	if changed {
+		ep.proxy.log.Info().Str("endpoint", instanceID).Str("state", to.String()).Msg("change endpoint state")
+	}
+	return changed
+}
+
+// deregister handles the end of an instance.
+func (ep *inboundEndpoint) deregister(id string) {
+	ep.mu.Lock()
+	changed := ep.setState(id, admission.Gone)
+	ep.mu.Unlock()
+	ep.processQueue()
+	if changed {
+		ep.publishRecord()
+	}
+}
+
+// publishRecord publishes what is known of the endpoint. It runs in the proxy's loop.
+func (ep *inboundEndpoint) publishRecord() {
+	ep.mu.Lock()
+	state, instanceID := ep.controller.State()
+	e := &registry.Endpoint{
+		ID:         instanceID,
+		Target:     ep.service,
+		Capacity:   ep.controller.Capacity(),
+		WarmupLeft: ep.controller.WarmupLeft(time.Now()),
+	}
+	ep.mu.Unlock()
+	switch state {
+	case admission.Unknown:
+		e = nil
+	case admission.Serving:
+		e.State = registry.Serving
+	case admission.Draining:
+		e.State = registry.Draining
+	default:
+		e.State = registry.Gone
+	}
+	ep.proxy.record.Endpoint = e
+	ep.proxy.announce()
+}
+
+// guessCapacity guesses the capacity of the endpoint from the records of other proxies: what an
+// earlier process of this proxy reported of the same instance, or else the smallest capacity at its
+// service. It runs in the proxy's loop.
+func (ep *inboundEndpoint) guessCapacity(nodes []discovery.Node) {
+	ep.mu.Lock()
+	defer ep.mu.Unlock()
+	_, instanceID := ep.controller.State()
+	least := 0
+	for i := range nodes {
+		e := nodes[i].Endpoint
+		switch {
+		case e == nil || e.Capacity <= 0:
+		case e.ID == instanceID:
+			ep.controller.GuessCapacity(e.Capacity)
+			return
+		case e.Target == ep.proxy.serviceName() && (least == 0 || e.Capacity < least):
+			least = e.Capacity
+		}
+	}
+	if least > 0 {
+		ep.controller.GuessCapacity(least)
+	}
+}
+
+// shutdown stops admitting requests at a time.
+func (ep *inboundEndpoint) shutdown(from time.Time) {
+	ep.mu.Lock()
+	defer ep.mu.Unlock()
+	ep.controller.Shutdown(from)
+}
+
+// processQueue delivers the outcomes of queued requests.
+func (ep *inboundEndpoint) processQueue() {
+	ep.mu.Lock()
+	defer ep.mu.Unlock()
+	ep.processQueueLocked()
+}
+
+func (ep *inboundEndpoint) processQueueLocked() {
+	out, at := ep.controller.ProcessQueue(time.Now())
+	for _, d := range out {
+		ep.queued[d.Ticket] <- d.Decision
+		delete(ep.queued, d.Ticket)
+	}
+	if !at.IsZero() {
+		ep.timer.Reset(time.Until(at))
+	}
+}
--- a/internal/pilot/lies_test.go
+++ b/internal/mesh/proxy/lies_test.go
@@ -1,4 +1,4 @@
-package pilot
+package proxy
 
 import (
 	"bufio"
@@ -15,11 +15,11 @@
 	"testing"
 	"time"
 
-	"whinknot/internal/rules"
-	"whinknot/internal/standin"
+	"milletmast/internal/fakeserver"
+	"milletmast/internal/rules"
 )
 
-// A measurement is `go test ./internal/pilot -run TestNoLieIsPassedOn -exchanges 100000 -lies 7`.
+// A measurement is `go test ./internal/mesh/proxy -run TestNoLieIsPassedOn -exchanges 100000 -lies 7`.
 var (
 	exchanges = flag.Int("exchanges", 1500, "requests that are sent through the mesh to endpoints that lie and die")
 	lies      = flag.Uint64("lies", 1, "seed of what they do, and the clients")
@@ -58,40 +58,40 @@
 		body = fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 	}
 	text := head + body
-	c.facts.Asked(id, method != "GET")
-	c.conn.SetDeadline(time.Now().Add(3 * time.Second))
+	c.facts.RecordRequest(id, method != "GET")
+	_ = c.conn.SetDeadline(time.Now().Add(3 * time.Second))
 	switch c.r.IntN(25) {
 	case 0: // a part of it, and the end
-		c.conn.Write([]byte(text[:c.r.IntN(len(text))]))
+		_, _ = c.conn.Write([]byte(text[:c.r.IntN(len(text))]))
 		c.drop()
-		c.facts.Never(id, "nothing, as it sent a part only")
+		c.facts.RecordNotExecuted(id, "nothing, as it sent a part only")
 		return false
 	case 1: // all of it, and away
-		c.conn.Write([]byte(text))
+		_, _ = c.conn.Write([]byte(text))
 		c.drop()
 		return false
 	case 2: // all of it, and no more
-		c.conn.Write([]byte(text))
-		c.conn.(*net.TCPConn).CloseWrite()
+		_, _ = c.conn.Write([]byte(text))
+		_ = c.conn.(*net.TCPConn).CloseWrite()
 		defer c.drop()
 	default:
-		c.conn.Write([]byte(text))
+		_, _ = c.conn.Write([]byte(text))
 	}
 	r, err := http.ReadResponse(c.from, &http.Request{Method: method})
 	if err != nil {
 		c.drop()
-		c.facts.Told(id, rules.Given{})
+		c.facts.RecordResponse(id, rules.Response{})
 		return false
 	}
 	got, err := io.ReadAll(r.Body)
 	if err != nil {
 		c.drop()
-		c.facts.Told(id, rules.Given{})
+		c.facts.RecordResponse(id, rules.Response{})
 		return false
 	}
-	c.facts.Told(id, rules.Given{Status: r.StatusCode, Seal: r.Header.Get(sealHeader), Body: string(got)})
+	c.facts.RecordResponse(id, rules.Response{Status: r.StatusCode, Seal: r.Header.Get(sealHeader), Body: string(got)})
 	if n := c.from.Buffered(); n > 0 {
-		c.facts.Told(id, rules.Given{Status: http.StatusOK, Body: strconv.Itoa(n) + " bytes behind the answer"})
+		c.facts.RecordResponse(id, rules.Response{Status: http.StatusOK, Body: strconv.Itoa(n) + " bytes behind the answer"})
 	}
 	if r.Close || c.r.IntN(30) == 0 {
 		c.drop()
@@ -106,29 +106,29 @@
 	c.conn = nil
 }
 
-// Through both pilots, whatever endpoints say and however their connections and those of clients end: no client gets another's answer,
+// Through both proxies, whatever endpoints say and however their connections and those of clients end: no client gets another's answer,
 // nothing runs twice that must not, and what is refused has not run and never does.
-func TestNoLieIsPassedOn(t *testing.T) {
+func TestInvalidResponsesAreNotForwarded(t *testing.T) {
 	facts := &rules.Answers{}
 	m := newMesh(t)
-	m.liar = func(name string) *standin.Liar {
-		return &standin.Liar{Answers: facts, Trick: func(n int) standin.Trick {
+	m.liar = func(name string) *fakeserver.MisbehavingServer {
+		return &fakeserver.MisbehavingServer{Answers: facts, Choose: func(n int) fakeserver.Misbehavior {
 			if n%4 != 0 { // or they would be kept away from
-				return standin.Trick{Status: http.StatusOK, At: -1}
+				return fakeserver.Misbehavior{Status: http.StatusOK, CutInResponse: -1}
 			}
-			return standin.Tricks(rand.New(rand.NewPCG(*lies, uint64(name[0])<<32+uint64(n))))
+			return fakeserver.RandomMisbehavior(rand.New(rand.NewPCG(*lies, uint64(name[0])<<32+uint64(n))))
 		}}
 	}
 	from := m.start("from", "127.0.8.1", "two")
 	all := []*endpoint{m.start("a", "127.0.8.2", "one"), m.start("b", "127.0.8.3", "one"), m.start("c", "127.0.8.4", "one")}
-	m.until("POST", "http://"+m.settings("core", coreIP).Control+"/api/Config.Replace", testConfig, http.StatusOK)
+	m.until("POST", "http://"+m.settings("core", coreIP).Control+"/api/Config.Replace", testConfig)
 	for _, e := range append(all, from) {
 		e.beat("serving")
 	}
-	m.until("GET", "http://"+from.s.Readiness+"/api/readiness", "", http.StatusOK)
+	m.until("GET", "http://"+from.s.Readiness+"/api/readiness", "")
 	seen := func() (n int) {
 		for _, e := range all {
-			n += e.liar.Seen()
+			n += e.liar.RequestCount()
 		}
 		return n
 	}
@@ -146,7 +146,7 @@
 		})
 	}
 	clients.Wait()
-	wrong, count := facts.Wrong()
+	wrong, count := facts.Violations()
 	for _, text := range wrong[:min(len(wrong), 20)] {
 		t.Error(text)
 	}
--- /dev/null
+++ b/internal/mesh/proxy/outboundrequest.go
@@ -0,0 +1,296 @@
+package proxy
+
+import (
+	"bytes"
+	"context"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"milletmast/balancer"
+	"milletmast/internal/exchange"
+	"milletmast/internal/mesh/admission"
+	"milletmast/internal/mesh/meshconfig"
+	"milletmast/internal/mesh/outlier"
+	"milletmast/internal/sidecar"
+)
+
+// serve serves one request.
+func (u *upstreamService) serve(ctx context.Context, req *sidecar.IncomingRequest, route *meshconfig.Route) sidecar.Reply {
+	now := time.Now()
+	deadline := req.ReceivedAt.Add(timeLeft(req))
+	if routeDeadline := req.ReceivedAt.Add(route.Deadline); route.Deadline > 0 && routeDeadline.Before(deadline) {
+		deadline = routeDeadline
+	}
+	deadline = deadline.Add(-min(50*time.Millisecond, deadline.Sub(now)/10))
+	key := classOf(route)
+	u.mu.Lock()
+	lane := &u.lanes[laneOf(route)]
+	service, class := lane.service, slices.Index(lane.classes, key)
+	u.retryBudget.CountRequest(now)
+	u.mu.Unlock()
+	if service == nil || class < 0 {
+		return sidecar.Reply{Status: http.StatusServiceUnavailable, RetryAfter: 100 * time.Millisecond}
+	}
+	stripMeshHeaders(req.Header)
+	req.Header.Del(deadlineHeader)
+	req.Header.Del(targetHeader)
+	req.Header.Del(callerHeader)
+	out := &outboundRequest{
+		service:   u,
+		request:   req,
+		route:     route,
+		queueTime: max(time.Duration(queueTimeFraction*float64(route.TargetLatency)), minQueueTime),
+	}
+	id := req.Header.Get(idHeader)
+	u.proxy.recordReceived(id, route, u.name)
+	reply, ok := service.Do(ctx, &sidecar.ServiceRequest{
+		Class:            uint16(class),
+		Deadline:         deadline,
+		MaxAttempts:      route.MaxAttempts + extraAttempts,
+		Attempt:          out.attempt,
+		PreferredServers: u.affinityOrder(req, route),
+	})
+	if !ok {
+		u.proxy.recordClientGone(id)
+		return sidecar.Reply{Status: http.StatusBadGateway}
+	}
+	u.proxy.recordAnswered(id, reply.Status, out)
+	if reply.Header == nil {
+		reply.Header = http.Header{}
+	}
+	stripMeshHeaders(reply.Header)
+	if reply.RetryAfter > 0 {
+		reply.RetryAfter = min(reply.RetryAfter, time.Duration(retryAfterFraction*float64(time.Until(deadline))))
+		reply.RetryAfter = max(reply.RetryAfter, time.Millisecond).Round(time.Millisecond)
+	}
+	return reply
+}
+
+// affinityOrder returns the preferred endpoints of the client, by the affinity of the route; nil if
+// it has none.
+func (u *upstreamService) affinityOrder(req *sidecar.IncomingRequest, route *meshconfig.Route) []string {
+	path, _, _ := strings.Cut(req.URI, "?")
+	clientKey, ok := route.Affinity.Extract(req.Header, path, req.ClientAddr)
+	if !ok {
+		return nil
+	}
+	u.mu.Lock()
+	table := u.affinityTable
+	u.mu.Unlock()
+	return table.Rank(clientKey, affinityDepth)
+}
+
+// affinityDepth is how many preferred endpoints are tried before any other is as good.
+const affinityDepth = 3
+
+// claimsNotExecuted reports whether a status says that the request was not executed and never will
+// be.
+func claimsNotExecuted(status int) bool {
+	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable ||
+		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
+}
+
+// outboundRequest is a request over its attempts.
+type outboundRequest struct {
+	service       *upstreamService
+	request       *sidecar.IncomingRequest
+	route         *meshconfig.Route
+	queueTime     time.Duration
+	attempts      atomic.Int32 // all attempts
+	localAttempts int          // attempts in the own zone
+	reached       atomic.Int32 // attempts that reached an endpoint; one may still be in flight when the request has its response
+}
+
+// writeHead writes the head of the request for an instance, without the remaining time.
+func (out *outboundRequest) writeHead(b *bytes.Buffer, instanceID string) {
+	b.WriteString(out.request.Method + " " + out.request.URI + " HTTP/1.1\r\nHost: " + out.request.Host + "\r\n")
+	sidecar.WriteLines(b, out.request.Header)
+	sidecar.WriteLine(b, targetHeader, instanceID)
+	sidecar.WriteLine(b, callerHeader, out.service.proxy.serviceName())
+}
+
+// attempt makes one attempt through the proxy beside an endpoint. The attempts of a request do not
+// overlap.
+func (out *outboundRequest) attempt(attempt *sidecar.ServiceAttempt) sidecar.AttemptResult {
+	out.attempts.Add(1)
+	plan := out.plan(attempt.Server)
+	if !plan.known {
+		return sidecar.AttemptResult{Outcome: balancer.NotSent}
+	}
+	if !plan.allowed {
+		return sidecar.AttemptResult{Outcome: balancer.NotSent, Final: true}
+	}
+	var outcome string
+	var reply *sidecar.Reply
+	if plan.locality.sameNode {
+		outcome, reply = out.attemptLocal(attempt, plan)
+	} else {
+		exchangeOutcome, response := attempt.RoundTrip(out.exchange(attempt.Server, plan))
+		switch exchangeOutcome {
+		case exchange.NotWritten:
+			out.service.proxy.observer.recordOutbound(out.service.name, attempt.Server, outlier.TimedOut)
+			return sidecar.AttemptResult{Outcome: balancer.ConnectFailed}
+		case exchange.Canceled:
+			return sidecar.AttemptResult{Outcome: balancer.Cancelled}
+		case exchange.TimedOut:
+			outcome = outcomeTimedOut
+		case exchange.Completed:
+			outcome, reply = response.Header.Get(outcomeHeader), response
+			response.Header.Del(outcomeHeader)
+		}
+	}
+	result := out.interpret(outcome, reply, attempt.Server)
+	out.service.proxy.recordAttempt(out.request.Header.Get(idHeader), attempt, outcome, result.Outcome)
+	out.recordResult(result, attempt.Server)
+	return result
+}
+
+// plan decides what the next attempt may do, and takes a retry off the budget if it needs one.
+func (out *outboundRequest) plan(instanceID string) (plan attemptPlan) {
+	service := out.service
+	service.mu.Lock()
+	defer service.mu.Unlock()
+	plan.locality, plan.known = service.instances[instanceID]
+	plan.queueTime = out.queueTime
+	if plan.locality.sameZone {
+		if out.localAttempts++; out.localAttempts < min(service.localCount, maxLocalAttempts) {
+			plan.queueTime = 0
+		}
+	}
+	plan.waitDuringWarmup = time.Now().Before(service.warmAt)
+	reached := int(out.reached.Load())
+	plan.allowed = reached == 0
+	if plan.known && reached > 0 && reached < out.route.MaxAttempts {
+		plan.allowed = service.retryBudget.TakeRetry(time.Now(), service.proxy.settings.Bounds.RetrySlack/float64(service.proxies))
+	}
+	return plan
+}
+
+// attemptLocal makes an attempt at the endpoint beside this proxy.
+func (out *outboundRequest) attemptLocal(attempt *sidecar.ServiceAttempt, plan attemptPlan) (outcome string, reply *sidecar.Reply) {
+	return out.service.proxy.inbound.handle(attempt.Ctx, &inboundRequest{
+		instanceID:       attempt.Server,
+		priority:         out.route.Priority,
+		nonRepeatable:    out.route.Kind != meshconfig.Safe,
+		waitDuringWarmup: plan.waitDuringWarmup,
+		deadline:         attempt.Deadline,
+		queueTime:        plan.queueTime,
+		id:               out.request.Header.Get(idHeader),
+		body:             out.request.Body,
+		omitLength:       out.request.Method == http.MethodGet,
+		writeHead:        func(b *bytes.Buffer) { out.writeHead(b, attempt.Server) },
+	})
+}
+
+// exchange returns the exchange with another proxy.
+func (out *outboundRequest) exchange(instanceID string, plan attemptPlan) *sidecar.Exchange {
+	askTimeLeft := time.Duration(0)
+	if len(out.request.Body) >= askFirstBytes {
+		askTimeLeft = plan.queueTime + askTimeout
+	}
+	return &sidecar.Exchange{
+		Body:          out.request.Body,
+		OmitLength:    out.request.Method == http.MethodGet,
+		ID:            out.request.Header.Get(idHeader),
+		PeerIsOurs:    true,
+		MaxReplyBytes: maxBodyBytes,
+		AskTimeout:    askTimeLeft,
+		Head: func(left time.Duration) []byte {
+			var b bytes.Buffer
+			out.writeHead(&b, instanceID)
+			sidecar.WriteLine(&b, deadlineHeader, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
+			if plan.queueTime > 0 {
+				sidecar.WriteLine(&b, queueTimeHeader, strconv.FormatInt(max(plan.queueTime.Milliseconds(), 1), 10))
+			}
+			sidecar.WriteLine(&b, priorityHeader, strconv.Itoa(out.route.Priority))
+			if out.route.Kind != meshconfig.Safe {
+				sidecar.WriteLine(&b, nonRepeatableHeader, "1")
+			}
+			if askTimeLeft > 0 {
+				sidecar.WriteLine(&b, askFirstHeader, "1")
+			}
+			if plan.waitDuringWarmup {
+				sidecar.WriteLine(&b, waitDuringWarmupHeader, "1")
+			}
+			return b.Bytes()
+		},
+	}
+}
+
+// recordResult records the result of an attempt for outlier detection.
+func (out *outboundRequest) recordResult(result sidecar.AttemptResult, instanceID string) {
+	switch result.Outcome {
+	case balancer.Cancelled:
+		if result.Reply != nil && !result.ServerFailure {
+			out.service.proxy.observer.recordOutbound(out.service.name, instanceID, outlier.Succeeded)
+		}
+	case balancer.OK:
+		out.service.proxy.observer.recordOutbound(out.service.name, instanceID, outlier.Succeeded)
+	case balancer.Error, balancer.Reset:
+		out.service.proxy.observer.recordOutbound(out.service.name, instanceID, outlier.Failed)
+	case balancer.Timeout, balancer.ConnectFailed:
+		out.service.proxy.observer.recordOutbound(out.service.name, instanceID, outlier.TimedOut)
+	}
+}
+
+// interpret translates what is certain about an attempt for the decision module.
+func (out *outboundRequest) interpret(outcome string, reply *sidecar.Reply, instanceID string) sidecar.AttemptResult {
+	if reason, ok := strings.CutPrefix(outcome, outcomeRejectedPrefix); ok {
+		if reason == admission.Full.String() || reason == admission.WarmingUp.String() { // it is busy, not unhealthy
+			return sidecar.AttemptResult{Outcome: balancer.NotSent}
+		}
+		out.service.proxy.loop.Post(func() { out.service.proxy.avoid(instanceID) })
+		return sidecar.AttemptResult{Outcome: balancer.NotSent}
+	}
+	if outcome == outcomeNeverReached {
+		return sidecar.AttemptResult{Outcome: balancer.ConnectFailed}
+	}
+	out.reached.Add(1)
+	switch {
+	case outcome == outcomeTimedOut:
+		return sidecar.AttemptResult{Outcome: balancer.Timeout}
+	case outcome != outcomeAnswered || reply == nil || !out.isAnsweredBy(reply):
+		return sidecar.AttemptResult{Outcome: balancer.Reset}
+	case saysNotExecuted(reply):
+		if reply.Status == http.StatusMisdirectedRequest {
+			out.service.proxy.loop.Post(func() { out.service.proxy.avoid(instanceID) })
+		}
+		return sidecar.AttemptResult{Outcome: balancer.Full}
+	case reply.Status < 300 && !isIntact(reply):
+		return sidecar.AttemptResult{Outcome: balancer.Reset}
+	case reply.Status < 300:
+		return sidecar.AttemptResult{Outcome: balancer.OK, Reply: reply}
+	case claimsNotExecuted(reply.Status): // the endpoint did not say that the request was not executed: the status must not say so either
+		return sidecar.AttemptResult{Outcome: balancer.Error}
+	case reply.Status < 500:
+		return sidecar.AttemptResult{Outcome: balancer.Cancelled, Reply: reply}
+	}
+	if reply.Header.Get(indirectFailureHeader) != "" { // another one behind the endpoint has failed
+		return sidecar.AttemptResult{Outcome: balancer.Cancelled, Reply: reply, ServerFailure: true}
+	}
+	return sidecar.AttemptResult{Outcome: balancer.Error, Reply: reply, ServerFailure: true}
+}
+
+// isAnsweredBy reports whether a response names this request.
+func (out *outboundRequest) isAnsweredBy(reply *sidecar.Reply) bool {
+	return exchange.ResponseMatches(out.request.Header.Get(idHeader), reply.Header[idHeader], false)
+}
+
+// isIntact reports whether a successful response is as the endpoint sent it: sealed, not encoded, and without a claim that
+// the request was not executed.
+func isIntact(reply *sidecar.Reply) bool {
+	return reply.Header.Get(sealHeader) != "" && reply.Header.Get("Content-Encoding") == "" && reply.Header.Get(notExecutedHeader) == ""
+}
+
+// attemptPlan is what one attempt of a request may do.
+type attemptPlan struct {
+	locality         locality
+	queueTime        time.Duration // for which it may be queued at the endpoint
+	waitDuringWarmup bool          // no endpoint is known to be warm
+	known            bool          // the instance is known
+	allowed          bool          // the retry budget allows it
+}
--- a/internal/pilot/path_test.go
+++ b/internal/mesh/proxy/path_test.go
@@ -1,4 +1,4 @@
-package pilot
+package proxy
 
 import (
 	"bytes"
@@ -16,12 +16,14 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"whinknot/internal/berth"
-	"whinknot/internal/keeper"
-	"whinknot/internal/lamp"
-	"whinknot/internal/lighthouse"
-	"whinknot/internal/standin"
-	"whinknot/internal/tide"
+	"milletmast/internal/fakeserver"
+	"milletmast/internal/freeport"
+	"milletmast/internal/mesh/configstore"
+	"milletmast/internal/mesh/consensus"
+	"milletmast/internal/mesh/controlplane"
+	"milletmast/internal/mesh/controlstate"
+	"milletmast/internal/mesh/discovery"
+	"milletmast/internal/mesh/nodeconfig"
 )
 
 func TestMain(m *testing.M) {
@@ -29,7 +31,7 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/tidwall/buntdb.(*DB).backgroundManager"))
 }
 
-// mesh is a core machine and some pilots with endpoints, on addresses of their own of the loopback network.
+// mesh is a core machine and some proxies with endpoints, on addresses of their own of the loopback network.
 type mesh struct {
 	t      *testing.T
 	port   int
@@ -37,18 +39,16 @@
 	done   sync.WaitGroup
 	// stopCore ends the core machine's programs.
 	stopCore func()
-	liar     func(name string) *standin.Liar // makes the endpoints of the service "one"; nil for usual ones
+	liar     func(name string) *fakeserver.MisbehavingServer // makes the endpoints of the service "one"; nil for usual ones
 }
 
 const coreIP = "127.0.8.100"
 
+// The ports of a mesh: those of a node's listeners end portsBelowOwn-1 below its port, the processes' own lie beside it.
+const portsBelowOwn, portsPerMesh = 20, 22
+
 func newMesh(t *testing.T) *mesh {
-	free, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	m := &mesh{t: t, port: free.Addr().(*net.TCPAddr).Port, client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{}}}
-	free.Close()
+	m := &mesh{t: t, port: freeport.ForTest(t, portsPerMesh).First + portsBelowOwn, client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{}}}
 	ctx, stop := context.WithCancel(context.Background())
 	var core sync.WaitGroup
 	m.stopCore = func() { stop(); core.Wait() }
@@ -59,39 +59,39 @@
 	})
 	s := m.settings("core", coreIP)
 	s.StateDir, s.Bootstrap, s.InQuorum = t.TempDir(), true, true
-	k, err := keeper.New(s, zerolog.Nop())
+	k, err := configstore.New(s, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := lighthouse.New(s, zerolog.Nop())
+	l, err := controlplane.New(s, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	core.Go(func() { k.Run(ctx) })
-	core.Go(func() { l.Run(ctx) })
+	core.Go(func() { _ = k.Run(ctx) })
+	core.Go(func() { _ = l.Run(ctx) })
 	return m
 }
 
 // settings are those of a machine. Its own ports are in the places of the system's, the others above.
-func (m *mesh) settings(node, ip string) *berth.Settings {
+func (m *mesh) settings(node, ip string) *nodeconfig.Settings {
 	at := func(n int) string { return fmt.Sprintf("%s:%d", ip, m.port-10-n) }
-	return &berth.Settings{
+	return &nodeconfig.Settings{
 		Path: "test", Node: node, IP: ip, Zone: "north", Zones: map[string]string{"north": "land"}, PortFrom: m.port - 1, PortTo: m.port + 1,
 		Seeds: []string{coreIP + ":1"}, Control: at(0), Inbound: at(1), Outbound: at(2), Readiness: at(3), LocalApp: at(4), Descriptors: 400,
 		MemoryMB: 256,
-		Bounds:   berth.Bounds{Contact: 3 * time.Second, Converge: 2 * time.Second, Drain: 2 * time.Second, Grace: 400 * time.Millisecond, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 50},
+		Bounds:   nodeconfig.Bounds{Contact: 3 * time.Second, Converge: 2 * time.Second, Drain: 2 * time.Second, Grace: 400 * time.Millisecond, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 50},
 	}
 }
 
-// endpoint is a stand-in endpoint beside a pilot.
+// endpoint is a stand-in endpoint beside a proxy.
 type endpoint struct {
 	m      *mesh
-	s      *berth.Settings
+	s      *nodeconfig.Settings
 	id     string
-	pilot  *Pilot
+	proxy  *Proxy
 	stop   func()
 	server *httptest.Server
-	liar   *standin.Liar
+	liar   *fakeserver.MisbehavingServer
 	seq    int
 
 	mu   sync.Mutex
@@ -99,7 +99,7 @@
 	do   func(w http.ResponseWriter, r *http.Request, body []byte) // nil: it serves
 }
 
-// start starts a pilot with an endpoint beside it.
+// start starts a proxy with an endpoint beside it.
 func (m *mesh) start(name, ip, target string) *endpoint {
 	m.t.Helper()
 	e := &endpoint{m: m, s: m.settings(name, ip), id: "i-" + name}
@@ -108,11 +108,11 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	e.pilot = p
+	e.proxy = p
 	ctx, stop := context.WithCancel(context.Background())
 	m.t.Cleanup(stop)
 	var ended sync.WaitGroup
-	ended.Go(func() { p.Run(ctx) })
+	ended.Go(func() { _ = p.Run(ctx) })
 	e.stop = func() { stop(); ended.Wait() }
 	m.done.Go(ended.Wait)
 	ln, err := net.Listen("tcp", e.s.LocalApp)
@@ -121,7 +121,7 @@
 	}
 	if m.liar != nil && target == "one" {
 		e.liar = m.liar(name)
-		e.liar.Target = e.id
+		e.liar.Instance = e.id
 		e.liar.Serve(ln)
 		m.t.Cleanup(func() { stop(); e.liar.Close() })
 		return e
@@ -134,7 +134,7 @@
 
 func (e *endpoint) serve(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	w.Header().Set(lifeHeader, e.id)
+	w.Header().Set(instanceHeader, e.id)
 	if r.URL.Path == "/health" {
 		return
 	}
@@ -167,16 +167,16 @@
 	return len(e.seen)
 }
 
-// beat has the endpoint say a state until its pilot acknowledges it.
+// heartbeat has the endpoint say a state until its proxy acknowledges it.
 func (e *endpoint) beat(state string) {
 	e.m.t.Helper()
 	e.seq++
 	text := fmt.Sprintf(`{"target":%q,"address":%q,"zone":"north","epoch":"v1","capacity":9,"state":%q,"warmup_left_s":0,"call_seq":%d}`, e.s.Target, e.s.LocalApp, state, e.seq)
-	e.m.until("POST", "http://"+e.s.Control+"/api/Endpoints.Heartbeat/"+e.id, text, http.StatusOK)
+	e.m.until("POST", "http://"+e.s.Control+"/api/Endpoints.Heartbeat/"+e.id, text)
 }
 
 // until sends a call again and again until its status is as wanted.
-func (m *mesh) until(method, url, body string, want int) string {
+func (m *mesh) until(method, url, body string) string {
 	m.t.Helper()
 	last := ""
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
@@ -188,23 +188,23 @@
 		}
 		text, _ := io.ReadAll(r.Body)
 		r.Body.Close()
-		if r.StatusCode == want {
+		if r.StatusCode == http.StatusOK {
 			return string(text)
 		}
 		last = r.Status
 	}
-	m.t.Fatalf("%s %s ends %s, want %d", method, url, last, want)
+	m.t.Fatalf("%s %s ends %s, want 200", method, url, last)
 	return ""
 }
 
-// send sends one request to a pilot.
-func (e *endpoint) send(method, host, path, id, body string, more http.Header) (*http.Response, string) {
+// send sends one request to a proxy.
+func (e *endpoint) send(method, path, id, body string, more http.Header) (*http.Response, string) {
 	e.m.t.Helper()
 	req, err := http.NewRequest(method, "http://"+e.s.Outbound+path, strings.NewReader(body))
 	if err != nil {
 		e.m.t.Fatal(err)
 	}
-	req.Host = host
+	req.Host = "shop.example"
 	for name, values := range more {
 		req.Header[name] = values
 	}
@@ -226,16 +226,16 @@
 "tuples":[["a","shop.example","/read/","safe",2,0.5,2,"one",2],["b","shop.example","/pay/","mutating",2,0.5,1,"one",2]]},
 "services":{"attributes":["name","probe_path","max_conns","warmup_s","warmup_per_s"],"tuples":[["one","/health",100,1,10],["two","/health",100,1,10]]}}`
 
-// calm is a mesh with an endpoint of one service and a pilot beside one of another, all of which know each other.
+// calm is a mesh with an endpoint of one service and a proxy beside one of another, all of which know each other.
 func calm(t *testing.T) (m *mesh, from, to *endpoint) {
 	m = newMesh(t)
 	from, to = m.start("from", "127.0.8.1", "two"), m.start("to", "127.0.8.2", "one")
-	m.until("POST", "http://"+m.settings("core", coreIP).Control+"/api/Config.Replace", testConfig, http.StatusOK)
+	m.until("POST", "http://"+m.settings("core", coreIP).Control+"/api/Config.Replace", testConfig)
 	from.beat("serving")
 	to.beat("serving")
-	m.until("GET", "http://"+from.s.Readiness+"/api/readiness", "", http.StatusOK)
+	m.until("GET", "http://"+from.s.Readiness+"/api/readiness", "")
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
-		if r, _ := from.send("GET", "shop.example", "/read/first", "first", "", nil); r.StatusCode == http.StatusOK {
+		if r, _ := from.send("GET", "/read/first", "first", "", nil); r.StatusCode == http.StatusOK {
 			to.behave(nil)
 			return m, from, to
 		}
@@ -244,10 +244,10 @@
 	return nil, nil, nil
 }
 
-// A request goes there and back through both pilots, with what the endpoint is owed and nothing that pilots say to each other.
-func TestARequestThereAndBack(t *testing.T) {
+// A request goes there and back through both proxies, with what the endpoint is owed and nothing that proxies say to each other.
+func TestRequestRoundTrip(t *testing.T) {
 	m, from, to := calm(t)
-	r, body := from.send("POST", "shop.example", "/pay/now?x=%20y", "id-1", "some coins", http.Header{
+	r, body := from.send("POST", "/pay/now?x=%20y", "id-1", "some coins", http.Header{
 		callerHeader: {"somebody else"}, targetHeader: {"i-other"}, "Pilot-Word": {"answer"}, "X-Mine": {"kept"}, "Connection": {"X-Hop"}, "X-Hop": {"1"},
 	})
 	if r.StatusCode != http.StatusOK || body != "POST /pay/now?x=%20y some coins" || r.Header.Get(sealHeader) != "seal" {
@@ -259,26 +259,26 @@
 	}
 	for _, headers := range []http.Header{h, r.Header} {
 		for name := range headers {
-			if strings.HasPrefix(name, ownPrefix) {
+			if strings.HasPrefix(name, meshHeaderPrefix) {
 				t.Errorf("%s leaves the mesh", name)
 			}
 		}
 	}
-	if r, _ := from.send("GET", "shop.example", "/nowhere/", "id-2", "", nil); r.StatusCode != http.StatusNotFound {
+	if r, _ := from.send("GET", "/nowhere/", "id-2", "", nil); r.StatusCode != http.StatusNotFound {
 		t.Errorf("no route: %s", r.Status)
 	}
-	if text := m.until("GET", "http://"+m.settings("core", coreIP).Control+"/api/Config.Read", "", http.StatusOK); text != testConfig {
+	if text := m.until("GET", "http://"+m.settings("core", coreIP).Control+"/api/Config.Read", ""); text != testConfig {
 		t.Errorf("read back %q", text)
 	}
 }
 
 // What an endpoint does to a request, what its client is told then, and how often it has run.
-func TestFatesOfARequest(t *testing.T) {
+func TestRequestOutcomes(t *testing.T) {
 	raw := func(text string) func(http.ResponseWriter, *http.Request, []byte) {
 		return func(w http.ResponseWriter, r *http.Request, _ []byte) {
 			conn, _, err := w.(http.Hijacker).Hijack()
 			if err == nil {
-				io.WriteString(conn, strings.ReplaceAll(text, "ID", r.Header.Get(idHeader)))
+				_, _ = io.WriteString(conn, strings.ReplaceAll(text, "ID", r.Header.Get(idHeader)))
 				conn.Close()
 			}
 		}
@@ -289,7 +289,7 @@
 				w.Header().Set(header[i], header[i+1])
 			}
 			w.WriteHeader(status)
-			io.WriteString(w, "body")
+			_, _ = io.WriteString(w, "body")
 		}
 	}
 	once := func(first func(http.ResponseWriter, *http.Request, []byte)) func(http.ResponseWriter, *http.Request, []byte) {
@@ -325,7 +325,7 @@
 		{"no words", "/pay/", raw("what?\r\n\r\n"), 502, 1},
 		{"an answer too many before", "/pay/", raw(strings.Replace(sealed, "ID", "older", 1) + "late" + sealed + "body"), 200, 1},
 		{"an answer too many behind", "/pay/", raw(sealed + "body" + sealed + "more"), 200, 1},
-		{"not run, then served", "/pay/", once(answer(http.StatusServiceUnavailable, notRunHeader, "1")), 200, 2},
+		{"not run, then served", "/pay/", once(answer(http.StatusServiceUnavailable, notExecutedHeader, "1")), 200, 2},
 		{"safe, cut off, then served", "/read/", once(raw(sealed + "bo")), 200, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) { // a mesh of its own: what went before has its servers avoided
@@ -335,7 +335,7 @@
 			if c.path == "/pay/" {
 				method = "POST"
 			}
-			r, body := from.send(method, "shop.example", c.path, fmt.Sprint("fate-", i), "", nil)
+			r, body := from.send(method, c.path, fmt.Sprint("fate-", i), "", nil)
 			if r.StatusCode != c.status || to.runs() != c.runs {
 				t.Errorf("%s after %d runs, want %d after %d", r.Status, to.runs(), c.status, c.runs)
 			}
@@ -347,54 +347,54 @@
 }
 
 // A large body goes only to a gate that has let its request in.
-func TestALargeBodyAsksFirst(t *testing.T) {
+func TestLargeBodyIsSentAfterAdmission(t *testing.T) {
 	_, from, to := calm(t)
 	body := strings.Repeat("film", 64<<10)
-	if r, text := from.send("POST", "shop.example", "/pay/", "large", body, nil); r.StatusCode != http.StatusOK || text != "POST /pay/ "+body {
+	if r, text := from.send("POST", "/pay/", "large", body, nil); r.StatusCode != http.StatusOK || text != "POST /pay/ "+body {
 		t.Fatalf("%s, %d bytes", r.Status, len(text))
 	}
 	to.behave(nil)
-	to.pilot.quay.leave(time.Now())
-	if r, _ := from.send("POST", "shop.example", "/pay/", "none", body, nil); r.StatusCode != http.StatusServiceUnavailable || to.runs() != 0 {
+	to.proxy.inbound.shutdown(time.Now())
+	if r, _ := from.send("POST", "/pay/", "none", body, nil); r.StatusCode != http.StatusServiceUnavailable || to.runs() != 0 {
 		t.Fatalf("%s after %d runs", r.Status, to.runs())
 	}
 }
 
 // Once its leaving has been acknowledged and the drain is over, nothing reaches an endpoint, whatever others believe: the
 // request is refused as one that has not run, with a time to come back.
-func TestNothingReachesAnEndpointThatHasLeft(t *testing.T) {
+func TestNoRequestAfterDeregistration(t *testing.T) {
 	m, from, to := calm(t)
 	to.beat("draining")
-	m.until("POST", "http://"+to.s.Control+"/api/Endpoints.Deregister/"+to.id, "", http.StatusOK)
+	m.until("POST", "http://"+to.s.Control+"/api/Endpoints.Deregister/"+to.id, "")
 	to.behave(nil)
-	r, _ := from.send("POST", "shop.example", "/pay/", "late", "", nil)
+	r, _ := from.send("POST", "/pay/", "late", "", nil)
 	if r.StatusCode != http.StatusServiceUnavailable || r.Header.Get("Retry-After") == "" || to.runs() != 0 {
 		t.Fatalf("%s, Retry-After %q, %d runs", r.Status, r.Header.Get("Retry-After"), to.runs())
 	}
 	to.beat("serving") // a late one of a life that has ended
-	if r, _ := from.send("POST", "shop.example", "/pay/", "later", "", nil); r.StatusCode != http.StatusServiceUnavailable || to.runs() != 0 {
+	if r, _ := from.send("POST", "/pay/", "later", "", nil); r.StatusCode != http.StatusServiceUnavailable || to.runs() != 0 {
 		t.Fatalf("after a late beat: %s, %d runs", r.Status, to.runs())
 	}
 }
 
-// Somebody keeps to one endpoint, whichever pilot the request begins at, and goes to the next of its own order when that leaves.
-func TestSomebodyKeepsToOneEndpoint(t *testing.T) {
+// Somebody keeps to one endpoint, whichever proxy the request begins at, and goes to the next of its own order when that leaves.
+func TestAffinity(t *testing.T) {
 	m := newMesh(t)
 	a, b, c := m.start("a", "127.0.8.1", "one"), m.start("b", "127.0.8.2", "one"), m.start("c", "127.0.8.3", "one")
 	all := []*endpoint{a, b, c}
 	text := strings.Replace(testConfig, `"max_tries"],`, `"max_tries","affinity"],`, 1)
 	text = strings.Replace(strings.Replace(text, `"one",2],`, `"one",2,"header:X-Counter"],`, 1), `"one",2]]`, `"one",2,""]]`, 1)
-	m.until("POST", "http://"+m.settings("core", coreIP).Control+"/api/Config.Replace", text, http.StatusOK)
+	m.until("POST", "http://"+m.settings("core", coreIP).Control+"/api/Config.Replace", text)
 	for _, e := range all {
 		e.beat("serving")
 		e.behave(func(w http.ResponseWriter, _ *http.Request, _ []byte) {
 			w.Header().Set(sealHeader, "s")
-			io.WriteString(w, e.id)
+			_, _ = io.WriteString(w, e.id)
 		})
 	}
 	serve := func(from *endpoint, who int) string {
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
-			if r, body := from.send("GET", "shop.example", "/read/", "id", "", http.Header{"X-Counter": {fmt.Sprint(who)}}); r.StatusCode == http.StatusOK {
+			if r, body := from.send("GET", "/read/", "id", "", http.Header{"X-Counter": {fmt.Sprint(who)}}); r.StatusCode == http.StatusOK {
 				return body
 			}
 		}
@@ -417,7 +417,7 @@
 		}
 	}
 	c.beat("draining")
-	m.until("POST", "http://"+c.s.Control+"/api/Endpoints.Deregister/"+c.id, "", http.StatusOK)
+	m.until("POST", "http://"+c.s.Control+"/api/Endpoints.Deregister/"+c.id, "")
 	for who := range 30 {
 		if got := serve(b, who); got != at[who] && at[who] != c.id {
 			t.Errorf("%d moved from %s to %s as %s left", who, at[who], got, c.id)
@@ -426,7 +426,7 @@
 }
 
 // Two requests in one, and what is none: the answer is 400 and the connection ends.
-func TestWhatIsNoRequestReachesNobody(t *testing.T) {
+func TestInvalidRequestsReachNoEndpoint(t *testing.T) {
 	_, from, to := calm(t)
 	for _, text := range []string{
 		"GET /read/ HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /read/two HTTP/1.1\r\nHost: shop.example\r\n\r\n",
@@ -437,8 +437,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(5 * time.Second))
-		io.WriteString(conn, text)
+		_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
+		_, _ = io.WriteString(conn, text)
 		got, err := io.ReadAll(conn)
 		conn.Close()
 		if err != nil || !bytes.HasPrefix(got, []byte("HTTP/1.1 400 ")) || bytes.Count(got, []byte("HTTP/1.1")) != 1 {
@@ -450,8 +450,8 @@
 	}
 }
 
-// A pilot that is started anew on a machine whose clock went back is believed all the same.
-func TestAClockThatWentBack(t *testing.T) {
+// A proxy that is started anew on a machine whose clock went back is believed all the same.
+func TestClockWentBack(t *testing.T) {
 	_, from, to := calm(t)
 	to.stop()
 	to.mu.Lock()
@@ -461,60 +461,60 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.sheet.Life = 1
+	p.record.Incarnation = 1
 	ctx, stop := context.WithCancel(context.Background())
 	var ended sync.WaitGroup
-	ended.Go(func() { p.Run(ctx) })
+	ended.Go(func() { _ = p.Run(ctx) })
 	defer ended.Wait()
 	defer stop()
 	to.beat("serving")
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
-		if r, _ := from.send("GET", "shop.example", "/read/", "again", "", nil); r.StatusCode == http.StatusOK {
+		if r, _ := from.send("GET", "/read/", "again", "", nil); r.StatusCode == http.StatusOK {
 			return
 		}
 	}
 	t.Fatal("its endpoint is not reached any more")
 }
 
-// While no lighthouse can be reached, what one pilot goes by reaches the others that watch it.
-func TestPilotsTellEachOtherWhileTheCoreIsAway(t *testing.T) {
+// While no control plane can be reached, what one proxy goes by reaches the others that watch it.
+func TestGossipWithoutControlPlanes(t *testing.T) {
 	m, from, to := calm(t)
 	m.stopCore()
 	newer := strings.Replace(testConfig, `"r2"`, `"r9"`, 1)
-	from.pilot.loop.Post(func() {
-		f := &keeper.InForce{Settled: true, Epoch: 1, Config: []byte(newer), Version: 9, Evacuations: []keeper.Evacuation{{Zone: "north", Stamp: tide.Stamp{Number: 4, By: "d"}, On: true}}}
-		from.pilot.news(from.pilot.room.Ordered(lamp.Pilot, f))
+	from.proxy.loop.Post(func() {
+		f := &controlstate.Snapshot{Confirmed: true, Epoch: 1, Config: []byte(newer), ConfigVersion: 9, Evacuations: []controlstate.Evacuation{{Zone: "north", Version: consensus.Version{Number: 4, Proposer: "d"}, Active: true}}}
+		from.proxy.applyChange(from.proxy.state.HandleSnapshot(discovery.FromProxy, f))
 	})
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); {
-		s, err := Ask(to.pilot.sheet.Talk, Question{}, 5*time.Second)
+		s, err := QueryStatus(to.proxy.record.PeerAddr, StatusQuery{}, 5*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if s.Version == 9 {
-			if r, _ := to.send("GET", "shop.example", "/read/", "evacuated", "", nil); r.StatusCode != http.StatusServiceUnavailable {
+			if r, _ := to.send("GET", "/read/", "evacuated", "", nil); r.StatusCode != http.StatusServiceUnavailable {
 				t.Fatalf("in a zone that is evacuated: %s", r.Status)
 			}
 			return
 		}
 	}
-	t.Fatal("the other pilot does not hear of it")
+	t.Fatal("the other proxy does not hear of it")
 }
 
-// Each process tells how things are, and pilots the story of a request.
-func TestAMeshExplainsItself(t *testing.T) {
+// Each process tells how things are, and proxies the story of a request.
+func TestStatusAndEvents(t *testing.T) {
 	m, from, to := calm(t)
-	from.send("POST", "shop.example", "/pay/", "story-1", "", nil)
+	from.send("POST", "/pay/", "story-1", "", nil)
 	core := m.settings("core", coreIP)
-	k, err := keeper.AskStatus(keeper.Address(coreIP, core), 5*time.Second)
-	if err != nil || !k.Counts || k.Lease == 0 || len(k.Entries) != 1 || !k.Entries[0].Settled || k.Entries[0].Stamp.Number != 2 {
-		t.Errorf("keeper: %+v, %v", k, err)
+	k, err := configstore.QueryStatus(configstore.Address(coreIP, core), 5*time.Second)
+	if err != nil || !k.IsVoter || k.LeaseRemaining == 0 || len(k.Registers) != 1 || !k.Registers[0].Committed || k.Registers[0].Version.Number != 2 {
+		t.Errorf("store: %+v, %v", k, err)
 	}
-	l, err := lighthouse.AskStatus(lighthouse.Address(coreIP, core), 5*time.Second)
-	if err != nil || l.Version != 2 || !l.Sighted || len(l.Pilots) != 2 || l.Pilots[1].Holds != 2 || l.Pilots[1].Endpoint.ID != to.id {
-		t.Errorf("lighthouse: %+v, %v", l, err)
+	l, err := controlplane.QueryStatus(controlplane.Address(coreIP, core), 5*time.Second)
+	if err != nil || l.ConfigVersion != 2 || !l.HasContact || len(l.Proxies) != 2 || l.Proxies[1].ConfigVersion != 2 || l.Proxies[1].Endpoint.ID != to.id {
+		t.Errorf("control plane: %+v, %v", l, err)
 	}
 	ask := func(e *endpoint) *Status {
-		s, err := Ask(fmt.Sprintf("%s:%d", e.s.IP, e.s.Port(2)), Question{Request: "story-1"}, 5*time.Second)
+		s, err := QueryStatus(fmt.Sprintf("%s:%d", e.s.IP, e.s.Port(2)), StatusQuery{RequestID: "story-1"}, 5*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -524,11 +524,11 @@
 	var text bytes.Buffer
 	a.Print(&text)
 	b.Print(&text)
-	a.PrintStory(&text)
-	b.PrintStory(&text)
+	a.PrintEvents(&text)
+	b.PrintEvents(&text)
 	for _, want := range []string{
-		"pilot from  zone north  version=r2  ready=true  orders=certain", "endpoint i-to  serving", "event=taken route=b service=one version=r2",
-		`event=attempt life=i-to`, `word="answer"`, "event=answered status=200 attempts=1 arrived=1", "event=crossed life=i-to",
+		"proxy from  zone north  version=r2  ready=true  trust=certain", "endpoint i-to  serving", "event=received route=b service=one version=r2",
+		`event=attempt instance=i-to`, `outcome="answer"`, "event=answered status=200 attempts=1 reached=1", "event=forwarded instance=i-to",
 	} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("%q is not told:\n%s", want, text.String())
--- /dev/null
+++ b/internal/mesh/proxy/proxy.go
@@ -0,0 +1,238 @@
+// Package proxy is the process of the data-plane proxy, one beside every endpoint. Outbound, it
+// forwards the requests that begin on its machine to the proxies beside other endpoints, with a
+// decision module for each service. Inbound, it admits requests to its own endpoint (package
+// admission).
+package proxy
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/joomcode/errorx"
+	"github.com/rs/zerolog"
+
+	"milletmast/internal/mesh/controlapi"
+	"milletmast/internal/mesh/discovery"
+	"milletmast/internal/mesh/eventlog"
+	"milletmast/internal/mesh/meshconfig"
+	"milletmast/internal/mesh/nodeconfig"
+	"milletmast/internal/mesh/process"
+	"milletmast/internal/mesh/registry"
+	"milletmast/internal/mesh/transport"
+	"milletmast/internal/sidecar"
+)
+
+var space = errorx.NewNamespace("proxy")
+
+// Start is the type of errors that keep a proxy from starting.
+var Start = space.NewType("start")
+
+const (
+	tickInterval    = 250 * time.Millisecond
+	keepMissing     = 5 * time.Second        // for which a node is kept that no control plane reports any more
+	connIdleTimeout = 20 * time.Second       // of connections between proxies
+	headTimeout     = 3 * time.Second        // for the head of a request to be received
+	apiDrainTimeout = 200 * time.Millisecond // for calls of the endpoint that are in flight at shutdown
+)
+
+// Times of a shutdown. After SIGTERM readiness fails, which clients notice at their second check; until then requests are
+// served as always. Then the other proxies are notified, and a little later nothing more is accepted.
+const (
+	maxAcceptTime   = 2600 * time.Millisecond // from SIGTERM until nothing more is accepted
+	acceptFraction  = 0.5                     // of the grace time, is the most of it
+	announceMargin  = 600 * time.Millisecond  // before that, when the other proxies are notified
+	closeMargin     = 200 * time.Millisecond  // before that, when the endpoint beside this proxy gets nothing new any more
+	killMargin      = 600 * time.Millisecond  // before SIGKILL, when the last connections are closed
+	finalAnswerTime = 200 * time.Millisecond  // before that, when everything unanswered gets a response of the proxy
+)
+
+// Proxy is a running proxy. Its state is owned by the goroutine of loop; what requests read is in
+// routing.
+type Proxy struct {
+	settings *nodeconfig.Settings
+	log      zerolog.Logger
+	loop     *process.Loop
+
+	state         *discovery.ClientState
+	loggedTrust   discovery.TrustLevel // as logged last
+	controlPlanes *controlPlaneLinks
+	watchers      *watchers
+	record        registry.NodeRecord
+	routing       atomic.Pointer[routing]
+	configured    chan struct{}               // closed once there is a configuration
+	services      map[string]*upstreamService // by name
+	avoided       map[string]time.Time        // instances that get no requests until a time, as their proxies rejected some
+	inbound       *inboundEndpoint
+	observer      *callObserver
+	events        *eventlog.Recorder
+	peerListener  net.Listener
+	lastOpinions  time.Time // when opinions on instances were last sent
+	bodies        bodyBudget
+	target        atomic.Pointer[string] // service of the endpoint on this machine
+	draining      atomic.Bool
+	lastFailure   atomic.Int64 // when a request that began on this machine last failed, in ns since 1970
+
+	goroutines        sync.WaitGroup
+	inboundPort       *sidecar.Port
+	outboundPort      *sidecar.Port
+	controlListener   net.Listener
+	readinessListener net.Listener
+
+	// ctx ends the goroutines of a running process. It is set by Run, as functions of the loop start goroutines too.
+	ctx context.Context
+}
+
+// routing is the configuration that requests are routed by, and the services of its routes. It is immutable.
+type routing struct {
+	config   *meshconfig.Config
+	services map[string]*upstreamService
+}
+
+// New opens the ports.
+func New(settings *nodeconfig.Settings, log zerolog.Logger) (*Proxy, error) {
+	if settings.Inbound == "" || settings.Outbound == "" || settings.Readiness == "" || settings.Control == "" || settings.LocalApp == "" {
+		return nil, Start.New("%s: bind.inbound, bind.outbound, bind.readiness, bind.control and local_app are needed", settings.Path)
+	}
+	p := &Proxy{
+		settings: settings, log: log, loop: process.NewLoop(512), state: discovery.NewClientState(time.Now(), clientLimits(settings)),
+		configured: make(chan struct{}), services: map[string]*upstreamService{}, avoided: map[string]time.Time{},
+	}
+	p.routing.Store(&routing{})
+	p.target.Store(&settings.Target)
+	p.record = registry.NodeRecord{
+		Node: settings.Node, Zone: settings.Zone, Incarnation: uint64(time.Now().UnixNano()), Sequence: 1, InboundAddr: settings.Inbound,
+		PeerAddr: settings.PeerAddr(settings.IP, process.ProxyPort),
+	}
+	p.inbound = newInboundEndpoint(p)
+	p.observer = newCallObserver()
+	p.events = eventlog.New(maxEvents)
+	p.controlPlanes = newControlPlaneLinks(p)
+	p.watchers = newWatchers(p)
+	p.bodies.left.Store(int64(bodyMemoryFraction * float64(settings.MemoryMB) * (1 << 20)))
+	var err error
+	if p.controlListener, err = net.Listen("tcp", settings.Control); err != nil {
+		return nil, Start.Wrap(err, "listen")
+	}
+	if p.readinessListener, err = net.Listen("tcp", settings.Readiness); err != nil {
+		return nil, Start.Wrap(err, "listen")
+	}
+	if p.peerListener, err = net.Listen("tcp", p.record.PeerAddr); err != nil {
+		return nil, Start.Wrap(err, "listen")
+	}
+	return p, nil
+}
+
+// clientLimits returns the limits of the discovery state: a new proxy waits for a confirmed
+// snapshot for as long as machines may take to regain contact and a configuration to converge.
+func clientLimits(settings *nodeconfig.Settings) discovery.Limits {
+	return discovery.Limits{KeepMissing: keepMissing, ContactTimeout: settings.Bounds.Converge + settings.Bounds.Contact}
+}
+
+// Run serves until ctx ends, then drains.
+func (p *Proxy) Run(ctx context.Context) error {
+	inner, stop := context.WithCancel(context.Background())
+	defer p.goroutines.Wait()
+	defer stop()
+	p.ctx = inner
+	var err error
+	maxConns := p.settings.Descriptors / 4
+	limits := sidecar.PortLimits{MaxConns: maxConns, IdleTimeout: connIdleTimeout, HeadTimeout: headTimeout}
+	if p.inboundPort, err = sidecar.NewPort(p.settings.Inbound, limits, p.inbound); err != nil {
+		return Start.Wrap(err, "listen")
+	}
+	if p.outboundPort, err = sidecar.NewPort(p.settings.Outbound, limits, &outboundListener{p}); err != nil {
+		return Start.Wrap(err, "listen")
+	}
+	p.goroutines.Go(func() { p.loop.Run(inner, tickInterval, p.tick) })
+	p.goroutines.Go(func() {
+		transport.Serve(inner, p.peerListener, func(raw net.Conn) { p.goroutines.Go(func() { p.servePeerConn(raw) }) })
+	})
+	defer p.peerListener.Close()
+	p.controlPlanes.addSeeds()
+	calls := &http.Server{Handler: controlapi.NewHandler(p.handleCall)}
+	ready := &http.Server{Handler: controlapi.NewHandler(p.handleCall)}
+	ended := make(chan error, 2)
+	serving, silent := context.WithCancel(context.Background())
+	defer silent()
+	p.goroutines.Go(func() {
+		ended <- controlapi.Serve(serving, calls, func() error { return calls.Serve(p.controlListener) }, apiDrainTimeout)
+	})
+	p.goroutines.Go(func() {
+		ended <- controlapi.Serve(serving, ready, func() error { return ready.Serve(p.readinessListener) }, apiDrainTimeout)
+	})
+	p.log.Info().Str("outbound", p.settings.Outbound).Str("target", p.settings.Target).Msg("serve")
+	select {
+	case err := <-ended:
+		return Start.Wrap(err, "serve")
+	case <-ctx.Done():
+	}
+	p.drain()
+	p.log.Info().Msg("exit")
+	return nil
+}
+
+// SettingsChanged applies settings that were read again.
+func (p *Proxy) SettingsChanged(s *nodeconfig.Settings) {
+	p.target.Store(&s.Target)
+	p.loop.Post(func() { p.controlPlanes.applySettings(s) })
+}
+
+// serviceName returns the service of the endpoint on this machine, by the settings as last read.
+func (p *Proxy) serviceName() string { return *p.target.Load() }
+
+// tick does what is due.
+func (p *Proxy) tick() {
+	now := time.Now()
+	changed := p.state.Merge(now)
+	for instanceID, until := range p.avoided {
+		if now.After(until) {
+			delete(p.avoided, instanceID)
+			changed = true
+		}
+	}
+	if changed {
+		p.updateEndpoints()
+	}
+	p.applyChange(p.state.CheckContactTimeout(now))
+	p.inbound.checkHealth()
+	p.controlPlanes.tick()
+	p.watchers.tick(now)
+	if now.Sub(p.lastOpinions) >= opinionInterval {
+		p.lastOpinions = now
+		p.controlPlanes.sendOpinions(now)
+	}
+}
+
+// announce sends the record, which has changed, to all control planes.
+func (p *Proxy) announce() {
+	p.record.Sequence++
+	p.controlPlanes.announceRecord(p.record)
+}
+
+// handleCall handles a call of the endpoint beside this proxy, or of the platform.
+func (p *Proxy) handleCall(c controlapi.Command, done func(controlapi.Result)) {
+	switch c := c.(type) {
+	case controlapi.Readiness:
+		status := http.StatusOK
+		if p.draining.Load() || p.routing.Load().config == nil {
+			status = http.StatusServiceUnavailable
+		}
+		done(controlapi.Result{Status: status})
+	case controlapi.Heartbeat:
+		p.loop.Post(func() {
+			p.inbound.heartbeat(&c)
+			done(controlapi.Result{Status: http.StatusOK, Body: []byte("{}"), JSON: true})
+		})
+	case controlapi.Deregister:
+		p.loop.Post(func() {
+			p.inbound.deregister(c.ID)
+			done(controlapi.Result{Status: http.StatusOK, Body: []byte("{}"), JSON: true})
+		})
+	default:
+		done(controlapi.Result{Status: http.StatusNotFound, Body: []byte("the core machines serve this call\n")})
+	}
+}
--- a/internal/logbook/figures_test.go
+++ b/internal/mesh/storage/bench_test.go
@@ -1,4 +1,4 @@
-package logbook
+package storage
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 )
 
 // BenchmarkChanges changes a configuration so often, on a real disk, and tells what that does to the file, to opening it and to a
-// change: go test -run - -bench Changes -benchtime 1x ./internal/logbook
+// change: go test -run - -bench Changes -benchtime 1x ./internal/mesh/storage
 func BenchmarkChanges(b *testing.B) {
 	for _, c := range []struct{ bytes, changes int }{
 		{20 << 10, 10}, {20 << 10, 1000}, {20 << 10, 10_000}, {1 << 20, 10}, {1 << 20, 1000},
@@ -33,7 +33,7 @@
 	}
 	var times []time.Duration
 	var largest int64
-	replaced, handle := 0, book.tail.f
+	replaced, handle := 0, book.file.handle
 	for i := range n {
 		body := bytes.Repeat([]byte(fmt.Sprintf("line %07d\n", i)), length/13+1)[:length]
 		from := time.Now()
@@ -41,15 +41,15 @@
 			b.Fatal(err)
 		}
 		times = append(times, time.Since(from))
-		largest = max(largest, book.tail.size)
-		if book.tail.f != handle {
-			replaced, handle = replaced+1, book.tail.f
+		largest = max(largest, book.file.size)
+		if book.file.handle != handle {
+			replaced, handle = replaced+1, book.file.handle
 		}
 	}
 	if err := book.Close(); err != nil {
 		b.Fatal(err)
 	}
-	info, err := os.Stat(filepath.Join(folder, file))
+	info, err := os.Stat(filepath.Join(folder, fileName))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/logbook/power_test.go
+++ b/internal/mesh/storage/power_test.go
@@ -1,4 +1,4 @@
-package logbook
+package storage
 
 import (
 	"errors"
@@ -16,7 +16,7 @@
 	"github.com/joomcode/errorx"
 )
 
-// A model of the loss of power. A recorder does what a logbook asks for on real files, and notes each step. From every prefix of
+// A model of the loss of power. A recorder does what a store asks for on real files, and notes each step. From every prefix of
 // the steps, each disk that may be left is made and opened. What was synced is there; of what came after, writes are there, absent
 // or torn, and names in the folder were changed or not, each by itself. A sync that failed leaves any of that for good, also when a
 // later one succeeds.
@@ -36,7 +36,7 @@
 
 // recorder is a disk that notes what is done to it. The real files are what a process that is started anew reads.
 type recorder struct {
-	system
+	osFilesystem
 	steps []step
 	names map[string]int
 	count int
@@ -55,7 +55,7 @@
 		return nil
 	}
 	err := r.fails(r.count, kind, filepath.Base(path))
-	r.dead = err == errKilled
+	r.dead = errors.Is(err, errKilled)
 	return err
 }
 
@@ -68,11 +68,11 @@
 	}
 }
 
-func (r *recorder) OpenFile(path string, flags int) (handle, error) {
+func (r *recorder) OpenFile(path string, flags int) (fileHandle, error) {
 	if err := r.begin("open", path); err != nil {
 		return nil, err
 	}
-	f, err := r.system.OpenFile(path, flags)
+	f, err := r.osFilesystem.OpenFile(path, flags)
 	if err != nil {
 		return nil, err
 	}
@@ -85,14 +85,14 @@
 	} else if flags&os.O_TRUNC != 0 {
 		r.note(step{kind: "truncate", inode: inode})
 	}
-	return &recorded{handle: f, r: r, inode: inode}, nil
+	return &recorded{fileHandle: f, r: r, inode: inode}, nil
 }
 
 func (r *recorder) Rename(from, to string) error {
 	if err := r.begin("rename", from); err != nil {
 		return err
 	}
-	if err := r.system.Rename(from, to); err != nil {
+	if err := r.osFilesystem.Rename(from, to); err != nil {
 		return err
 	}
 	from, to = filepath.Base(from), filepath.Base(to)
@@ -106,7 +106,7 @@
 	if err := r.begin("remove", path); err != nil {
 		return err
 	}
-	if err := r.system.Remove(path); err != nil {
+	if err := r.osFilesystem.Remove(path); err != nil {
 		return err
 	}
 	delete(r.names, filepath.Base(path))
@@ -114,7 +114,7 @@
 	return nil
 }
 
-func (r *recorder) SyncFolder(string) error {
+func (r *recorder) SyncDir(string) error {
 	if err := r.begin("sync folder", ""); err != nil {
 		return err
 	}
@@ -123,7 +123,7 @@
 }
 
 type recorded struct {
-	handle
+	fileHandle
 	r     *recorder
 	inode int
 	at    int64
@@ -140,20 +140,20 @@
 }
 
 func (f *recorded) Read(to []byte) (int, error) {
-	n, err := f.handle.Read(to)
+	n, err := f.fileHandle.Read(to)
 	f.at += int64(n)
 	return n, err
 }
 
 func (f *recorded) Write(data []byte) (int, error) {
 	failed := f.r.begin("write", f.name())
-	if failed == errKilled {
+	if errors.Is(failed, errKilled) {
 		return 0, failed
 	}
 	if failed != nil {
 		data = data[:len(data)/2]
 	}
-	n, err := f.handle.Write(data)
+	n, err := f.fileHandle.Write(data)
 	if err != nil {
 		return n, err
 	}
@@ -167,7 +167,7 @@
 	switch {
 	case err == nil:
 		f.r.note(step{kind: "sync", name: f.name(), inode: f.inode})
-	case err != errKilled:
+	case !errors.Is(err, errKilled):
 		f.r.note(step{kind: "sync failed", name: f.name(), inode: f.inode})
 	}
 	return err
@@ -178,7 +178,7 @@
 		return err
 	}
 	f.r.note(step{kind: "truncate", name: f.name(), inode: f.inode, at: size})
-	return f.handle.Truncate(size)
+	return f.fileHandle.Truncate(size)
 }
 
 // world is what is certain of a disk, and what was done to it since.
@@ -227,7 +227,7 @@
 	n := len(s.data)
 	cuts := []int{0, min(commitBytes, n), n / 2, n - 1}
 	var edges []int
-	for at := sector - int(s.at)%sector; at < n; at += sector {
+	for at := sectorBytes - int(s.at)%sectorBytes; at < n; at += sectorBytes {
 		edges = append(edges, at)
 	}
 	if fine && n < 400 {
@@ -308,7 +308,7 @@
 	for kept := range 1 << len(w.since) {
 		disk, main := map[string][]byte{}, [][]byte(nil)
 		for name, inode := range w.named(kept) {
-			if name == file {
+			if name == fileName {
 				main = w.files[inode].options(fine)
 				continue
 			}
@@ -319,23 +319,23 @@
 			each(disk)
 		}
 		for _, text := range main {
-			disk[file] = text
+			disk[fileName] = text
 			each(disk)
 		}
 	}
 }
 
 // quiet is the machine's disk without its syncs, which would only take time: no power is lost while it is looked at.
-type quiet struct{ system }
+type quiet struct{ osFilesystem }
 
-type quietHandle struct{ handle }
+type quietHandle struct{ fileHandle }
 
 func (quietHandle) Sync() error { return nil }
 
-func (quiet) SyncFolder(string) error { return nil }
+func (quiet) SyncDir(string) error { return nil }
 
-func (q quiet) OpenFile(path string, flags int) (handle, error) {
-	f, err := q.system.OpenFile(path, flags)
+func (q quiet) OpenFile(path string, flags int) (fileHandle, error) {
+	f, err := q.osFilesystem.OpenFile(path, flags)
 	if err != nil {
 		return nil, err
 	}
@@ -372,23 +372,23 @@
 }
 
 // open opens a disk, by way of real files or just what its file holds.
-func (m *model) open(disk map[string][]byte, real bool) (*Book, error) {
-	if !real {
-		db, _, err := load(disk[file])
-		return &Book{db: db}, err
+func (m *model) open(disk map[string][]byte, onDisk bool) (*Store, error) {
+	if !onDisk {
+		db, _, err := load(disk[fileName])
+		return &Store{db: db}, err
 	}
 	if err := m.make(disk); err != nil {
 		return nil, err
 	}
-	b, spoilt, err := openOn(quiet{}, m.folder, testSlack)
+	b, spoilt, err := openIn(quiet{}, m.folder, testSlack)
 	if err == nil && spoilt != nil {
 		err = fmt.Errorf("an intact disk counts as lost: %w", spoilt)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if _, err := os.Stat(filepath.Join(m.folder, second)); !errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("what is left of a second file stays: %v", err)
+	if _, err := os.Stat(filepath.Join(m.folder, tempFileName)); !errors.Is(err, fs.ErrNotExist) {
+		return nil, fmt.Errorf("what is left of a second file stays: %w", err)
 	}
 	return b, nil
 }
@@ -445,9 +445,9 @@
 
 const testSlack = 300
 
-func everything(b *Book) (map[string]string, error) {
+func everything(b *Store) (map[string]string, error) {
 	out := map[string]string{}
-	err := b.Records("", func(name string, decode func(any) error) error {
+	err := b.Range("", func(name string, decode func(any) error) error {
 		var s string
 		if err := decode(&s); err != nil {
 			return err
@@ -466,7 +466,7 @@
 	return strings.Join(out, " ")
 }
 
-// writes are a day of a keeper: the name of its disk, small records, large ones over and over, several at once.
+// writes are a day of a store: the name of its disk, small records, large ones over and over, several at once.
 func writes() (out []map[string]any) {
 	large := func(i, n int) string { return fmt.Sprint("version ", i, strings.Repeat(fmt.Sprint(" line ", i), n)) }
 	out = append(out, map[string]any{"disk": "d#1"}, map[string]any{"promise": "7"})
@@ -478,7 +478,7 @@
 }
 
 // write writes all from one on, and notes what began and what was confirmed. An error ends nothing.
-func (r *recorder) write(b *Book, state map[string]string, from int) (errs []error) {
+func (r *recorder) write(b *Store, state map[string]string, from int) (errs []error) {
 	for _, records := range writes()[from:] {
 		next := maps.Clone(state)
 		for name, v := range records {
@@ -499,7 +499,7 @@
 func day(t *testing.T, r *recorder) (folder string, errs []error) {
 	t.Helper()
 	folder, r.names = t.TempDir(), map[string]int{}
-	b, spoilt, err := openOn(r, folder, testSlack)
+	b, spoilt, err := openIn(r, folder, testSlack)
 	if err != nil {
 		return folder, []error{err}
 	}
@@ -510,7 +510,7 @@
 	return folder, r.write(b, map[string]string{}, 0)
 }
 
-func TestPowerMayBeLostAtAnyStep(t *testing.T) {
+func TestPowerLossAtAnyStep(t *testing.T) {
 	t.Parallel()
 	r := &recorder{}
 	if _, errs := day(t, r); errs != nil {
@@ -533,7 +533,7 @@
 }
 
 // Power is lost again while what it left is opened and written to.
-func TestPowerMayBeLostAgain(t *testing.T) {
+func TestPowerLossDuringRecovery(t *testing.T) {
 	t.Parallel()
 	r := &recorder{}
 	if _, errs := day(t, r); errs != nil {
@@ -572,7 +572,7 @@
 func (m *model) reopened(r *recorder, folder, deaf string) error {
 	from := len(r.steps)
 	r.deaf = deaf
-	b, spoilt, err := openOn(r, folder, testSlack)
+	b, spoilt, err := openIn(r, folder, testSlack)
 	r.deaf = ""
 	if err != nil {
 		return err
@@ -593,7 +593,7 @@
 }
 
 // A process is killed at any step, with the power on, is started anew and reads what may be in memory only; then power is lost.
-func TestAProcessMayBeKilledAtAnyStep(t *testing.T) {
+func TestKillAtAnyStep(t *testing.T) {
 	t.Parallel()
 	m := newModel(t)
 	if err := m.kills(t, ""); err != nil {
@@ -623,7 +623,7 @@
 
 // Operations fail, one or several in a row. The writes are told as not done, by errors of the disk; what was held is held; later
 // writes are done.
-func TestADiskThatFailsLosesNothing(t *testing.T) {
+func TestFailingDiskLosesNothing(t *testing.T) {
 	t.Parallel()
 	m := newModel(t)
 	for _, row := range []int{1, 5} {
@@ -646,7 +646,7 @@
 				t.Fatalf("operation %d, %s, failed: told as %v", fail, first, errs)
 			}
 			for _, err := range errs {
-				if !errorx.IsOfType(err, Disk) {
+				if !errorx.IsOfType(err, DiskFailure) {
 					t.Fatalf("operation %d, %s, failed: told as %v", fail, first, err)
 				}
 			}
@@ -659,7 +659,7 @@
 }
 
 // A sync fails, and the process ends before it writes again: what is in memory only must not be read as if it lasted.
-func TestAProcessMayEndAfterAFailedSync(t *testing.T) {
+func TestExitAfterAFailedSync(t *testing.T) {
 	t.Parallel()
 	m := newModel(t)
 	for fail := 1; ; fail++ {
@@ -690,9 +690,9 @@
 }
 
 // The model bites: without any one of the syncs, it finds a disk that lost what was confirmed, or counts as lost.
-func TestAMissingSyncIsFound(t *testing.T) {
+func TestMissingSyncIsFound(t *testing.T) {
 	t.Parallel()
-	for _, deaf := range []string{"sync " + file, "sync " + second, "sync folder"} {
+	for _, deaf := range []string{"sync " + fileName, "sync " + tempFileName, "sync folder"} {
 		r := &recorder{deaf: deaf}
 		if _, errs := day(t, r); errs != nil {
 			t.Fatal(errs)
@@ -701,7 +701,7 @@
 			t.Errorf("without %q, nothing is found", deaf)
 		}
 	}
-	for _, deaf := range []string{"sync " + file, "sync folder"} {
+	for _, deaf := range []string{"sync " + fileName, "sync folder"} {
 		if newModel(t).kills(t, deaf) == nil {
 			t.Errorf("without %q at opening, nothing is found", deaf)
 		}
--- a/internal/logbook/logbook_test.go
+++ b/internal/mesh/storage/store_test.go
@@ -1,4 +1,4 @@
-package logbook
+package storage
 
 import (
 	"bytes"
@@ -31,23 +31,23 @@
 }
 
 // entries writes versions as an earlier program did, all or none.
-func entries(b *Book, all ...version) error {
+func entries(b *Store, all ...version) error {
 	values := map[string]any{}
 	for _, v := range all {
-		values[entryPrefix+v.Key] = v
+		values[legacyPrefix+v.Key] = v
 	}
-	return b.put(values)
+	return b.write(values)
 }
 
 // versions are all that an earlier program kept in a book.
-func versions(b *Book) (out []version, err error) {
-	err = b.Before(func(key string, decode func(any) error) error {
+func versions(b *Store) (out []version, err error) {
+	err = b.LegacyEntries(func(key string, decode func(any) error) error {
 		var v version
 		if err := decode(&v); err != nil {
 			return err
 		}
 		if v.Key != key {
-			return Spoilt.New("%s holds %s", key, v.Key)
+			return Corrupt.New("%s holds %s", key, v.Key)
 		}
 		out = append(out, v)
 		return nil
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestWhatWasWrittenIsThereAgain(t *testing.T) {
+func TestWrittenRecordsAreRead(t *testing.T) {
 	folder := t.TempDir()
 	fill(t, folder)
 	b, spoilt, err := Open(folder)
@@ -95,10 +95,10 @@
 
 // A write that power cut short is cut off at any byte, also where the rest of it reads as zeros, and none of its records is there:
 // what was synced before it is all there, and writing goes on.
-func TestATornTailIsCutOff(t *testing.T) {
+func TestTornTailIsCutOff(t *testing.T) {
 	folder := t.TempDir()
 	fill(t, folder)
-	path := filepath.Join(folder, file)
+	path := filepath.Join(folder, fileName)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -107,8 +107,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	entries(b, entry("config", 4), entry("evacuation/south", 1))
-	b.Close()
+	if err := entries(b, entry("config", 4), entry("evacuation/south", 1)); err != nil {
+		t.Fatal(err)
+	}
+	if err := b.Close(); err != nil {
+		t.Fatal(err)
+	}
 	longer, err := os.ReadFile(path)
 	if err != nil || len(longer) <= len(whole) {
 		t.Fatal(len(longer), err)
@@ -127,7 +131,7 @@
 			if err := os.WriteFile(path, left, 0o644); err != nil {
 				t.Fatal(err)
 			}
-			b, spoilt, err := openOn(quiet{}, folder, mostSlack)
+			b, spoilt, err := openIn(quiet{}, folder, defaultSlackBytes)
 			if err != nil || spoilt != nil {
 				t.Fatalf("cut at %d of %d, %d left: %v %v", cut, len(longer), len(left), err, spoilt)
 			}
@@ -139,7 +143,7 @@
 				t.Fatal(err)
 			}
 			b.Close()
-			if b, spoilt, err = openOn(quiet{}, folder, mostSlack); err != nil || spoilt != nil {
+			if b, spoilt, err = openIn(quiet{}, folder, defaultSlackBytes); err != nil || spoilt != nil {
 				t.Fatalf("cut at %d, then written: %v %v", cut, err, spoilt)
 			}
 			if held, err = versions(b); err != nil || len(held) != 2 || held[0].Stamp.Number != 5 {
@@ -151,10 +155,10 @@
 }
 
 // Any byte that changed is told, in the last write too; so are zeros in the middle and a part that is gone.
-func TestAnyChangedByteIsTold(t *testing.T) {
+func TestAnyChangedByteIsDetected(t *testing.T) {
 	folder := t.TempDir()
 	fill(t, folder)
-	text, err := os.ReadFile(filepath.Join(folder, file))
+	text, err := os.ReadFile(filepath.Join(folder, fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +168,7 @@
 		if err == nil {
 			db.Close()
 		}
-		if !errorx.IsOfType(err, Spoilt) {
+		if !errorx.IsOfType(err, Corrupt) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -178,7 +182,7 @@
 	told("zeros in the middle", holed)
 	snapshot := 0
 	for at := range text {
-		if n, _, ok := commit(text, at); ok && n == 0 {
+		if n, _, ok := parseCommit(text, at); ok && n == 0 {
 			snapshot = at + commitBytes
 		}
 	}
@@ -191,7 +195,7 @@
 	}
 	long := slices.Clone(text)
 	for i := range 3 {
-		long = append(long, batch(int64(len(long)), appendSet(nil, "key", sealed("key", bytes.Repeat([]byte{'a' + byte(i)}, 600))))...)
+		long = append(long, encodeBatch(int64(len(long)), appendSetCommand(nil, "key", seal("key", bytes.Repeat([]byte{'a' + byte(i)}, 600))))...)
 	}
 	if db, whole, err := load(long); err != nil || whole != len(long) {
 		t.Fatal(whole, err)
@@ -202,15 +206,15 @@
 	told("the first write is gone", long[len(text):])
 	told("a write is gone in the middle", append(slices.Clone(long[:len(text)]), long[len(text)+each:]...))
 	next := len(text) + each
-	clear(long[next : (next/sector+1)*sector])
+	clear(long[next : (next/sectorBytes+1)*sectorBytes])
 	told("a sector of zeros in the middle", long)
 	told("a part is gone", append(slices.Clone(text[:commitBytes+9]), text[commitBytes+29:]...))
 }
 
 // A file that an earlier version wrote, by buntdb itself and with no commits, is read, also with a torn end; and buntdb reads ours.
-func TestAFileOfAnEarlierVersionIsRead(t *testing.T) {
+func TestLegacyFileIsRead(t *testing.T) {
 	folder := t.TempDir()
-	path := filepath.Join(folder, file)
+	path := filepath.Join(folder, fileName)
 	db, err := buntdb.Open(path)
 	if err != nil {
 		t.Fatal(err)
@@ -221,15 +225,15 @@
 			t.Fatal(err)
 		}
 		err := db.Update(func(tx *buntdb.Tx) error {
-			_, _, err := tx.Set(key, sealed(key, text.Bytes()), nil)
+			_, _, err := tx.Set(key, seal(key, text.Bytes()), nil)
 			return err
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	set(recordKey+"disk", "d#1")
-	set(entryPrefix+"config", entry("config", 3))
+	set(recordPrefix+"disk", "d#1")
+	set(legacyPrefix+"config", entry("config", 3))
 	if err := db.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -240,7 +244,7 @@
 	if db, err = buntdb.Open(path); err != nil {
 		t.Fatal(err)
 	}
-	set(entryPrefix+"config", entry("config", 4))
+	set(legacyPrefix+"config", entry("config", 4))
 	if err := db.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -265,7 +269,7 @@
 			if err := os.WriteFile(path, left, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			b, spoilt, err := openOn(quiet{}, folder, mostSlack)
+			b, spoilt, err := openIn(quiet{}, folder, defaultSlackBytes)
 			if err != nil || spoilt != nil {
 				t.Fatalf("cut at %d: %v %v", cut, err, spoilt)
 			}
@@ -285,7 +289,7 @@
 	}
 	defer db.Close()
 	err = db.View(func(tx *buntdb.Tx) error {
-		_, err := tx.Get(recordKey + "later")
+		_, err := tx.Get(recordPrefix + "later")
 		return err
 	})
 	if err != nil {
@@ -294,7 +298,7 @@
 }
 
 // Records come by name, those that begin so only, and may be written meanwhile; one that can't be kept leaves all as it was.
-func TestRecordsAreKeptTogether(t *testing.T) {
+func TestRecordsAreWrittenAtomically(t *testing.T) {
 	folder := t.TempDir()
 	b, _, err := Open(filepath.Join(folder, "new", "folder"))
 	if err != nil {
@@ -304,15 +308,15 @@
 	if err := b.PutAll(map[string]any{"register/b": 2, "register/a": 1, "registry": 9}); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.PutAll(map[string]any{"register/a": 7, "register/c": make(chan int)}); !errorx.IsOfType(err, Unfit) {
+	if err := b.PutAll(map[string]any{"register/a": 7, "register/c": make(chan int)}); !errorx.IsOfType(err, InvalidRecord) {
 		t.Errorf("a channel is kept: %v", err)
 	}
-	if err := b.Put("large", make([]byte, mostBatch)); !errorx.IsOfType(err, Unfit) {
+	if err := b.Put("large", make([]byte, maxBatchBytes)); !errorx.IsOfType(err, InvalidRecord) {
 		t.Errorf("a record of any size is kept: %v", err)
 	}
 	var names []string
 	sum := 0
-	err = b.Records("register/", func(name string, decode func(any) error) error {
+	err = b.Range("register/", func(name string, decode func(any) error) error {
 		var n int
 		if err := decode(&n); err != nil {
 			return err
@@ -326,9 +330,9 @@
 }
 
 // However often a record is changed, the file stays within its bound.
-func TestTheFileIsBounded(t *testing.T) {
+func TestFileSizeIsBounded(t *testing.T) {
 	folder := t.TempDir()
-	b, _, err := openOn(quiet{}, folder, 10_000)
+	b, _, err := openIn(quiet{}, folder, 10_000)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -337,18 +341,18 @@
 		if err := b.Put("config", bytes.Repeat([]byte{byte(i)}, 3000+i)); err != nil {
 			t.Fatal(err)
 		}
-		info, err := os.Stat(filepath.Join(folder, file))
-		if err != nil || info.Size() > growth*3700+10_000 {
+		info, err := os.Stat(filepath.Join(folder, fileName))
+		if err != nil || info.Size() > growthFactor*3700+10_000 {
 			t.Fatalf("after %d changes: %d bytes, %v", i+1, info.Size(), err)
 		}
 	}
 }
 
 // A byte that changed makes the disk an empty one, and that is told.
-func TestASpoiltFileCountsAsALostDisk(t *testing.T) {
+func TestCorruptFileIsSetAside(t *testing.T) {
 	folder := t.TempDir()
 	fill(t, folder)
-	path := filepath.Join(folder, file)
+	path := filepath.Join(folder, fileName)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -363,7 +367,7 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	if !errorx.IsOfType(spoilt, Spoilt) {
+	if !errorx.IsOfType(spoilt, Corrupt) {
 		t.Fatalf("spoilt: %v", spoilt)
 	}
 	if held, _ := versions(b); len(held) > 0 {
--- a/internal/signal/pause_test.go
+++ b/internal/mesh/transport/backoff_test.go
@@ -1,4 +1,4 @@
-package signal
+package transport
 
 import (
 	"testing"
@@ -6,16 +6,16 @@
 )
 
 // A peer that was just lost is tried again soon, one that stays away less and less often, and never less than was said.
-func TestPausesGrowToTheirMost(t *testing.T) {
-	p := Pause{First: 20 * time.Millisecond, Most: 300 * time.Millisecond}
-	most := p.First
+func TestBackoff(t *testing.T) {
+	p := Backoff{Min: 20 * time.Millisecond, Max: 300 * time.Millisecond}
+	most := p.Min
 	for range 20 {
 		if d := p.Next(); d < most/2 || d > most {
 			t.Fatalf("%v, want from %v to %v", d, most/2, most)
 		}
-		most = min(2*most, p.Most)
+		most = min(2*most, p.Max)
 	}
-	if p.Reset(); p.Next() > p.First {
+	if p.Reset(); p.Next() > p.Min {
 		t.Error("after it was reached, the first wait is long")
 	}
 }
--- a/internal/signal/signal_test.go
+++ b/internal/mesh/transport/conn_test.go
@@ -1,4 +1,4 @@
-package signal
+package transport
 
 import (
 	"encoding/binary"
@@ -35,7 +35,7 @@
 	return a, b
 }
 
-func TestMessagesThereAndBack(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	a, b := pair(t)
 	ends := make(chan *Conn, 1)
 	go func() {
@@ -60,15 +60,15 @@
 }
 
 // What a peer sends that is not of this wire costs it its connection, and no more memory than a frame's bound.
-func TestForeignPeers(t *testing.T) {
-	huge := binary.BigEndian.AppendUint32(nil, maxFrame+1)
+func TestProtocolErrors(t *testing.T) {
+	huge := binary.BigEndian.AppendUint32(nil, maxFrameBytes+1)
 	for name, c := range map[string]struct {
 		bytes string
 		greet bool
 	}{
 		"another greeting": {"GET / HTTP/1.1\r\n\r\n", true},
-		"a huge frame":     {magic + string(huge), false},
-		"no message":       {magic + "\x00\x00\x00\x03abc", false},
+		"a huge frame":     {greeting + string(huge), false},
+		"no message":       {greeting + "\x00\x00\x00\x03abc", false},
 	} {
 		a, b := pair(t)
 		if _, err := io.WriteString(b, c.bytes); err != nil {
@@ -81,16 +81,16 @@
 		} else if !c.greet {
 			t.Errorf("%s: greeting fails: %v", name, err)
 		}
-		if !errorx.IsOfType(err, Foreign) {
+		if !errorx.IsOfType(err, ProtocolError) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
 // One that does not take what it is told is cut off, and an outbox ends with its connection.
-func TestAnOutboxEndsWithItsConnection(t *testing.T) {
+func TestOutboxEndsWithItsConnection(t *testing.T) {
 	a, b := pair(t)
-	if _, err := io.WriteString(b, magic); err != nil {
+	if _, err := io.WriteString(b, greeting); err != nil {
 		t.Fatal(err)
 	}
 	conn, err := New(t.Context(), a, 5*time.Second)
@@ -98,19 +98,19 @@
 		t.Fatal(err)
 	}
 	o := NewOutbox(conn, 1)
-	if !o.Say(&message{}) || o.Say(&message{}) {
+	if !o.Send(&message{}) || o.Send(&message{}) {
 		t.Error("a message is refused with room, or taken without")
 	}
 	o.Run() // returns, as the connection is closed
 	var m message
-	if err := conn.Receive(&m); !errorx.IsOfType(err, Broken) {
+	if err := conn.Receive(&m); !errorx.IsOfType(err, ConnectionLost) {
 		t.Errorf("of a closed connection: %v", err)
 	}
 }
 
-func TestASilentPeerIsGone(t *testing.T) {
+func TestIdlePeerIsDisconnected(t *testing.T) {
 	a, b := pair(t)
-	if _, err := io.WriteString(b, magic); err != nil {
+	if _, err := io.WriteString(b, greeting); err != nil {
 		t.Fatal(err)
 	}
 	conn, err := New(t.Context(), a, 30*time.Millisecond)
@@ -118,14 +118,14 @@
 		t.Fatal(err)
 	}
 	var m message
-	if err := conn.Receive(&m); !errorx.IsOfType(err, Broken) {
+	if err := conn.Receive(&m); !errorx.IsOfType(err, ConnectionLost) {
 		t.Fatalf("%v", err)
 	}
 }
 
 // A message that takes longer over a thin link than a peer may be silent, or slow to take, comes whole: neither end cuts the connection
 // while its bytes pass.
-func TestALongMessageOverAThinLink(t *testing.T) {
+func TestLongMessageOverASlowLink(t *testing.T) {
 	const silence, size = 300 * time.Millisecond, 4 << 20
 	a, near := pair(t)
 	far, b := pair(t)
@@ -142,7 +142,7 @@
 			}
 		}
 	}()
-	go io.Copy(near, far)
+	go func() { _, _ = io.Copy(near, far) }()
 	got := make(chan error, 1)
 	go func() {
 		conn, err := New(t.Context(), b, silence)
--- a/internal/nginx/errorpage.go
+++ b/internal/nginx/errorpage.go
@@ -2,42 +2,45 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
+
+	"milletmast/internal/route"
 )
 
 // pagePlan is an error_page (ngx_http_core_module).
 type pagePlan struct {
-	from  *Directive
-	codes []int
-	lines []string
+	directive *Directive
+	codes     []int
+	lines     []string
 }
 
-// pendingPages are error pages of one level, which may lead to named locations anywhere in the server.
+// pendingPages are the error pages of one level. They may lead to named locations anywhere in the server.
 type pendingPages struct {
 	to    *[]pagePlan
 	from  []*Directive
 	scope scope
 }
 
-// errorPages notes the error pages of a level for settle.
-func (l *level) errorPages(to *[]pagePlan, from []*Directive, s scope) {
+// addErrorPages adds the error pages of a level for importErrorPages.
+func (l *serverImporter) addErrorPages(to *[]pagePlan, from []*Directive, s scope) {
 	l.pending = append(l.pending, pendingPages{to, from, s.clone()})
 }
 
-// settle translates error pages, once all locations are known.
-func (l *level) settle() {
+// importErrorPages translates the error pages, once all locations are known.
+func (l *serverImporter) importErrorPages() {
 	names := map[string]bool{}
-	for _, p := range l.site.locations {
-		if p.field == "named" {
+	for _, p := range l.server.locations {
+		if p.field == fieldNamed {
 			names[p.path] = true
 		}
 	}
 	for _, p := range l.pending {
 		for _, d := range p.from {
-			plan, why := errorPage(d, p.scope, names)
-			if why != "" {
-				l.marks.set(d, Dropped, 0, why)
+			plan, reason := newErrorPage(d, p.scope, names)
+			if reason != "" {
+				l.outcomes.record(d, Dropped, 0, reason)
 				continue
 			}
 			*p.to = append(*p.to, plan)
@@ -45,78 +48,119 @@
 	}
 }
 
-// errorPage reads one, or tells why it cannot be carried.
-func errorPage(d *Directive, s scope, names map[string]bool) (pagePlan, string) {
-	p := pagePlan{from: d}
+// newErrorPage translates an error_page, or returns the reason why it is dropped. Names are those of the named locations.
+func newErrorPage(d *Directive, s scope, names map[string]bool) (p pagePlan, reason string) {
+	p.directive = d
 	if len(d.Args) < 2 {
 		return p, "it needs a status and a URI"
 	}
 	args, uri := d.Args[:len(d.Args)-1], d.Args[len(d.Args)-1].Text
+	status := pageStatus{}
 	if last := args[len(args)-1].Text; strings.HasPrefix(last, "=") {
 		args = args[:len(args)-1]
-		if last == "=" {
-			p.lines = append(p.lines, "own_status = true")
-		} else if n, err := strconv.Atoi(last[1:]); err != nil || n < 200 || n > 599 || n == 204 || n == 205 || n == 304 {
-			return p, fmt.Sprintf("%q is no status of an answer with a body", last)
-		} else {
-			p.lines = append(p.lines, "status = "+strconv.Itoa(n))
+		if status, reason = parsePageStatus(last); reason != "" {
+			return p, reason
 		}
+		p.lines = append(p.lines, status.line())
+	}
+	if p.codes, reason = parseErrorCodes(args); reason != "" {
+		return p, reason
+	}
+	line, reason := pageLine(uri, s, names, status)
+	if reason != "" {
+		return p, reason
+	}
+	p.lines = append(p.lines, line)
+	return p, ""
+}
+
+// pageStatus is the status of the final response: =CODE, = for that of the page, or none for that of the error.
+type pageStatus struct {
+	code  int
+	isOwn bool
+}
+
+// parsePageStatus parses the parameter that starts with "=".
+func parsePageStatus(text string) (status pageStatus, reason string) {
+	if text == "=" {
+		return pageStatus{isOwn: true}, ""
 	}
+	n, err := strconv.Atoi(text[1:])
+	hasNoBody := n == http.StatusNoContent || n == http.StatusResetContent || n == http.StatusNotModified
+	if err != nil || n < 200 || n > 599 || hasNoBody {
+		return pageStatus{}, fmt.Sprintf("%q is no status of an answer with a body", text)
+	}
+	return pageStatus{code: n}, ""
+}
+
+func (s pageStatus) line() string {
+	if s.isOwn {
+		return "own_status = true"
+	}
+	return "status = " + strconv.Itoa(s.code)
+}
+
+// isRedirect reports whether a page with this status may be a URL.
+func (s pageStatus) isRedirect() bool {
+	return !s.isOwn && (s.code == 0 || route.IsRedirect(s.code))
+}
+
+// parseErrorCodes parses the statuses of errors.
+func parseErrorCodes(args []Arg) (codes []int, reason string) {
 	if len(args) == 0 {
-		return p, "it needs a status"
+		return nil, "it needs a status"
 	}
 	for _, a := range args {
 		code, err := strconv.Atoi(a.Text)
 		if err != nil || code < 300 || code > 599 {
-			return p, fmt.Sprintf("%q is no status of an error", a.Text)
+			return nil, fmt.Sprintf("%q is no status of an error", a.Text)
 		}
-		p.codes = append(p.codes, code)
+		codes = append(codes, code)
 	}
+	return codes, ""
+}
+
+// pageLine returns the line of the operator file for the URI of an error_page.
+func pageLine(uri string, s scope, names map[string]bool, status pageStatus) (line, reason string) {
 	if name, ok := strings.CutPrefix(uri, "@"); ok {
 		if !names[name] {
-			return p, "there is no location " + uri + " that was carried over"
+			return "", "there is no location " + uri + " that was carried over"
 		}
-		p.lines = append(p.lines, "named = "+text(name))
-		return p, ""
+		return "named = " + quoteTOML(name), ""
 	}
-	to, err := s.template(uri)
+	to, err := s.resolve(uri)
 	if err != nil {
-		return p, err.Error()
+		return "", err.Error()
 	}
-	if scheme, _, ok := strings.Cut(uri, "://"); ok && !strings.HasPrefix(uri, "/") && !strings.ContainsAny(scheme, "/?") {
-		for _, line := range p.lines {
-			code := strings.TrimPrefix(line, "status = ")
-			if n, err := strconv.Atoi(code); err == nil && n != 301 && n != 302 && n != 303 && n != 307 && n != 308 || line == "own_status = true" {
-				return p, "a URL is a redirect, with one of the statuses 301, 302, 303, 307 and 308"
-			}
-		}
-		p.lines = append(p.lines, "redirect = "+text(to))
-		return p, ""
+	scheme, _, hasScheme := strings.Cut(uri, "://")
+	switch {
+	case strings.HasPrefix(uri, "/"):
+		return "page = " + quoteTOML(to), ""
+	case !hasScheme || strings.ContainsAny(scheme, "/?"):
+		return "", fmt.Sprintf("%q is no path, name or URL", uri)
+	case !status.isRedirect():
+		return "", "a URL is a redirect, with one of the statuses 301, 302, 303, 307 and 308"
 	}
-	if !strings.HasPrefix(uri, "/") {
-		return p, fmt.Sprintf("%q is no path, name or URL", uri)
-	}
-	p.lines = append(p.lines, "page = "+text(to))
-	return p, ""
+	return "redirect = " + quoteTOML(to), ""
 }
 
-// pages writes error pages.
-func (t *translator) pages(w *writer, table string, list []pagePlan) {
+// writePages writes error pages.
+func (t *importer) writePages(w *lineWriter, table string, list []pagePlan) {
 	for _, p := range list {
-		line := w.put("[[%s]]", table)
+		line := w.writeLine("[[%s]]", table)
 		var codes []string
-		early := false
+		isEarly := false
 		for _, c := range p.codes {
 			codes = append(codes, strconv.Itoa(c))
-			early = early || c == 400 || c == 408 || c == 413 || c == 414 || c >= 494 && c <= 499
+			isEarly = isEarly || c == 400 || c == 408 || c == 413 || c == 414 || c >= 494 && c <= 499
 		}
-		w.put("codes = [%s]", strings.Join(codes, ", "))
+		w.writeLine("codes = [%s]", strings.Join(codes, ", "))
 		for _, text := range p.lines {
-			w.put("%s", text)
+			w.writeLine("%s", text)
 		}
-		t.marks.set(p.from, Carried, line, "")
-		if early {
-			t.marks.set(p.from, Differs, line, "requests that cannot be read or are too long are answered before a location is chosen")
+		t.outcomes.record(p.directive, Translated, line, "")
+		if isEarly {
+			t.outcomes.record(p.directive, Differs, line, "requests that cannot be read or are too long are answered before a location is chosen")
 		}
 	}
 }
--- a/internal/nginx/import_test.go
+++ b/internal/nginx/import_test.go
@@ -30,15 +30,15 @@
 	for _, d := range includes {
 		count(d)
 	}
-	totals := map[Fate]int{}
+	totals := map[Outcome]int{}
 	for _, e := range r.Entries {
 		key := Pos{e.File, e.Line, e.Column}.String()
 		if want[key]--; want[key] < 0 {
 			t.Errorf("%s is told more often than it stands in the file", key)
 		}
-		totals[e.Fate]++
-		if e.Fate != Carried && e.Note == "" {
-			t.Errorf("%s: %s without a word why", key, e.Fate)
+		totals[e.Outcome]++
+		if e.Outcome != Translated && e.Note == "" {
+			t.Errorf("%s: %s without a word why", key, e.Outcome)
 		}
 	}
 	for key, n := range want {
@@ -46,7 +46,7 @@
 			t.Errorf("%s is not told", key)
 		}
 	}
-	for _, f := range []Fate{Carried, Differs, Dropped} {
+	for _, f := range []Outcome{Translated, Differs, Dropped} {
 		if totals[f] != r.Totals[f] {
 			t.Errorf("%s: %d entries, total %d", f, totals[f], r.Totals[f])
 		}
@@ -114,20 +114,20 @@
 
 func TestImport(t *testing.T) {
 	out, r := imported(t, whole)
-	for begins, want := range map[string]Fate{
-		"user": Dropped, "events": Dropped, "worker_connections": Dropped, "http": Carried, "map": Differs, "upstream shelf": Carried,
-		"zone": Differs, "least_conn": Differs, "server 127.0.0.1:9001": Differs, "server 127.0.0.1:9002": Carried, "server [::1]:9003": Carried,
-		"server unix:": Dropped, "keepalive": Differs, "ip_hash": Dropped, "listen 8080": Carried, "listen [::]:8080": Differs,
-		"server_name shop.example.org *": Carried, "set": Differs, "rewrite": Carried, "proxy_set_header X-Town": Carried,
-		"proxy_pass http://shelf": Carried, "proxy_next_upstream error": Differs, "proxy_next_upstream_tries": Carried,
-		"proxy_pass http://box": Carried, "proxy_read_timeout 30": Differs, "proxy_set_header Connection": Dropped,
-		"proxy_pass http://127.0.0.1:9005": Carried, "if": Dropped, "return 405": Dropped, "root": Dropped, "proxy_pass http://unix:": Dropped,
-		"location ~ (?=x)": Dropped, "proxy_pass http://127.0.0.1:9006": Carried, "content_by_lua_block": Dropped, "location @later": Carried,
-		"error_page": Carried, "limit_req": Dropped, "server_name shop.example.org other": Dropped, "return 301": Carried,
-		"proxy_pass http://$backend": Dropped, "resolver": Dropped, "client_max_body_size": Carried, "proxy_read_timeout 5s": Differs,
+	for begins, want := range map[string]Outcome{
+		"user": Dropped, "events": Dropped, "worker_connections": Dropped, "http": Translated, "map": Differs, "upstream shelf": Translated,
+		"zone": Differs, "least_conn": Differs, "server 127.0.0.1:9001": Differs, "server 127.0.0.1:9002": Translated, "server [::1]:9003": Translated,
+		"server unix:": Dropped, "keepalive": Differs, "ip_hash": Dropped, "listen 8080": Translated, "listen [::]:8080": Differs,
+		"server_name shop.example.org *": Translated, "set": Differs, "rewrite": Translated, "proxy_set_header X-Town": Translated,
+		"proxy_pass http://shelf": Translated, "proxy_next_upstream error": Differs, "proxy_next_upstream_tries": Translated,
+		"proxy_pass http://box": Translated, "proxy_read_timeout 30": Differs, "proxy_set_header Connection": Dropped,
+		"proxy_pass http://127.0.0.1:9005": Translated, "if": Dropped, "return 405": Dropped, "root": Dropped, "proxy_pass http://unix:": Dropped,
+		"location ~ (?=x)": Dropped, "proxy_pass http://127.0.0.1:9006": Translated, "content_by_lua_block": Dropped, "location @later": Translated,
+		"error_page": Translated, "limit_req": Dropped, "server_name shop.example.org other": Dropped, "return 301": Translated,
+		"proxy_pass http://$backend": Dropped, "resolver": Dropped, "client_max_body_size": Translated, "proxy_read_timeout 5s": Differs,
 	} {
-		if e := r.fate(t, begins); e.Fate != want || want == Carried && e.Output == 0 {
-			t.Errorf("%s: %s at %d (%s), want %s", begins, e.Fate, e.Output, e.Note, want)
+		if e := r.fate(t, begins); e.Outcome != want || want == Translated && e.Output == 0 {
+			t.Errorf("%s: %s at %d (%s), want %s", begins, e.Outcome, e.Output, e.Note, want)
 		}
 	}
 	lines := strings.Split(out, "\n")
@@ -278,15 +278,15 @@
 }
 server { listen 8081; recursive_error_pages on; location / { proxy_pass http://127.0.0.1:9001; } }
 `)
-	for begins, want := range map[string]Fate{
-		"error_page 500": Carried, "proxy_intercept_errors on": Carried, "proxy_intercept_errors off": Carried, "recursive_error_pages off": Carried,
-		"recursive_error_pages on": Dropped, "error_page 404": Carried, "error_page 502": Carried, "error_page 401": Carried, "error_page 402": Carried,
+	for begins, want := range map[string]Outcome{
+		"error_page 500": Translated, "proxy_intercept_errors on": Translated, "proxy_intercept_errors off": Translated, "recursive_error_pages off": Translated,
+		"recursive_error_pages on": Dropped, "error_page 404": Translated, "error_page 502": Translated, "error_page 401": Translated, "error_page 402": Translated,
 		"error_page 403": Dropped, "error_page 413": Differs, "error_page 405": Dropped, "error_page 406": Dropped, "error_page nonsense": Dropped,
-		"error_page 407": Dropped, "error_page 504": Carried, "internal": Carried, "location @later": Carried, "location @no": Dropped,
+		"error_page 407": Dropped, "error_page 504": Translated, "internal": Translated, "location @later": Translated, "location @no": Dropped,
 		"proxy_pass http://127.0.0.1:9002/x": Dropped, "location ~ /x": Dropped,
 	} {
-		if e := r.fate(t, begins); e.Fate != want || want == Carried && e.Output == 0 {
-			t.Errorf("%s: %s at %d (%s), want %s", begins, e.Fate, e.Output, e.Note, want)
+		if e := r.fate(t, begins); e.Outcome != want || want == Translated && e.Output == 0 {
+			t.Errorf("%s: %s at %d (%s), want %s", begins, e.Outcome, e.Output, e.Note, want)
 		}
 	}
 	for want, times := range map[string]int{
--- a/internal/nginx/include.go
+++ b/internal/nginx/include.go
@@ -10,27 +10,27 @@
 )
 
 var (
-	errLong     = fmt.Errorf("the files are over %d MiB together", MaxText>>20)
-	errFiles    = fmt.Errorf("more than %d files", MaxFiles)
-	errIncludes = fmt.Errorf("includes are more than %d deep", MaxIncludes)
-	errCycle    = errors.New("the file includes itself")
-	errInclude  = errors.New("include needs one file or pattern, and no block")
+	errTooLong      = fmt.Errorf("the files are over %d MiB together", MaxText>>20)
+	errTooManyFiles = fmt.Errorf("more than %d files", MaxFiles)
+	errIncludeDepth = fmt.Errorf("includes are more than %d deep", MaxIncludes)
+	errCycle        = errors.New("the file includes itself")
+	errBadInclude   = errors.New("include needs one file or pattern, and no block")
 )
 
-// Load reads a file and what it includes. Names are relative to the folder of the first file; a pattern that matches nothing is
-// no error, a file that is not there is. The files of a pattern come in the order of their names. Included directives stand in
-// the place of include, which File keeps beside.
+// Load reads a file and the files that it includes. Names are relative to the folder of the first file. A pattern that matches
+// nothing is no error, a file that does not exist is. Files of a pattern are read in the order of their names. Included directives
+// replace the include, which File has apart.
 func Load(path string) (*File, error) {
-	r := &reader{folder: filepath.Dir(path)}
-	list, err := r.file(path, nil, Pos{path, 1, 1})
+	r := &loader{folder: filepath.Dir(path)}
+	list, err := r.loadFile(path, nil, Pos{path, 1, 1})
 	if err != nil {
 		return nil, err
 	}
 	return &File{Directives: list, Includes: r.includes}, nil
 }
 
-// reader follows includes.
-type reader struct {
+// loader reads files and follows includes.
+type loader struct {
 	folder string
 	files  int
 	length int
@@ -38,17 +38,17 @@
 	includes []*Directive
 }
 
-// file reads one file; from are those that include it, and at is where.
-func (r *reader) file(path string, from []string, at Pos) ([]*Directive, error) {
+// loadFile reads one file. From are the files that include it, and at is the position of the include.
+func (r *loader) loadFile(path string, from []string, at Pos) ([]*Directive, error) {
 	path = filepath.Clean(path)
 	switch {
 	case slices.Contains(from, path):
 		return nil, &Error{at, fmt.Errorf("%s: %w", path, errCycle)}
 	case len(from) > MaxIncludes:
-		return nil, &Error{at, errIncludes}
+		return nil, &Error{at, errIncludeDepth}
 	}
 	if r.files++; r.files > MaxFiles {
-		return nil, &Error{at, errFiles}
+		return nil, &Error{at, errTooManyFiles}
 	}
 	info, err := os.Stat(path)
 	if err == nil && !info.Mode().IsRegular() {
@@ -58,7 +58,7 @@
 		return nil, &Error{at, fmt.Errorf("%s: %w", path, err)}
 	}
 	if r.length += int(min(info.Size(), MaxText+1)); r.length > MaxText {
-		return nil, &Error{at, errLong}
+		return nil, &Error{at, errTooLong}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -71,41 +71,52 @@
 	return r.expand(list, append(slices.Clip(from), path))
 }
 
-// expand puts the directives of included files in the place of include.
-func (r *reader) expand(list []*Directive, from []string) ([]*Directive, error) {
+// expand replaces each include by the directives of the files that it names.
+func (r *loader) expand(list []*Directive, from []string) ([]*Directive, error) {
 	out := make([]*Directive, 0, len(list))
 	for _, d := range list {
-		if d.Name != "include" {
-			if d.Block {
-				body, err := r.expand(d.Body, from)
-				if err != nil {
-					return nil, err
-				}
-				d.Body = body
+		if d.Name == "include" {
+			included, err := r.include(d, from)
+			if err != nil {
+				return nil, err
 			}
-			out = append(out, d)
+			out = append(out, included...)
 			continue
 		}
-		if len(d.Args) != 1 || d.Block {
-			return nil, &Error{d.Pos, errInclude}
-		}
-		r.includes = append(r.includes, d)
-		paths, err := r.match(d.Args[0].Text)
-		if err != nil {
-			return nil, &Error{d.Args[0].Pos, err}
-		}
-		for _, p := range paths {
-			body, err := r.file(p, from, d.Pos)
+		if d.Block {
+			body, err := r.expand(d.Body, from)
 			if err != nil {
 				return nil, err
 			}
-			out = append(out, body...)
+			d.Body = body
 		}
+		out = append(out, d)
 	}
 	return out, nil
 }
 
-func (r *reader) match(pattern string) ([]string, error) {
+// include returns the directives of the files that an include names.
+func (r *loader) include(d *Directive, from []string) (included []*Directive, err error) {
+	if len(d.Args) != 1 || d.Block {
+		return nil, &Error{d.Pos, errBadInclude}
+	}
+	r.includes = append(r.includes, d)
+	paths, err := r.expandPattern(d.Args[0].Text)
+	if err != nil {
+		return nil, &Error{d.Args[0].Pos, err}
+	}
+	for _, path := range paths {
+		list, err := r.loadFile(path, from, d.Pos)
+		if err != nil {
+			return nil, err
+		}
+		included = append(included, list...)
+	}
+	return included, nil
+}
+
+// expandPattern returns the files that an include names, in the order of their names.
+func (r *loader) expandPattern(pattern string) ([]string, error) {
 	if !filepath.IsAbs(pattern) {
 		pattern = filepath.Join(r.folder, pattern)
 	}
--- a/internal/nginx/nginx_test.go
+++ b/internal/nginx/nginx_test.go
@@ -47,9 +47,7 @@
 		if strings.HasPrefix(text, "if ") {
 			want = `|if|($a|=|b|){|return|404;};`
 		}
-		if strings.Contains(want, "|{};") {
-			want = strings.Replace(want, "|{};", "{};", 1)
-		}
+		want = strings.Replace(want, "|{};", "{};", 1)
 		if err != nil || shape(list) != want {
 			t.Errorf("%q is read as %q, %v, want %q", text, shape(list), err, want)
 		}
@@ -84,7 +82,7 @@
 			t.Errorf("%.40q: %v, want %q", text, err, want)
 		}
 	}
-	if _, err := Parse("f", strings.Repeat(" ", MaxText+1)); !errors.Is(err, errLong) {
+	if _, err := Parse("f", strings.Repeat(" ", MaxText+1)); !errors.Is(err, errTooLong) {
 		t.Error(err)
 	}
 }
@@ -144,7 +142,7 @@
 		}
 	}
 	long := folder(t, map[string]string{"c0": "include long; include long;", "long": strings.Repeat(" ", MaxText/2+1)})
-	if _, err := Load(filepath.Join(long, "c0")); !errors.Is(err, errLong) {
+	if _, err := Load(filepath.Join(long, "c0")); !errors.Is(err, errTooLong) {
 		t.Error(err)
 	}
 	if _, err := Load(t.TempDir()); err == nil || !strings.Contains(err.Error(), "no regular file") {
--- a/internal/nginx/report.go
+++ b/internal/nginx/report.go
@@ -10,47 +10,48 @@
 	"text/tabwriter"
 )
 
-// Fate is what became of a directive.
-type Fate string
+// Outcome is what became of a directive.
+type Outcome string
 
-// The fates. What is carried means the same in the output; what differs means the same but for what its note says.
+// The outcomes. A translated directive means the same in the output. One that differs means the same except for what its note says.
 const (
-	Carried Fate = "carried"
-	Differs Fate = "differs"
-	Dropped Fate = "dropped"
+	Translated Outcome = "carried"
+	Differs    Outcome = "differs"
+	Dropped    Outcome = "dropped"
 )
 
 // Entry is one directive of the input in a report.
 type Entry struct {
-	File      string `json:"file"`
-	Line      int    `json:"line"`
-	Column    int    `json:"column"`
-	Directive string `json:"directive"`
-	Fate      Fate   `json:"fate"`
-	Output    int    `json:"output_line,omitempty"` // the first line that holds it; 0 for none
-	Note      string `json:"note,omitempty"`        // what differs and when it shows, or why it was dropped and what to do
+	File      string  `json:"file"`
+	Line      int     `json:"line"`
+	Column    int     `json:"column"`
+	Directive string  `json:"directive"`
+	Outcome   Outcome `json:"fate"`
+	Output    int     `json:"output_line,omitempty"` // the first line that holds it; 0 for none
+	Note      string  `json:"note,omitempty"`        // what differs and when, or why it was dropped and what to do
 }
 
 // Report accounts for each directive of the input once.
 type Report struct {
-	Entries []Entry      `json:"directives"`
-	Totals  map[Fate]int `json:"totals"`
+	Entries []Entry         `json:"directives"`
+	Totals  map[Outcome]int `json:"totals"`
 }
 
-// mark notes what became of a directive. What was told first stays, unless the new fate is worse; notes add up.
-type marks map[*Directive]*Entry
+// outcomes holds the outcome of each directive. The first one that is recorded stays, unless a later one is worse. Notes are added.
+type outcomes map[*Directive]*Entry
 
-func (m marks) set(d *Directive, f Fate, line int, note string) {
+// record records an outcome. Line is that of the output; 0 for none.
+func (m outcomes) record(d *Directive, f Outcome, line int, note string) {
 	e := m[d]
 	if e == nil {
-		m[d] = &Entry{File: d.Pos.File, Line: d.Pos.Line, Column: d.Pos.Column, Directive: d.text(), Fate: f, Output: line, Note: note}
+		m[d] = &Entry{File: d.Pos.File, Line: d.Pos.Line, Column: d.Pos.Column, Directive: d.summary(), Outcome: f, Output: line, Note: note}
 		return
 	}
 	if e.Output == 0 {
 		e.Output = line
 	}
-	if e.Fate == Carried || f == Dropped {
-		e.Fate = f
+	if e.Outcome == Translated || f == Dropped {
+		e.Outcome = f
 	}
 	if note != "" && !strings.Contains(e.Note, note) {
 		if e.Note != "" {
@@ -60,32 +61,35 @@
 	}
 }
 
-// text is a directive in one line, without its block.
-func (d *Directive) text() string {
+// maxSummary bounds the text of a directive in a report, in bytes.
+const maxSummary = 200
+
+// summary returns a directive in one line, without its block.
+func (d *Directive) summary() string {
 	var out strings.Builder
 	out.WriteString(d.Name)
 	for _, a := range d.Args {
 		out.WriteString(" " + quote(a.Text, a.Quoted))
 	}
-	if out.Len() > 200 {
-		return strings.ToValidUTF8(out.String()[:200], "") + "..."
+	if out.Len() > maxSummary {
+		return strings.ToValidUTF8(out.String()[:maxSummary], "") + "..."
 	}
 	return out.String()
 }
 
-// report lists every directive of a tree and the includes that were followed. What nobody has marked is dropped.
-func (m marks) report(f *File) *Report {
-	r := &Report{Totals: map[Fate]int{Carried: 0, Differs: 0, Dropped: 0}}
+// newReport lists every directive of a tree, and the includes. A directive without an outcome is one that was dropped.
+func (m outcomes) newReport(f *File) *Report {
+	r := &Report{Totals: map[Outcome]int{Translated: 0, Differs: 0, Dropped: 0}}
 	add := func(d *Directive) {
 		if m[d] == nil {
-			m.set(d, Dropped, 0, "it has no counterpart")
+			m.record(d, Dropped, 0, "it has no counterpart")
 		}
 		r.Entries = append(r.Entries, *m[d])
-		r.Totals[m[d].Fate]++
+		r.Totals[m[d].Outcome]++
 	}
 	Walk(f.Directives, add)
 	for _, d := range f.Includes {
-		m.set(d, Carried, 0, "what it includes stands in its place")
+		m.record(d, Translated, 0, "what it includes stands in its place")
 		add(d)
 	}
 	slices.SortStableFunc(r.Entries, func(a, b Entry) int {
@@ -94,7 +98,7 @@
 	return r
 }
 
-// JSON writes a report for programs.
+// JSON writes the report in JSON.
 func (r *Report) JSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
@@ -102,26 +106,29 @@
 	return e.Encode(r)
 }
 
-// Table writes a report for people: what was not carried over as it is, and totals.
+// Table writes the directives that were dropped or differ as a table, and totals.
 func (r *Report) Table(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, e := range r.Entries {
-		if e.Fate == Carried {
+		if e.Outcome == Translated {
 			continue
 		}
-		fmt.Fprintf(t, "%s:%d\t%s\t%s\t%s\n", e.File, e.Line, e.Fate, cut(e.Directive, 48), e.Note)
+		fmt.Fprintf(t, "%s:%d\t%s\t%s\t%s\n", e.File, e.Line, e.Outcome, truncate(e.Directive, maxTableText), e.Note)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(w, "directives: %d; carried: %d, with a difference: %d, dropped: %d\n",
-		len(r.Entries), r.Totals[Carried], r.Totals[Differs], r.Totals[Dropped])
+		len(r.Entries), r.Totals[Translated], r.Totals[Differs], r.Totals[Dropped])
 	return err
 }
 
-func cut(s string, most int) string {
-	if len(s) <= most {
+// maxTableText bounds the text of a directive in a table, in bytes.
+const maxTableText = 48
+
+func truncate(s string, maxBytes int) string {
+	if len(s) <= maxBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:most], "") + "..."
+	return strings.ToValidUTF8(s[:maxBytes], "") + "..."
 }
--- a/internal/nginx/token.go
+++ b/internal/nginx/token.go
@@ -1,6 +1,9 @@
-// Package nginx reads the configuration language of nginx into a syntax tree, from its published documentation ("Beginner's
-// Guide", "Configuration File's Structure"; ngx_core_module, include). It knows no directive but include: what a tree means is
-// for others.
+// Package nginx imports the configuration of nginx, by its published documentation.
+//
+// token.go, tree.go and include.go read the configuration language into a syntax tree ("Beginner's Guide", "Configuration File's
+// Structure"; ngx_core_module, include). import.go and the files for its parts (settings, upstream, server, block, location, step,
+// proxypass, errorpage, variables) translate the tree into a plan (plan.go), write.go writes the plan as an operator file, and
+// report.go accounts for each directive.
 package nginx
 
 import (
@@ -9,7 +12,7 @@
 	"strings"
 )
 
-// Pos is a place in a file; lines and columns count from 1, columns in bytes.
+// Pos is a position in a file. Lines and columns count from 1, columns in bytes.
 type Pos struct {
 	File         string
 	Line, Column int
@@ -17,7 +20,7 @@
 
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column) }
 
-// Error is what is wrong at a place.
+// Error is an error at a position.
 type Error struct {
 	Pos Pos
 	Err error
@@ -25,23 +28,23 @@
 
 func (e *Error) Error() string { return e.Pos.String() + ": " + e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// kind is that of a token.
-type kind uint8
+// tokenKind is the kind of a token.
+type tokenKind uint8
 
 const (
-	word      kind = iota // a name or parameter
-	semicolon             // ends a directive
-	opening               // begins a block
-	closing               // ends one
-	end                   // of the file
+	word      tokenKind = iota // a name or parameter
+	semicolon                  // ends a directive
+	opening                    // begins a block
+	closing                    // ends one
+	end                        // of the file
 )
 
-// token is one of a file. Text is a word's, with quotes taken away and escapes undone.
+// token is a token of a file. The text of a word is without quotes and escapes.
 type token struct {
-	kind   kind
+	kind   tokenKind
 	text   string
 	quoted bool
 	pos    Pos
@@ -51,7 +54,7 @@
 type lexer struct {
 	file         string
 	text         string
-	at           int
+	offset       int
 	line, column int
 }
 
@@ -60,15 +63,15 @@
 func (l *lexer) pos() Pos { return Pos{l.file, l.line, l.column} }
 
 func (l *lexer) peek() (byte, bool) {
-	if l.at < len(l.text) {
-		return l.text[l.at], true
+	if l.offset < len(l.text) {
+		return l.text[l.offset], true
 	}
 	return 0, false
 }
 
-func (l *lexer) step() byte {
-	c := l.text[l.at]
-	l.at++
+func (l *lexer) advance() byte {
+	c := l.text[l.offset]
+	l.offset++
 	if l.column++; c == '\n' {
 		l.line, l.column = l.line+1, 1
 	}
@@ -77,7 +80,7 @@
 
 func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\r' || c == '\n' }
 
-// next gives the next token.
+// next returns the next token.
 func (l *lexer) next() (token, error) {
 	for {
 		c, ok := l.peek()
@@ -85,63 +88,60 @@
 		case !ok:
 			return token{kind: end, pos: l.pos()}, nil
 		case isSpace(c):
-			l.step()
+			l.advance()
 			continue
-		case c == '#': // a comment, as it stands where a token begins
-			for ok && c != '\n' {
-				l.step()
-				c, ok = l.peek()
-			}
+		case c == '#': // a comment, at the start of a token
+			l.skipLine()
 			continue
 		}
 		at := l.pos()
 		switch c {
 		case ';':
-			l.step()
+			l.advance()
 			return token{kind: semicolon, pos: at}, nil
 		case '{':
-			l.step()
+			l.advance()
 			return token{kind: opening, pos: at}, nil
 		case '}':
-			l.step()
+			l.advance()
 			return token{kind: closing, pos: at}, nil
 		case '"', '\'':
-			return l.quoted(at)
+			return l.readQuotedWord(at)
 		}
-		return l.plain(at)
+		return l.readBareWord(at)
 	}
 }
 
 var (
-	errOpenQuote = errors.New("a quote is not closed")
-	errBehind    = errors.New("a space, \";\" or \"{\" is missing behind a quote")
-	errControl   = errors.New("a control character")
+	errQuoteNotClosed = errors.New("a quote is not closed")
+	errNoSeparator    = errors.New("a space, \";\" or \"{\" is missing behind a quote")
+	errControl        = errors.New("a control character")
 )
 
-// quoted reads a word in quotes. Behind it a space, the end of the directive or a block must come, or the ")" of a condition.
-func (l *lexer) quoted(at Pos) (token, error) {
+// readQuotedWord reads a word in quotes. A space, the end of the directive, a block or the ")" of a condition must follow it.
+func (l *lexer) readQuotedWord(at Pos) (token, error) {
 	var b strings.Builder
-	for quote := l.step(); ; {
+	for quote := l.advance(); ; {
 		c, ok := l.peek()
 		if !ok {
-			return token{}, &Error{at, errOpenQuote}
+			return token{}, &Error{at, errQuoteNotClosed}
 		}
 		if c == quote {
-			l.step()
+			l.advance()
 			break
 		}
-		if err := l.char(&b); err != nil {
+		if err := l.readChar(&b); err != nil {
 			return token{}, err
 		}
 	}
 	if c, ok := l.peek(); ok && !isSpace(c) && c != ';' && c != '{' && c != ')' {
-		return token{}, &Error{l.pos(), errBehind}
+		return token{}, &Error{l.pos(), errNoSeparator}
 	}
 	return token{kind: word, text: b.String(), quoted: true, pos: at}, nil
 }
 
-// plain reads a word without quotes. The braces of ${name} belong to it.
-func (l *lexer) plain(at Pos) (token, error) {
+// readBareWord reads a word without quotes. The braces of ${name} belong to it.
+func (l *lexer) readBareWord(at Pos) (token, error) {
 	var b strings.Builder
 	for variable := false; ; {
 		c, ok := l.peek()
@@ -149,60 +149,71 @@
 			return token{kind: word, text: b.String(), pos: at}, nil
 		}
 		variable = c == '$'
-		if err := l.char(&b); err != nil {
+		if err := l.readChar(&b); err != nil {
 			return token{}, err
 		}
 	}
 }
 
-// raw reads the text of a block that holds Lua, up to the brace that closes it: those within strings and comments do not.
-func (l *lexer) raw(at Pos) (string, error) {
-	begun := l.at
+// readLuaBlock reads the text of a block in Lua, up to the brace that closes it. Braces in strings and comments do not count.
+func (l *lexer) readLuaBlock(at Pos) (string, error) {
+	start := l.offset
 	for depth := 1; ; {
 		c, ok := l.peek()
 		if !ok {
-			return "", &Error{at, errOpen}
+			return "", &Error{at, errBlockNotClosed}
 		}
-		l.step()
+		l.advance()
 		switch c {
 		case '{':
 			depth++
 		case '}':
 			if depth--; depth == 0 {
-				return l.text[begun : l.at-1], nil
+				return l.text[start : l.offset-1], nil
 			}
 		case '"', '\'':
-			for {
-				inside, ok := l.peek()
-				if !ok {
-					return "", &Error{at, errOpen}
-				}
-				if l.step(); inside == c || inside == '\n' {
-					break
-				}
-				if _, more := l.peek(); inside == '\\' && more {
-					l.step()
-				}
+			if !l.skipLuaString(c) {
+				return "", &Error{at, errBlockNotClosed}
 			}
 		case '-':
-			if next, ok := l.peek(); !ok || next != '-' {
-				continue
-			}
-			for {
-				if next, ok := l.peek(); !ok || next == '\n' {
-					break
-				}
-				l.step()
+			if next, ok := l.peek(); ok && next == '-' {
+				l.skipLine()
 			}
 		}
 	}
 }
 
-// char takes one character of a word, or an escape: a backslash before a quote, a backslash or a space of its own kind is
-// undone, \t, \r and \n stand for those, and any other backslash stays, as expressions need it.
-func (l *lexer) char(b *strings.Builder) error {
+// skipLuaString skips the rest of a string, which ends with its quote or with the line; false at the end of the file.
+func (l *lexer) skipLuaString(quote byte) bool {
+	for {
+		c, ok := l.peek()
+		if !ok {
+			return false
+		}
+		if l.advance(); c == quote || c == '\n' {
+			return true
+		}
+		if _, more := l.peek(); c == '\\' && more {
+			l.advance()
+		}
+	}
+}
+
+// skipLine skips the rest of a line.
+func (l *lexer) skipLine() {
+	for {
+		if c, ok := l.peek(); !ok || c == '\n' {
+			return
+		}
+		l.advance()
+	}
+}
+
+// readChar reads one character of a word, or an escape: a backslash before a quote or a backslash is removed, \t, \r and \n stand for
+// those, and any other backslash is kept, as expressions need it.
+func (l *lexer) readChar(b *strings.Builder) error {
 	at := l.pos()
-	c := l.step()
+	c := l.advance()
 	if c == 0 || c == 0x7f || c < ' ' && !isSpace(c) {
 		return &Error{at, errControl}
 	}
@@ -217,14 +228,14 @@
 	}
 	switch next {
 	case '"', '\'', '\\':
-		b.WriteByte(l.step())
+		b.WriteByte(l.advance())
 	case 't', 'r', 'n':
-		l.step()
+		l.advance()
 		b.WriteByte(map[byte]byte{'t': '\t', 'r': '\r', 'n': '\n'}[next])
 	default:
 		b.WriteByte(c)
 		if next != 0 && next != 0x7f && (next >= ' ' || isSpace(next)) {
-			b.WriteByte(l.step())
+			b.WriteByte(l.advance())
 		}
 	}
 	return nil
--- a/internal/nginx/tree.go
+++ b/internal/nginx/tree.go
@@ -1,14 +1,13 @@
 package nginx
 
 import (
-	"bufio"
 	"errors"
 	"fmt"
 	"io"
 	"strings"
 )
 
-// Bounds of what is read.
+// Limits of a configuration.
 const (
 	MaxText     = 8 << 20 // bytes of all files together
 	MaxDepth    = 32      // blocks within each other
@@ -19,7 +18,7 @@
 // Arg is a parameter of a directive.
 type Arg struct {
 	Text   string
-	Quoted bool // it stood in quotes
+	Quoted bool // it was written in quotes
 	Pos    Pos
 }
 
@@ -27,13 +26,13 @@
 type Directive struct {
 	Name  string
 	Args  []Arg
-	Block bool         // it has one, even if that is empty
+	Block bool         // it has a block, which may be empty
 	Body  []*Directive // of the block
-	Raw   string       // the block's text instead, of one that holds another language
+	Raw   string       // the text of a block in another language
 	Pos   Pos
 }
 
-// holdsLua tells whether the block is in another language.
+// holdsLua reports whether the block is in Lua.
 func (d *Directive) holdsLua() bool { return strings.HasSuffix(d.Name, "_by_lua_block") }
 
 // Walk calls f for each directive, the outer ones first.
@@ -45,25 +44,25 @@
 }
 
 var (
-	errDepth   = fmt.Errorf("blocks are more than %d deep", MaxDepth)
-	errNoEnd   = errors.New("the directive is not ended by \";\" or a block")
-	errNoName  = errors.New("a directive has no name")
-	errOpen    = errors.New("the block is not closed")
-	errClosing = errors.New("\"}\" without a block")
+	errDepth           = fmt.Errorf("blocks are more than %d deep", MaxDepth)
+	errNoEnd           = errors.New("the directive is not ended by \";\" or a block")
+	errNoName          = errors.New("a directive has no name")
+	errBlockNotClosed  = errors.New("the block is not closed")
+	errUnexpectedClose = errors.New("\"}\" without a block")
 )
 
 // Parse reads one file. It does not follow includes. The error is an *Error.
 func Parse(file, text string) ([]*Directive, error) {
 	if len(text) > MaxText {
-		return nil, &Error{Pos{file, 1, 1}, errLong}
+		return nil, &Error{Pos{file, 1, 1}, errTooLong}
 	}
 	return parseBlock(newLexer(file, text), nil, 0)
 }
 
-// parseBlock reads directives up to the end of the block that begins at a place, or of the file for none.
-func parseBlock(l *lexer, begun *Pos, depth int) ([]*Directive, error) {
+// parseBlock reads directives up to the end of the block that starts at a position, or of the file if that is nil.
+func parseBlock(l *lexer, start *Pos, depth int) ([]*Directive, error) {
 	if depth > MaxDepth {
-		return nil, &Error{*begun, errDepth}
+		return nil, &Error{*start, errDepth}
 	}
 	list := []*Directive{}
 	for {
@@ -73,13 +72,13 @@
 		}
 		switch t.kind {
 		case end:
-			if begun != nil {
-				return nil, &Error{*begun, errOpen}
+			if start != nil {
+				return nil, &Error{*start, errBlockNotClosed}
 			}
 			return list, nil
 		case closing:
-			if begun == nil {
-				return nil, &Error{t.pos, errClosing}
+			if start == nil {
+				return nil, &Error{t.pos, errUnexpectedClose}
 			}
 			return list, nil
 		case semicolon, opening:
@@ -108,7 +107,7 @@
 		case opening:
 			d.Block = true
 			if d.holdsLua() {
-				d.Raw, err = l.raw(t.pos)
+				d.Raw, err = l.readLuaBlock(t.pos)
 				return d, err
 			}
 			d.Body, err = parseBlock(l, &t.pos, depth+1)
@@ -119,14 +118,15 @@
 	}
 }
 
-// Print writes directives so that Parse reads the same.
+// Print writes directives so that Parse reads the same tree.
 func Print(w io.Writer, list []*Directive) error {
-	out := bufio.NewWriter(w)
-	printBlock(out, list, "")
-	return out.Flush()
+	var out strings.Builder
+	printBlock(&out, list, "")
+	_, err := io.WriteString(w, out.String())
+	return err
 }
 
-func printBlock(out *bufio.Writer, list []*Directive, indent string) {
+func printBlock(out *strings.Builder, list []*Directive, indent string) {
 	for _, d := range list {
 		out.WriteString(indent + quote(d.Name, false))
 		for _, a := range d.Args {
@@ -146,7 +146,7 @@
 	}
 }
 
-// quote writes a word, in quotes where it needs them.
+// quote returns a word, in quotes if it needs them.
 func quote(text string, quoted bool) string {
 	if !quoted && text != "" && !strings.ContainsAny(text, " \t\r\n;{}\"'\\#") {
 		return text
--- a/internal/nginx/variables.go
+++ b/internal/nginx/variables.go
@@ -4,32 +4,35 @@
 	"fmt"
 	"maps"
 	"net/http"
+	"regexp"
 	"strings"
+
+	"milletmast/internal/vhost"
 )
 
-// scope is what variables can be resolved to before a request is there.
+// scope is what variables can be replaced by when the configuration is imported.
 type scope struct {
-	fixed    map[string]string     // of set, and what an address or name gives
-	maps     map[string]*Directive // by the variable that a map makes
-	captures map[string]bool       // names that expressions capture
-	numbers  bool                  // an expression has captured by number
-	lookups  *int                  // in maps, that one template may still cost; nil outside of one
+	constants   map[string]string     // values of set, and those that follow from an address or a name
+	maps        map[string]*Directive // by the variable that a map sets
+	captures    map[string]bool       // by name, of expressions
+	hasNumbered bool                  // an expression has numbered captures
+	lookups     *int                  // of maps, for one text
 }
 
 func (s scope) clone() scope {
-	s.fixed, s.captures = maps.Clone(s.fixed), maps.Clone(s.captures)
+	s.constants, s.captures = maps.Clone(s.constants), maps.Clone(s.captures)
 	return s
 }
 
-// placeholders are the variables that a template has.
+// placeholders are the variables that templates of sites have.
 var placeholders = map[string]string{
 	"uri": "{path}", "document_uri": "{path}", "request_uri": "{raw}", "args": "{query}", "query_string": "{query}", "host": "{host}",
 	"remote_addr": "{caller}", "scheme": "{scheme}", "request_method": "{method}", "proxy_add_x_forwarded_for": "{forwarded}",
 	"http_host": "{header:Host}", "content_type": "{header:Content-Type}",
 }
 
-// template turns a text with variables into one with placeholders. An error names the variable that cannot be had.
-func (s scope) template(text string) (string, error) {
+// resolve converts a text with variables to a template with placeholders. The error names a variable that has none.
+func (s scope) resolve(text string) (string, error) {
 	if s.lookups == nil {
 		s.lookups = new(int)
 	}
@@ -40,12 +43,12 @@
 		if !found {
 			break
 		}
-		name, after, err := variable(rest)
+		name, after, err := cutVariable(rest)
 		if err != nil {
 			return "", err
 		}
 		if name == "is_args" {
-			next, behind, err := variable(strings.TrimPrefix(after, "$"))
+			next, behind, err := cutVariable(strings.TrimPrefix(after, "$"))
 			if err != nil || !strings.HasPrefix(after, "$") || next != "args" && next != "query_string" {
 				return "", fmt.Errorf("$is_args without $args behind it has no counterpart")
 			}
@@ -53,7 +56,7 @@
 			text = behind
 			continue
 		}
-		value, err := s.resolve(name)
+		value, err := s.resolveVariable(name)
 		if err != nil {
 			return "", err
 		}
@@ -63,8 +66,8 @@
 	return out.String(), nil
 }
 
-// variable reads a name behind a dollar sign.
-func variable(text string) (name, rest string, err error) {
+// cutVariable cuts the name of a variable off the text behind a dollar sign.
+func cutVariable(text string) (name, rest string, err error) {
 	if after, ok := strings.CutPrefix(text, "{"); ok {
 		if name, rest, ok = strings.Cut(after, "}"); !ok || name == "" {
 			return "", "", fmt.Errorf("${ is not closed")
@@ -72,7 +75,7 @@
 		return name, rest, nil
 	}
 	n := 0
-	for n < len(text) && (text[n] == '_' || text[n] >= 'a' && text[n] <= 'z' || text[n] >= 'A' && text[n] <= 'Z' || text[n] >= '0' && text[n] <= '9') {
+	for n < len(text) && isNameByte(text[n]) {
 		if n++; n == 1 && text[0] >= '1' && text[0] <= '9' {
 			break // captures have one digit
 		}
@@ -83,11 +86,16 @@
 	return text[:n], text[n:], nil
 }
 
-const maxMaps = 64 // looked up for one template: maps may lead to others, or to themselves
+func isNameByte(c byte) bool {
+	return c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+}
+
+// maxLookups bounds the maps that are looked up for one text, as maps may lead to others or to themselves.
+const maxLookups = 64
 
-// resolve gives the template for a variable.
-func (s scope) resolve(name string) (string, error) {
-	if value, ok := s.fixed[name]; ok {
+// resolveVariable returns the template of a variable.
+func (s scope) resolveVariable(name string) (string, error) {
+	if value, ok := s.constants[name]; ok {
 		return strings.ReplaceAll(value, "{", "{{"), nil
 	}
 	if p := placeholders[name]; p != "" {
@@ -95,7 +103,7 @@
 	}
 	switch {
 	case len(name) == 1 && name[0] >= '1' && name[0] <= '9':
-		if !s.numbers {
+		if !s.hasNumbered {
 			return "", fmt.Errorf("$%s: no expression captures it", name)
 		}
 		return "{" + name + "}", nil
@@ -105,24 +113,24 @@
 		return "{header:" + http.CanonicalHeaderKey(strings.ReplaceAll(name[5:], "_", "-")) + "}", nil
 	}
 	if d := s.maps[name]; d != nil {
-		if *s.lookups++; *s.lookups > maxMaps {
-			return "", fmt.Errorf("$%s: over %d maps are looked up for one text", name, maxMaps)
+		if *s.lookups++; *s.lookups > maxLookups {
+			return "", fmt.Errorf("$%s: over %d maps are looked up for one text", name, maxLookups)
 		}
-		return s.mapped(d)
+		return s.lookUpMap(d)
 	}
 	return "", fmt.Errorf("$%s is not known before a request is there", name)
 }
 
-// mapped looks a map up whose source is known before a request is there.
-func (s scope) mapped(d *Directive) (string, error) {
-	source, err := s.template(d.Args[0].Text)
+// lookUpMap returns the value of a map whose source is constant.
+func (s scope) lookUpMap(d *Directive) (string, error) {
+	source, err := s.resolve(d.Args[0].Text)
 	if err != nil {
 		return "", err
 	}
-	if strings.Contains(strings.ReplaceAll(source, "{{", ""), "{") {
+	if !isConstant(source) {
 		return "", fmt.Errorf("$%s: the map's source is not known before a request is there", strings.TrimPrefix(d.Args[1].Text, "$"))
 	}
-	source = strings.ReplaceAll(source, "{{", "{")
+	source = constantText(source)
 	result := ""
 	for _, line := range d.Body {
 		if len(line.Args) != 1 {
@@ -140,5 +148,23 @@
 			result = line.Args[0].Text
 		}
 	}
-	return s.template(result)
+	return s.resolve(result)
+}
+
+// compileExpression compiles an expression that a table can hold.
+func compileExpression(text string) (*regexp.Regexp, error) {
+	if len(text) > vhost.MaxPatternBytes {
+		return nil, fmt.Errorf("it has %d bytes, over the %d allowed", len(text), vhost.MaxPatternBytes)
+	}
+	return regexp.Compile(text)
+}
+
+// addCaptures adds the captures of an expression.
+func (s *scope) addCaptures(re *regexp.Regexp) {
+	s.hasNumbered = s.hasNumbered || re.NumSubexp() > 0
+	for _, name := range re.SubexpNames() {
+		if name != "" {
+			s.captures[name] = true
+		}
+	}
 }
--- a/internal/operator/bind.go
+++ b/internal/operator/bind.go
@@ -11,14 +11,14 @@
 	"strings"
 )
 
-// binder fills structs from a decoded document. The library's own strict mode stops at the first value of a wrong type;
-// an operator wants to be told of all at once.
+// binder fills structs from a decoded document. The strict mode of the TOML library stops at the first value of a wrong type;
+// the binder reports all of them.
 type binder struct {
-	complain func(path string, err error)
+	report func(path string, err error)
 }
 
-// table fills a struct. Defaults are set before, so that a key that is absent leaves them.
-func (b *binder) table(path string, from map[string]any, to reflect.Value) {
+// bindTable fills a struct. Defaults are set before, so that a key that is absent leaves them.
+func (b *binder) bindTable(path string, from map[string]any, to reflect.Value) {
 	if d, ok := to.Addr().Interface().(Defaulter); ok {
 		d.SetDefaults()
 	}
@@ -32,9 +32,9 @@
 	for _, key := range slices.Sorted(maps.Keys(from)) {
 		at := join(path, key)
 		if i, ok := fields[key]; ok {
-			b.value(at, from[key], to.Field(i))
+			b.bindValue(at, from[key], to.Field(i))
 		} else {
-			b.complain(at, unknown(key, names))
+			b.report(at, unknownKey(key, names))
 		}
 	}
 	if to.Type() == reflect.TypeFor[File]() {
@@ -44,6 +44,7 @@
 	}
 }
 
+// join returns the path of a key below another path.
 func join(path, key string) string {
 	if path == "" {
 		return key
@@ -51,19 +52,33 @@
 	return path + "." + key
 }
 
-// unknown names the key that was probably meant.
-func unknown(key string, names []string) error {
-	for _, n := range names {
-		if strings.EqualFold(strings.ReplaceAll(key, "-", "_"), n) || key == n+"s" || n == key+"s" || distance(key, n) <= 2 && len(n) > 3 {
-			return fmt.Errorf("unknown key; is %q meant?", n)
+// unknownKey is the error of a key that the table does not have. It names the key that was probably meant.
+func unknownKey(key string, names []string) error {
+	for _, name := range names {
+		if isLikely(key, name) {
+			return fmt.Errorf("unknown key; is %q meant?", name)
 		}
 	}
 	return errors.New("unknown key")
 }
 
-// distance counts the letters to change, add or drop to make b of a.
-func distance(a, b string) int {
-	if len(a) > 64 {
+// isLikely reports whether a key was probably meant to be a name of the schema.
+func isLikely(key, name string) bool {
+	if strings.EqualFold(strings.ReplaceAll(key, "-", "_"), name) || key == name+"s" || name == key+"s" {
+		return true
+	}
+	return len(name) > minLengthForTypos && editDistance(key, name) <= maxTypos
+}
+
+const (
+	maxTypos          = 2
+	minLengthForTypos = 3
+	maxComparedKey    = 64 // the distance of longer keys is not worked out
+)
+
+// editDistance returns the Levenshtein distance of two texts: the letters to change, add or drop to make b of a.
+func editDistance(a, b string) int {
+	if len(a) > maxComparedKey {
 		return len(a)
 	}
 	row := make([]int, len(b)+1)
@@ -84,86 +99,112 @@
 	return row[len(b)]
 }
 
-func (b *binder) value(path string, from any, to reflect.Value) {
+// bindValue sets a field, or the element of a list or a map.
+func (b *binder) bindValue(path string, from any, to reflect.Value) {
 	if u, ok := to.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		text, isText := from.(string)
 		if !isText {
 			text = fmt.Sprint(from)
 		}
 		if err := u.UnmarshalText([]byte(text)); err != nil {
-			b.complain(path, err)
+			b.report(path, err)
 		}
 		return
 	}
-	wrong := func(want string) { b.complain(path, fmt.Errorf("must be %s, not %s", want, kindOf(from))) }
+	switch to.Kind() {
+	case reflect.String, reflect.Bool, reflect.Int, reflect.Float64:
+		b.bindScalar(path, from, to)
+	case reflect.Pointer:
+		to.Set(reflect.New(to.Type().Elem()))
+		b.bindValue(path, from, to.Elem())
+	case reflect.Slice:
+		b.bindList(path, from, to)
+	case reflect.Map:
+		b.bindMap(path, from, to)
+	case reflect.Struct:
+		if v, ok := from.(map[string]any); ok {
+			b.bindTable(path, v, to)
+		} else {
+			b.reportType(path, "a table", from)
+		}
+	default:
+		panic("operator: the schema holds a field of kind " + to.Kind().String())
+	}
+}
+
+func (b *binder) bindScalar(path string, from any, to reflect.Value) {
 	switch to.Kind() {
 	case reflect.String:
 		if v, ok := from.(string); ok {
 			to.SetString(v)
 		} else {
-			wrong("a text")
+			b.reportType(path, "a text", from)
 		}
 	case reflect.Bool:
 		if v, ok := from.(bool); ok {
 			to.SetBool(v)
 		} else {
-			wrong("true or false")
+			b.reportType(path, "true or false", from)
 		}
 	case reflect.Int:
 		if v, ok := from.(int64); ok && v >= math.MinInt32 && v <= math.MaxInt32 {
 			to.SetInt(v)
 		} else {
-			wrong("a whole number of up to 2147483647")
+			b.reportType(path, "a whole number of up to 2147483647", from)
 		}
 	case reflect.Float64:
-		switch v := from.(type) {
-		case int64:
-			to.SetFloat(float64(v))
-		case float64:
-			if math.IsNaN(v) || math.IsInf(v, 0) {
-				b.complain(path, errors.New("must be a finite number"))
-			} else {
-				to.SetFloat(v)
-			}
-		default:
-			wrong("a number")
-		}
-	case reflect.Pointer:
-		to.Set(reflect.New(to.Type().Elem()))
-		b.value(path, from, to.Elem())
-	case reflect.Slice:
-		list, ok := from.([]any)
-		if !ok {
-			wrong("a list")
-			return
-		}
-		to.Set(reflect.MakeSlice(to.Type(), len(list), len(list)))
-		for i, v := range list {
-			b.value(fmt.Sprintf("%s[%d]", path, i), v, to.Index(i))
-		}
-	case reflect.Map: // of texts, by name
-		table, ok := from.(map[string]any)
-		if !ok {
-			wrong("a table")
+		b.bindFloat(path, from, to)
+	}
+}
+
+func (b *binder) bindFloat(path string, from any, to reflect.Value) {
+	switch v := from.(type) {
+	case int64:
+		to.SetFloat(float64(v))
+	case float64:
+		if math.IsNaN(v) || math.IsInf(v, 0) {
+			b.report(path, errors.New("must be a finite number"))
 			return
 		}
-		to.Set(reflect.MakeMap(to.Type()))
-		for _, key := range slices.Sorted(maps.Keys(table)) {
-			v := reflect.New(to.Type().Elem()).Elem()
-			b.value(join(path, key), table[key], v)
-			to.SetMapIndex(reflect.ValueOf(key), v)
-		}
-	case reflect.Struct:
-		if v, ok := from.(map[string]any); ok {
-			b.table(path, v, to)
-		} else {
-			wrong("a table")
-		}
+		to.SetFloat(v)
 	default:
-		panic("operator: the schema holds a field of kind " + to.Kind().String())
+		b.reportType(path, "a number", from)
 	}
 }
 
+func (b *binder) bindList(path string, from any, to reflect.Value) {
+	list, ok := from.([]any)
+	if !ok {
+		b.reportType(path, "a list", from)
+		return
+	}
+	to.Set(reflect.MakeSlice(to.Type(), len(list), len(list)))
+	for i, v := range list {
+		b.bindValue(fmt.Sprintf("%s[%d]", path, i), v, to.Index(i))
+	}
+}
+
+// bindMap fills a map of values by name.
+func (b *binder) bindMap(path string, from any, to reflect.Value) {
+	table, ok := from.(map[string]any)
+	if !ok {
+		b.reportType(path, "a table", from)
+		return
+	}
+	to.Set(reflect.MakeMap(to.Type()))
+	for _, key := range slices.Sorted(maps.Keys(table)) {
+		v := reflect.New(to.Type().Elem()).Elem()
+		b.bindValue(join(path, key), table[key], v)
+		to.SetMapIndex(reflect.ValueOf(key), v)
+	}
+}
+
+// reportType reports a value of another type than the schema wants.
+func (b *binder) reportType(path, want string, got any) {
+	b.report(path, fmt.Errorf("must be %s, not %s", want, kindOf(got)))
+}
+
+// kindOf describes a decoded value to an operator.
 func kindOf(v any) string {
 	switch v := v.(type) {
 	case string:
--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Change is one thing that a reload would change.
+// Change is one table of the file that a reload would add, remove or change.
 type Change struct {
 	Kind   string // limits, listener, pool, route or site
 	Name   string
@@ -28,8 +28,8 @@
 	return s
 }
 
-// SameModule tells whether a pool may keep its decision module, measurements and connections under another file: all is
-// alike but where its servers are told, and what other pools leave it.
+// SameModule reports whether a pool keeps its decision module, measurements and connections under another file: all settings
+// are equal but its servers and their source, its share of the connections, and its levels of reduced service.
 func (p *Pool) SameModule(q *Pool) bool {
 	a, b := *p, *q
 	a.Servers, b.Servers, a.Source, b.Source, a.Connections, b.Connections = nil, nil, Source{}, Source{}, Share{}, Share{}
@@ -39,7 +39,7 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// Diff lists what a reload from one file to another changes, in the order limits, listeners, pools, routes, sites.
+// Diff returns what a reload from one file to another changes, in the order limits, listeners, pools, routes, sites.
 func Diff(from, to *Config) []Change {
 	var out []Change
 	if fields := differences(from.Limits, to.Limits); len(fields) > 0 {
@@ -51,27 +51,28 @@
 	if from.Name != to.Name {
 		out = append(out, Change{Kind: "name", What: "changed", Fields: []string{fmt.Sprintf("%s -> %s", from.Name, to.Name)}})
 	}
-	out = append(out, pairs("listener", from.Listeners, to.Listeners, func(l *Listener) string { return l.Name },
+	out = append(out, diffTables("listener", from.Listeners, to.Listeners, func(l *Listener) string { return l.Name },
 		func(a, b *Listener) string {
 			if a.Address != b.Address {
 				return "the old address takes no more connections, those that it has are finished"
 			}
 			return "its connections are kept"
 		})...)
-	out = append(out, pairs("pool", from.Pools, to.Pools, func(p *Pool) string { return p.Name },
+	out = append(out, diffTables("pool", from.Pools, to.Pools, func(p *Pool) string { return p.Name },
 		func(a, b *Pool) string {
 			if a.SameModule(b) {
 				return "measurements and connections are kept"
 			}
 			return "begins anew; the old one finishes its requests"
 		})...)
-	out = append(out, pairs("route", from.Routes, to.Routes, func(r *Route) string { return r.Name },
-		func(a, b *Route) string { return "" })...)
-	return append(out, pairs("site", from.File.Sites, to.File.Sites, func(s *Site) string { return s.Name },
-		func(a, b *Site) string { return "" })...)
+	out = append(out, diffTables("route", from.Routes, to.Routes, func(r *Route) string { return r.Name },
+		func(*Route, *Route) string { return "" })...)
+	return append(out, diffTables("site", from.Sites, to.Sites, func(s *Site) string { return s.Name },
+		func(*Site, *Site) string { return "" })...)
 }
 
-func pairs[T any](kind string, from, to []T, name func(*T) string, effect func(a, b *T) string) []Change {
+// diffTables compares two lists of tables by their names.
+func diffTables[T any](kind string, from, to []T, name func(*T) string, effect func(a, b *T) string) []Change {
 	var out []Change
 	old := map[string]*T{}
 	for i := range from {
@@ -96,7 +97,7 @@
 	return out
 }
 
-// differences names the keys in which two structs of the schema differ, with both values where these are short.
+// differences returns the keys in which two structs of the schema differ, with both values where these are short.
 func differences(a, b any) []string {
 	var out []string
 	va, vb := reflect.ValueOf(a), reflect.ValueOf(b)
@@ -114,13 +115,13 @@
 				out = append(out, key+"."+d)
 			}
 		default:
-			out = append(out, fmt.Sprintf("%s: %v -> %v", key, shown(fa), shown(fb)))
+			out = append(out, fmt.Sprintf("%s: %v -> %v", key, formatValue(fa), formatValue(fb)))
 		}
 	}
 	return out
 }
 
-func shown(v reflect.Value) string {
+func formatValue(v reflect.Value) string {
 	if v.Kind() == reflect.String {
 		return fmt.Sprintf("%q", v.String())
 	}
--- a/internal/operator/levels_test.go
+++ b/internal/operator/levels_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"whinknot/internal/level"
+	"milletmast/internal/degradation"
 )
 
 const leveled = `
@@ -31,10 +31,16 @@
 		t.Fatal(err)
 	}
 	l := cfg.Pools[0].Ladder()
-	want := level.Level{
-		Name: "lean", Enter: []level.Condition{{Signal: level.P95, Bound: 1}, {Signal: level.Usable, Under: true, Bound: 0.5}},
-		For: 300 * time.Millisecond, Calm: time.Second, Band: 0.3, Least: 2 * time.Second, Off: 5 * time.Second, Ramp: 3 * time.Second,
-		Shed: []level.Shed{{Share: 0.5, Reply: level.Reply{After: 3 * time.Second}}},
+	want := degradation.Level{
+		Name:        "lean",
+		EnterIf:     []degradation.Condition{{Signal: degradation.P95Ratio, Bound: 1}, {Signal: degradation.UsableRatio, Below: true, Bound: 0.5}},
+		EnterAfter:  300 * time.Millisecond,
+		LeaveAfter:  time.Second,
+		Hysteresis:  0.3,
+		MinTime:     2 * time.Second,
+		MinTimeOff:  5 * time.Second,
+		RestoreTime: 3 * time.Second,
+		Shedding:    []degradation.ShedRule{{Share: 0.5, Response: degradation.Response{RetryAfter: 3 * time.Second}}},
 	}
 	if len(l) != 1 || fmt.Sprint(l[0]) != fmt.Sprint(want) || cfg.Pools[0].LevelCaller != "X-App" {
 		t.Errorf("%+v, by %q", l, cfg.Pools[0].LevelCaller)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -65,7 +65,7 @@
 func TestErrorsNameLineAndField(t *testing.T) {
 	edit := func(old, to string) string { return strings.Replace(small, old, to, 1) }
 	for _, c := range []struct{ name, text, at, field, want string }{
-		{"unknown key", edit(`name = "in"`, "name = \"in\"\nadress = 1"), "adress", "listener[0].adress", `"address" meant`},
+		{"unknown key", edit(`name = "in"`, "name = \"in\"\naddrss = 1"), "addrss", "listener[0].addrss", `"address" meant`},
 		{"unknown table", small + "\n[[pools]]\nname = \"x\"\n", "[[pools]]", "pools", `"pool" meant`},
 		{"wrong type", edit(`"100ms"`, `true`), "aim", "pool[0].class[0].aim", "no time"},
 		{"number for a text", edit(`name = "box"`, `name = 7`), "name = 7", "pool[0].name", "a text, not the number 7"},
@@ -207,7 +207,7 @@
 	}
 	file := strings.Replace(small, "[[pool.server]]\naddress = \"127.0.0.1:9001\"", "[pool.source]\ntype = \"file\"\npath = \"box.toml\"", 1)
 	cfg, err := Parse(filepath.Join(filepath.Dir(path), "shop.toml"), []byte(file))
-	if err != nil || len(cfg.Named["box"]) != 2 || cfg.Pools[0].Source.Path != path {
+	if err != nil || len(cfg.FileServers["box"]) != 2 || cfg.Pools[0].Source.Path != path {
 		t.Errorf("error %v, config %+v", err, cfg)
 	}
 	if _, err := ParseServers("f", []byte("[[server]]\naddress = \"x\"\nstate = \"gone\"\n"), nil); err == nil || strings.Count(err.Error(), "\n") != 1 {
--- a/internal/operator/positions.go
+++ b/internal/operator/positions.go
@@ -8,7 +8,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// positions knows the line on which each key of a document stands, by its path: pool[0].class[1].aim.
+// positions holds the line of each key of a document, by its path: pool[0].class[1].aim.
 type positions struct {
 	lines  map[string]int
 	starts []int          // offsets of lines
@@ -33,15 +33,15 @@
 		case unstable.ArrayTable:
 			prefix, _ = p.keys("", e.Key(), true)
 		case unstable.KeyValue:
-			p.keyValue(prefix, e)
+			p.locateKeyValue(prefix, e)
 		}
 	}
 	return p
 }
 
-// keys notes the line of a dotted key and gives its path. Parts that are arrays of tables stand for their last element;
+// keys notes the line of a dotted key and returns its path. Parts that are arrays of tables stand for their last element;
 // an array header begins a new one.
-func (p *positions) keys(prefix string, it unstable.Iterator, begins bool) (path string, line int) {
+func (p *positions) keys(prefix string, it unstable.Iterator, newElement bool) (path string, line int) {
 	path = prefix
 	for it.Next() {
 		if path != "" {
@@ -49,8 +49,8 @@
 		}
 		path += string(it.Node().Data)
 		line = p.line(int(it.Node().Raw.Offset))
-		if n, ok := p.counts[path]; ok || begins && it.IsLast() {
-			if begins && it.IsLast() {
+		if n, ok := p.counts[path]; ok || newElement && it.IsLast() {
+			if newElement && it.IsLast() {
 				n++
 				p.counts[path] = n
 			}
@@ -63,17 +63,18 @@
 	return path, line
 }
 
-func (p *positions) keyValue(prefix string, e *unstable.Node) {
+func (p *positions) locateKeyValue(prefix string, e *unstable.Node) {
 	path, line := p.keys(prefix, e.Key(), false)
-	p.value(path, line, e.Value())
+	p.locateValue(path, line, e.Value())
 }
 
-func (p *positions) value(path string, line int, v *unstable.Node) {
+// locateValue notes the lines of what an inline table or a list holds.
+func (p *positions) locateValue(path string, line int, v *unstable.Node) {
 	switch v.Kind {
 	case unstable.InlineTable:
 		for it := v.Children(); it.Next(); {
 			if it.Node().Kind == unstable.KeyValue {
-				p.keyValue(path, it.Node())
+				p.locateKeyValue(path, it.Node())
 			}
 		}
 	case unstable.Array:
@@ -88,17 +89,18 @@
 				at = p.line(int(raw.Offset))
 			}
 			p.lines[element] = at
-			p.value(element, at, it.Node())
+			p.locateValue(element, at, it.Node())
 			i++
 		}
 	}
 }
 
+// line returns the line of an offset, from 1.
 func (p *positions) line(offset int) int {
 	return sort.Search(len(p.starts), func(i int) bool { return p.starts[i] > offset })
 }
 
-// of gives the line of a path, or of what holds it.
+// of returns the line of a path, or of the nearest table or list around it.
 func (p *positions) of(path string) int {
 	for path != "" {
 		if line, ok := p.lines[path]; ok {
--- a/internal/operator/schema.go
+++ b/internal/operator/schema.go
@@ -1,70 +1,10 @@
-// Package operator reads the operator file: listeners, pools, routes and limits of one sidecar, in TOML (v1.0.0). A file
-// is taken whole or not at all; all that is wrong in it is told, with file, line and field.
+// Package operator reads and checks the operator file: listeners, pools, routes and limits of one sidecar, in TOML v1.0.0.
+//
+// The way of a file: load.go reads it, document.go decodes it, bind.go fills the structs of schema.go over the values of
+// defaults.go, the check files check each table, and route_table.go and check_sites.go compile routes and sites. A file is
+// loaded whole or not at all; every fault is reported with file, line and field. The fields have the names of the file's keys.
 package operator
 
-import (
-	"fmt"
-	"strconv"
-	"strings"
-	"time"
-)
-
-// Duration is a time as Go writes it: "250ms", "1m30s".
-type Duration time.Duration
-
-// UnmarshalText reads a duration; it is never negative.
-func (d *Duration) UnmarshalText(text []byte) error {
-	v, err := time.ParseDuration(string(text))
-	if err != nil || v < 0 {
-		return fmt.Errorf("%q is no time: write one as \"250ms\" or \"1m30s\"", text)
-	}
-	*d = Duration(v)
-	return nil
-}
-
-func (d Duration) String() string { return time.Duration(d).String() }
-
-// MarshalText writes a duration as it is read.
-func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
-
-// MS is the time in milliseconds.
-func (d Duration) MS() float64 { return float64(time.Duration(d).Microseconds()) / 1000 }
-
-// Size is a number of bytes: "64KiB", "8MiB", "512".
-type Size int64
-
-var units = []struct {
-	name string
-	of   int64
-}{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}, {"", 1}}
-
-// UnmarshalText reads a size of up to 1 TiB.
-func (s *Size) UnmarshalText(text []byte) error {
-	for _, u := range units {
-		if number, ok := strings.CutSuffix(string(text), u.name); ok {
-			n, err := strconv.ParseInt(strings.TrimSpace(number), 10, 41)
-			if err != nil || n < 0 || n > (1<<40)/u.of {
-				break
-			}
-			*s = Size(n * u.of)
-			return nil
-		}
-	}
-	return fmt.Errorf("%q is no size: write one as \"64KiB\" or \"8MiB\"", text)
-}
-
-// MarshalText writes a size as it is read.
-func (s Size) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
-
-func (s Size) String() string {
-	for _, u := range []int{2, 1, 0} {
-		if n := int64(s); n > 0 && n%units[u].of == 0 {
-			return strconv.FormatInt(n/units[u].of, 10) + units[u].name
-		}
-	}
-	return strconv.FormatInt(int64(s), 10)
-}
-
 // File is the whole operator file.
 type File struct {
 	Name      string     `toml:"name"`
@@ -87,11 +27,11 @@
 	Streams int      `toml:"streams"` // gRPC calls open at once; 0 for as many as the memory holds at their worst
 }
 
-// callMemory is what a gRPC call may hold at most: what lies unread of it and what its caller does not take, both ways.
+// callMemory is the most memory that a gRPC call holds, in bytes: the data of both directions that has not been read.
 const callMemory = 128 << 10
 
-// Calls is the number of gRPC calls that may be open at once.
-func (l *Limits) Calls() int {
+// MaxCalls returns the number of gRPC calls that may be open at once.
+func (l *Limits) MaxCalls() int {
 	if l.Streams > 0 {
 		return l.Streams
 	}
@@ -112,7 +52,7 @@
 	Every Duration `toml:"every"` // between two snapshots of what pools have learned
 }
 
-// Members says how this instance meets the other copies of its fleet (package member). It is off without an address to listen at. It counts
+// Members says how this instance meets the other copies of its fleet (package gossip). It is off without an address to listen at. It counts
 // from the start on, not from a reload.
 type Members struct {
 	Listen  string   `toml:"listen"`  // host:port, of UDP and TCP, where the others reach it
@@ -152,12 +92,12 @@
 	Name           string   `toml:"name"`
 	Protocol       string   `toml:"protocol"`   // HTTP or GRPC
 	Streams        int      `toml:"streams"`    // gRPC: calls on one connection, and no more than the server allows
-	PingAfter      Duration `toml:"ping_after"` // gRPC: a connection with calls is asked for a sign of life after so long
+	PingAfter      Duration `toml:"ping_after"` // gRPC: a connection with calls is pinged after so long without traffic
 	NotRun         string   `toml:"not_run"`    // gRPC: metadata whose "1" in a trailers-only answer says that nothing ran
 	Leaf           bool     `toml:"leaf"`       // its servers call no others through sidecars: a tree's retries are not handed to them
-	Attempts       int      `toml:"attempts"`   // for one request, all told
+	Attempts       int      `toml:"attempts"`   // of one request, the first included
 	ConnectTimeout Duration `toml:"connect_timeout"`
-	IdleTimeout    Duration `toml:"idle_timeout"` // servers keep a quiet connection for so long
+	IdleTimeout    Duration `toml:"idle_timeout"` // how long servers keep an idle connection open
 	StreamTime     Duration `toml:"stream_time"`  // for a streamed body, either way, as a whole
 	StreamIdle     Duration `toml:"stream_idle"`  // and between two of its parts
 	DrainGrace     Duration `toml:"drain_grace"`
@@ -170,7 +110,7 @@
 	Copies         int      `toml:"copies"`
 	Rank           int      `toml:"rank"`
 	ByMembers      bool     `toml:"by_members"` // copies and rank are those that the members agree on, once there are any
-	Allot          bool     `toml:"allot"`      // in an overload all members let the same through, by worth for work
+	Allot          bool     `toml:"allot"`      // in an overload all members admit the same requests, by worth for work
 	Zone           string   `toml:"zone"`
 	Zones          []string `toml:"zones"`
 	Classes        []Class  `toml:"class"`
@@ -184,10 +124,10 @@
 	LevelCaller    string   `toml:"level_caller"` // the header that names a caller to them; its address where that is absent
 }
 
-// Share is a pool's part of the descriptors for servers.
+// Share is a pool's share of the connections to servers.
 type Share struct {
-	Least  int     `toml:"least"`  // it has so many whatever other pools do
-	Weight float64 `toml:"weight"` // and of the rest a part by this weight
+	Least  int     `toml:"least"`  // guaranteed, whatever other pools use
+	Weight float64 `toml:"weight"` // of the rest it has a share by this weight
 }
 
 // Class is one kind of request to a pool.
@@ -204,7 +144,7 @@
 	Stream bool     `toml:"stream"` // gRPC: calls are sent on at their head, and may last for the pool's stream_time
 }
 
-// KeyName is the header or metadata that holds the key of a keyed class.
+// KeyName returns the header or metadata that holds the key of a keyed class.
 func (c *Class) KeyName() string {
 	if c.Key == "" {
 		return "Idempotency-Key"
@@ -218,21 +158,34 @@
 	Quota float64 `toml:"quota"` // requests a second over all copies; 0 for none
 }
 
-// Source says where a pool's servers are told.
+// Source says where the servers of a pool are listed.
 type Source struct {
-	Type    string   `toml:"type"` // static (the servers below), file or discovery
+	Type    string   `toml:"type"` // SourceStatic, SourceFile or SourceDiscovery
 	Path    string   `toml:"path"`
 	Address string   `toml:"address"`
-	Every   Duration `toml:"every"` // between two looks at a file
+	Every   Duration `toml:"every"` // between two reads of a file
 }
 
+// The types of a source.
+const (
+	SourceStatic    = "static" // the servers stand in the operator file
+	SourceFile      = "file"
+	SourceDiscovery = "discovery"
+)
+
+// The states of a server.
+const (
+	ServerReady    = "ready"
+	ServerDraining = "draining"
+)
+
 // Server is one server of a static list or of a server file.
 type Server struct {
 	ID      string  `toml:"id"` // its address if absent
 	Address string  `toml:"address"`
 	Zone    string  `toml:"zone"`
 	Cell    int     `toml:"cell"`
-	State   string  `toml:"state"` // ready or draining
+	State   string  `toml:"state"` // ServerReady or ServerDraining
 	Weight  float64 `toml:"weight"`
 	Backup  bool    `toml:"backup"`  // it gets requests only while no other server can take them
 	Started string  `toml:"started"` // RFC 3339; "" for long ago
@@ -265,33 +218,3 @@
 	Value   string `toml:"value"`
 	Present *bool  `toml:"present"` // instead of a value
 }
-
-// The defaults of what a file leaves out.
-func (l *Limits) SetDefaults() {
-	*l = Limits{Memory: 128 << 20, Sockets: 1024, Cores: 1, Drain: Duration(5 * time.Second)}
-}
-func (l *Listener) SetDefaults() {
-	*l = Listener{Front: HTTP, MaxBody: 8 << 20, Streams: 100, MaxWorth: 100}
-}
-func (s *State) SetDefaults()   { *s = State{Every: Duration(2 * time.Second)} }
-func (c *Context) SetDefaults() { *c = Context{Retries: 2} }
-func (m *Members) SetDefaults() {
-	*m = Members{Copies: 1, Probe: Duration(time.Second), Bytes: 64 << 10}
-}
-func (s *Share) SetDefaults()  { *s = Share{Least: 16, Weight: 1} }
-func (c *Class) SetDefaults()  { *c = Class{Worth: 1} }
-func (s *Source) SetDefaults() { *s = Source{Type: "static", Every: Duration(250 * time.Millisecond)} }
-func (s *Server) SetDefaults() { *s = Server{State: "ready", Weight: 1} }
-func (p *Pool) SetDefaults() {
-	*p = Pool{
-		Protocol: HTTP, Streams: 100, PingAfter: Duration(6 * time.Minute), // servers of grpc-go cut those that ask more often
-		Attempts: 3, ConnectTimeout: Duration(250 * time.Millisecond), IdleTimeout: Duration(10 * time.Second),
-		StreamTime: Duration(time.Minute), StreamIdle: Duration(10 * time.Second), DrainGrace: Duration(500 * time.Millisecond),
-		ColdFrom: 0.3, Ramp: Duration(8 * time.Second), Copies: 1, LevelWindow: Duration(time.Second), SubsetSpare: 1,
-	}
-	p.Connections.SetDefaults()
-	p.Source.SetDefaults()
-}
-
-// Defaulter is a table of a file that has other defaults than zeros for what the file leaves out.
-type Defaulter interface{ SetDefaults() }
