--- a/internal/operator/shares.go
+++ b/internal/operator/shares.go
@@ -3,26 +3,32 @@
 import "math"
 
 const (
-	// LeastSockets is the smallest descriptor limit that leaves some for callers and for servers.
-	LeastSockets = 64
-	callerPart   = 0.6 // of the descriptors that are not reserved; servers get the rest
+	// MinSockets is the smallest descriptor limit that leaves some for callers and for servers.
+	MinSockets = 64
+	// callerShare is the callers' share of the descriptors that are not reserved; servers get the rest.
+	callerShare = 0.6
+	// reservedDescriptors are for the runtime, the standard streams and what is being accepted,
+	reservedDescriptors = 16
+	// as is one of so many of all.
+	reservedPart = 32
 )
 
-// Divide tells how many connections callers may hold and how many there may be to servers, under a limit of descriptors.
-// Some are reserved: for the runtime, standard streams, a listener, a source and what is on its way, and those beside.
-func Divide(sockets, beside int) (callers, servers int) {
-	free := max(sockets-16-sockets/32-beside, 0)
-	callers = int(callerPart * float64(free))
+// DivideDescriptors returns how many connections callers may hold and how many there may be to servers, under a limit of
+// descriptors of which inUse are taken by listeners and the like.
+func DivideDescriptors(limit, inUse int) (callers, servers int) {
+	free := max(limit-reservedDescriptors-limit/reservedPart-inUse, 0)
+	callers = int(callerShare * float64(free))
 	return callers, free - callers
 }
 
-// Descriptors divides those of a file, all its listeners and pools together.
-func (c *Config) Descriptors() (callers, servers int) {
-	return Divide(c.Limits.Sockets, len(c.Listeners)+2*len(c.Pools))
+// DivideDescriptors divides the descriptors of a file for all its listeners and pools together. A pool uses two beside its
+// connections, for its source.
+func (c *Config) DivideDescriptors() (callers, servers int) {
+	return DivideDescriptors(c.Limits.Sockets, len(c.Listeners)+2*len(c.Pools))
 }
 
-// Allocate deals n descriptors out to pools: each gets its least, and the rest goes by weight. The shares sum to n, or to
-// less where no pool has a weight; a pool whose promise cannot be kept has to be refused before.
+// Allocate divides n descriptors among pools: each gets its guaranteed number, and the rest is divided by weight. The shares
+// sum to n, or to less if no pool has a weight. Guarantees of more than n have to be refused before.
 func Allocate(n int, pools []Share) []int {
 	shares := make([]int, len(pools))
 	weights, rest := 0.0, n
@@ -34,15 +40,15 @@
 	if rest <= 0 || weights <= 0 {
 		return shares
 	}
-	// Largest remainders, the first of equal ones: every pool's part is within one of its due.
+	// The largest remainder method, the first of equal ones: the share of each pool is within one of its exact part.
 	left := rest
 	remainders := make([]float64, len(pools))
 	for i, p := range pools {
-		due := float64(rest) * p.Weight / weights
-		whole := math.Floor(due)
+		exact := float64(rest) * p.Weight / weights
+		whole := math.Floor(exact)
 		shares[i] += int(whole)
 		left -= int(whole)
-		remainders[i] = due - whole
+		remainders[i] = exact - whole
 	}
 	for ; left > 0; left-- {
 		best := 0
--- a/internal/operator/sites_test.go
+++ b/internal/operator/sites_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"whinknot/internal/vhost"
+	"milletmast/internal/vhost"
 )
 
 const withSites = small + `
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	for path, want := range map[string]string{"/": "302 /shop/", "/a": "root /a", "/a.GIF": "pictures /pictures/a.GIF", "/old/x": "301 /new/x"} {
-		out := cfg.Sites["in"].Decide(&vhost.Request{Method: "GET", Host: "a.shop.example.org", Path: path, Raw: path})
+		out := cfg.SiteTables["in"].Decide(&vhost.Request{Method: "GET", Host: "a.shop.example.org", Path: path, Raw: path})
 		got := out.Location + " " + out.Target
 		if out.Answer != nil {
 			got = strings.Join([]string{map[int]string{301: "301", 302: "302"}[out.Answer.Status], out.Answer.Location}, " ")
@@ -50,7 +50,7 @@
 			t.Errorf("%s: %q, want %q", path, got, want)
 		}
 	}
-	if cfg, err = Parse("f", []byte(small)); err != nil || cfg.Sites["in"] != nil {
+	if cfg, err = Parse("f", []byte(small)); err != nil || cfg.SiteTables["in"] != nil {
 		t.Errorf("without sites: %v, %v", cfg.Sites, err)
 	}
 }
--- a/internal/hold/hold_test.go
+++ b/internal/override/override_test.go
@@ -1,4 +1,4 @@
-package hold
+package override
 
 import (
 	"fmt"
@@ -14,29 +14,29 @@
 	var s Set
 	for range 2 {
 		var err error
-		if s, err = s.Hold("a", 100); err != nil || !s.IsOut("a") {
+		if s, err = s.Hold("a", 100); err != nil || !s.IsHeld("a") {
 			t.Fatalf("%+v, %v", s, err)
 		}
 	}
 	s = s.Release("a", 200)
-	if s.IsOut("a") || s.Started("a", 50) != 200 || s.Started("a", 300) != 300 || s.Started("b", 50) != 50 {
+	if s.IsHeld("a") || s.StartTime("a", 50) != 200 || s.StartTime("a", 300) != 300 || s.StartTime("b", 50) != 50 {
 		t.Errorf("given back: %+v", s)
 	}
 	if again := s.Release("a", 900); !reflect.DeepEqual(again, s) {
 		t.Errorf("a second call back moves it to %+v", again)
 	}
 	s, _ = s.Hold("a", 1000)
-	if s.Started("a", 50) != 50 {
-		t.Errorf("out again, and yet started at %v", s.Started("a", 50))
+	if s.StartTime("a", 50) != 50 {
+		t.Errorf("out again, and yet started at %v", s.StartTime("a", 50))
 	}
 }
 
 func TestTooMany(t *testing.T) {
-	s := Set{Out: map[string]float64{}}
-	for i := range Most {
-		s.Out[fmt.Sprint("s-", i)] = 1
+	s := Set{Held: map[string]float64{}}
+	for i := range MaxHeld {
+		s.Held[fmt.Sprint("s-", i)] = 1
 	}
-	if got, err := s.Hold("one more", 2); err == nil || got.IsOut("one more") {
+	if got, err := s.Hold("one more", 2); err == nil || got.IsHeld("one more") {
 		t.Error("there is no bound")
 	}
 	if _, err := s.Hold("s-1", 2); err != nil {
@@ -51,10 +51,10 @@
 		out, back := map[string]bool{}, map[string]float64{}
 		now := 1e12
 		for range rapid.IntRange(1, 40).Draw(t, "calls") {
-			now += rapid.Float64Range(0, backFor).Draw(t, "later")
+			now += rapid.Float64Range(0, releaseRetentionMS).Draw(t, "later")
 			id := rapid.SampledFrom([]string{"a", "b", "c", `"`, "\n"}).Draw(t, "id")
 			before, old := s, s
-			old.Out, old.Back = maps.Clone(s.Out), maps.Clone(s.Back)
+			old.Held, old.ReleasedAt = maps.Clone(s.Held), maps.Clone(s.ReleasedAt)
 			if rapid.Bool().Draw(t, "hold") {
 				s, _ = s.Hold(id, now)
 				out[id] = true
@@ -70,23 +70,23 @@
 			}
 			for _, id := range []string{"a", "b", "c", `"`, "\n", "d"} {
 				want := 0.0
-				if now-back[id] <= backFor && !out[id] {
+				if now-back[id] <= releaseRetentionMS && !out[id] {
 					want = back[id]
 				}
-				if s.IsOut(id) != out[id] || s.Started(id, 0) < want {
-					t.Fatalf("%q: out %v and started %v, want %v and %v", id, s.IsOut(id), s.Started(id, 0), out[id], want)
+				if s.IsHeld(id) != out[id] || s.StartTime(id, 0) < want {
+					t.Fatalf("%q: out %v and started %v, want %v and %v", id, s.IsHeld(id), s.StartTime(id, 0), out[id], want)
 				}
-				moved := old.IsOut(id) != s.IsOut(id)
-				if slices.Contains(Changed(old, s), id) != moved {
-					t.Fatalf("changed %v from %+v to %+v", Changed(old, s), old, s)
+				moved := old.IsHeld(id) != s.IsHeld(id)
+				if slices.Contains(ChangedServers(old, s), id) != moved {
+					t.Fatalf("changed %v from %+v to %+v", ChangedServers(old, s), old, s)
 				}
 			}
-			text, err := s.Text()
+			text, err := s.Encode()
 			if err != nil {
 				t.Fatal(err)
 			}
 			read, err := Parse(text)
-			if err != nil || len(Changed(s, read)) > 0 {
+			if err != nil || len(ChangedServers(s, read)) > 0 {
 				t.Fatalf("%s reads as %+v, %v", text, read, err)
 			}
 		}
@@ -103,12 +103,12 @@
 		if err != nil {
 			return
 		}
-		again, err := s.Text()
+		again, err := s.Encode()
 		if err != nil {
 			t.Fatalf("%+v cannot be written: %v", s, err)
 		}
 		read, err := Parse(again)
-		if err != nil || len(Changed(s, read)) > 0 || len(read.Out) != len(s.Out) || len(read.Back) != len(s.Back) {
+		if err != nil || len(ChangedServers(s, read)) > 0 || len(read.Held) != len(s.Held) || len(read.ReleasedAt) != len(s.ReleasedAt) {
 			t.Errorf("%q reads as %+v, then as %+v, %v", text, s, read, err)
 		}
 	})
--- a/internal/pki/pki.go
+++ b/internal/pki/pki.go
@@ -1,4 +1,5 @@
-// Package pki makes a small certificate authority for trying out: one CA, and certificates for agents and for people.
+// Package pki makes a small certificate authority for trials: one CA, and certificates for agents, people and tools. It is not
+// meant for production, as the key of the CA lies beside the certificates.
 package pki
 
 import (
@@ -17,11 +18,11 @@
 )
 
 const (
-	caTime   = 5 * 365 * 24 * time.Hour
-	certTime = 90 * 24 * time.Hour
+	caLifetime   = 5 * 365 * 24 * time.Hour
+	certLifetime = 90 * 24 * time.Hour
 )
 
-// Init makes ca.pem and ca.key in a folder; it does not replace one that is there.
+// Init creates a CA, ca.pem and ca.key, in a directory. It fails if there is one.
 func Init(dir string) error {
 	if _, err := os.Stat(filepath.Join(dir, "ca.key")); err == nil {
 		return fmt.Errorf("%s holds a CA already", dir)
@@ -33,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	t, err := template("milletmast trial CA", nil, caTime)
+	t, err := template("milletmast trial CA", nil, caLifetime)
 	if err != nil {
 		return err
 	}
@@ -45,20 +46,21 @@
 	return write(dir, "ca", der, key)
 }
 
-// Agent makes NAME.pem and NAME.key for an agent of that name.
+// Agent issues NAME.pem and NAME.key for the agent of a name.
 func Agent(dir, name string) error {
 	return issue(dir, name, nil, func(t *x509.Certificate) {
 		t.DNSNames, t.ExtKeyUsage = []string{name}, []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}
 	})
 }
 
-// Client makes NAME.pem and NAME.key for a person or tool with a role.
+// Client issues NAME.pem and NAME.key for a person or tool with a role.
 func Client(dir, name, role string) error {
 	return issue(dir, name, []string{role}, func(t *x509.Certificate) {
 		t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
 	})
 }
 
+// template returns a certificate to be signed.
 func template(name string, units []string, valid time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	if err != nil {
@@ -70,6 +72,7 @@
 	}, nil
 }
 
+// issue creates a key and a certificate that the CA of the directory signs.
 func issue(dir, name string, units []string, change func(*x509.Certificate)) error {
 	if name == "" || name == "ca" || filepath.Base(name) != name {
 		return fmt.Errorf("%q is no name of a certificate", name)
@@ -82,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	t, err := template(name, units, certTime)
+	t, err := template(name, units, certLifetime)
 	if err != nil {
 		return err
 	}
@@ -95,6 +98,7 @@
 	return write(dir, name, der, key)
 }
 
+// read reads the certificate and the key of the CA.
 func read(dir string) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	var blocks [2]*pem.Block
 	for i, name := range []string{"ca.pem", "ca.key"} {
@@ -121,12 +125,14 @@
 	return cert, private, nil
 }
 
+// write writes a certificate and its key as NAME.pem and NAME.key.
 func write(dir, name string, der []byte, key *ecdsa.PrivateKey) error {
 	private, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(dir, name+".key"), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: private}), 0o600); err != nil {
+	keyText := pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: private})
+	if err := os.WriteFile(filepath.Join(dir, name+".key"), keyText, 0o600); err != nil {
 		return err
 	}
 	return os.WriteFile(filepath.Join(dir, name+".pem"), pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o644)
--- a/internal/plan/bound.go
+++ b/internal/plan/bound.go
@@ -6,175 +6,151 @@
 	"math"
 	"slices"
 
-	"whinknot/internal/emulate"
+	"milletmast/internal/emulate"
 )
 
-// Bound is what no fleet can do without, whatever it decides.
+// Bound is a lower bound on the servers of any fleet, whatever its sidecars decide.
 type Bound struct {
 	Servers int    `json:"servers"` // at least
 	Why     string `json:"why"`
-	// Erlang is how many servers one queue over all cores would need that refuses nothing, for the share of its requests that wait no
-	// longer than their aim leaves (M/M/c, Erlang C). It is a guide and no bound: a fleet may refuse, and its work need not be exponential.
+	// Erlang is how many servers a single queue over all cores would need if it refused nothing and the target's ratio of its requests
+	// had to wait no longer than their aim allows (M/M/c, Erlang C). It is no bound: a fleet may refuse, and its work need not be
+	// exponentially distributed.
 	Erlang int `json:"erlang"`
 }
 
-// bound reckons with the mean rate of the time that counts.
+// msPerSecond converts work in seconds per second to milliseconds per second.
+const msPerSecond = 1000
+
+// rounding is the tolerance for rounding errors of sums.
+const rounding = 1e-9
+
+// bound computes the bound from the mean rate of requests over the measured time.
 func (p *Plan) bound() Bound {
-	sc := p.base
-	rate := meanRate(sc)
-	need := leastWork(sc, rate, p.Target.Share) // ms a second
-	b := Bound{Servers: serversFor(sc, need, 0), Why: fmt.Sprintf("%.0f ms of work a second earn a share of %.3f at least", need, p.Target.Share)}
-	for _, v := range p.Survive {
-		t := v.Target.over(p.Target)
-		for _, f := range v.Faults {
-			part := lostPart(sc, &f)
-			if part == 0 {
-				continue
-			}
-			// Only while it lasts: the rest of the time all servers can work.
-			all, gone := played(sc), overlap(sc, &f)
-			if gone <= 0 {
+	rate := meanRate(p.base)
+	work := leastWork(p.base, rate, p.Target.Share)
+	bound := Bound{
+		Servers: serversFor(p.base, work, 0),
+		Why:     fmt.Sprintf("%.0f ms of work a second earn a share of %.3f at least", work, p.Target.Share),
+		Erlang:  erlangServers(p.base, rate, p.Target.Share),
+	}
+	for i := range p.Losses {
+		loss := &p.Losses[i]
+		work := leastWork(p.base, rate, loss.Target.withDefaults(p.Target).Share)
+		for j := range loss.Faults {
+			lost := lostCapacity(p.base, &loss.Faults[j])
+			if lost == 0 {
 				continue
 			}
-			n := serversFor(sc, leastWork(sc, rate, t.Share), part*gone/all)
-			if n > b.Servers {
-				b.Servers, b.Why = n, fmt.Sprintf("with %s a part of %.2f of all capacity is lost over the run", v.Name, part*gone/all)
+			if n := serversFor(p.base, work, lost); n > bound.Servers {
+				bound.Servers = n
+				bound.Why = fmt.Sprintf("with %s a part of %.2f of all capacity is lost over the run", loss.Name, lost)
 			}
 		}
 	}
-	b.Erlang = erlangServers(sc, rate, p.Target.Share)
-	return b
+	return bound
+}
+
+// lostCapacity returns the ratio of all capacity over the measured time that a fault takes away.
+func lostCapacity(scenario *emulate.Scenario, fault *emulate.Fault) float64 {
+	return lostServers(scenario, fault) * measuredOverlap(scenario, fault) / measuredTime(scenario)
 }
 
-// played is the time in ms that counts.
-func played(sc *emulate.Scenario) float64 { return sc.For.MS() - sc.Warmup.MS() }
+// measuredTime returns the time after the warm-up in milliseconds.
+func measuredTime(scenario *emulate.Scenario) float64 {
+	return scenario.For.MS() - scenario.Warmup.MS()
+}
 
-// overlap is the part of a fault's time in ms that counts.
-func overlap(sc *emulate.Scenario, f *emulate.Fault) float64 {
-	from, to := max(f.At.MS(), sc.Warmup.MS()), min(f.At.MS()+f.For.MS(), sc.For.MS())
+// measuredOverlap returns how long a fault lasts within the measured time, in milliseconds.
+func measuredOverlap(scenario *emulate.Scenario, fault *emulate.Fault) float64 {
+	from := max(fault.At.MS(), scenario.Warmup.MS())
+	to := min(fault.At.MS()+fault.For.MS(), scenario.For.MS())
 	return max(to-from, 0)
 }
 
-// lostPart is the part of the servers that are away in a fault. What only slows them, or keeps copies from them, is no bound for all.
-func lostPart(sc *emulate.Scenario, f *emulate.Fault) float64 {
-	zones := float64(max(len(sc.Pool.Zones), 1))
-	switch f.Kind {
+// lostServers returns the ratio of the servers that are away in a fault. A fault that only slows servers, or separates sidecars from
+// them, gives no bound for all fleets: 0.
+func lostServers(scenario *emulate.Scenario, fault *emulate.Fault) float64 {
+	zones := float64(max(len(scenario.Pool.Zones), 1))
+	switch fault.Kind {
 	case "zone":
 		return 1 / zones
 	case "crash":
-		part := f.Share
-		if f.Share == 0 && f.Count == 0 {
-			part = 1
+		share := fault.Share
+		if fault.Share == 0 && fault.Count == 0 {
+			share = 1
 		}
-		if f.Zone != "" {
-			part /= zones
+		if fault.Zone != "" {
+			share /= zones
 		}
-		return part
+		return share
 	}
 	return 0
 }
 
-// meanRate is the mean rate of requests in the time that counts.
-func meanRate(sc *emulate.Scenario) float64 {
+// meanRate returns the mean rate of requests over the measured time, per second.
+func meanRate(scenario *emulate.Scenario) float64 {
 	const steps = 1000
 	sum := 0.0
 	for i := range steps {
-		at := sc.Warmup.MS() + played(sc)*(float64(i)+0.5)/steps
-		sum += sc.Demand.Times(at)
+		at := scenario.Warmup.MS() + measuredTime(scenario)*(float64(i)+0.5)/steps
+		sum += scenario.Demand.RateFactor(at)
 	}
-	return sc.Demand.Rate * sum / steps
+	return scenario.Demand.Rate * sum / steps
 }
 
-// leastWork is the work in ms a second without which a share of the worth cannot be earned: of the classes with most worth for
-// their work first (the fractional knapsack).
-func leastWork(sc *emulate.Scenario, rate, share float64) float64 {
-	type part struct{ worth, work float64 }
-	var list []part
-	parts, worth := 0.0, 0.0
-	for _, w := range sc.Work {
-		parts += w.Part
-	}
-	for _, w := range sc.Work {
-		for _, c := range sc.Pool.Classes {
-			if c.Name == w.Class {
-				p := part{rate * w.Part / parts * c.Worth, rate * w.Part / parts * w.Mean.MS()}
-				list = append(list, p)
-				worth += p.worth
+// leastWork returns the work in milliseconds per second without which a share of the worth cannot be earned. It takes the classes with
+// the highest worth per work first (the fractional knapsack problem).
+func leastWork(scenario *emulate.Scenario, rate, share float64) float64 {
+	type demand struct{ worth, work float64 } // per second
+	var demands []demand
+	parts, worth := totalParts(scenario), 0.0
+	for _, w := range scenario.Work {
+		for _, class := range scenario.Pool.Classes {
+			if class.Name == w.Class {
+				classRate := rate * w.Part / parts
+				demands = append(demands, demand{classRate * class.Worth, classRate * w.Mean.MS()})
+				worth += classRate * class.Worth
 			}
 		}
 	}
-	slices.SortFunc(list, func(a, b part) int { return cmp.Compare(b.worth*a.work, a.worth*b.work) })
-	left, work := share*worth, 0.0
-	for _, p := range list {
-		if p.worth <= 0 || left <= 0 {
+	slices.SortFunc(demands, func(a, b demand) int { return cmp.Compare(b.worth*a.work, a.worth*b.work) })
+	needed, work := share*worth, 0.0
+	for _, d := range demands {
+		if d.worth <= 0 || needed <= 0 {
 			continue
 		}
-		taken := min(1, left/p.worth)
-		work += taken * p.work
-		left -= taken * p.worth
+		taken := min(1, needed/d.worth)
+		work += taken * d.work
+		needed -= taken * d.worth
 	}
 	return work
 }
 
-// speed is the mean of the servers' speeds.
-func speed(sc *emulate.Scenario) float64 {
-	if len(sc.Servers.Speeds) == 0 {
-		return 1
-	}
+// totalParts returns the sum of the parts of all kinds of work, of which each has its share of the requests.
+func totalParts(scenario *emulate.Scenario) float64 {
 	sum := 0.0
-	for _, s := range sc.Servers.Speeds {
-		sum += s
+	for _, w := range scenario.Work {
+		sum += w.Part
 	}
-	return sum / float64(len(sc.Servers.Speeds))
-}
-
-// serversFor is the fewest servers that can do so much work a second with a part of their time lost.
-func serversFor(sc *emulate.Scenario, work, lost float64) int {
-	each := 1000 * float64(sc.Servers.Cores) * speed(sc) * (1 - lost)
-	return max(int(math.Ceil(work/each-1e-9)), 1)
+	return sum
 }
 
-// ErlangC is the part of the requests that wait, with c servers and an offered load of a (in servers); 1 where a is c or more.
-func ErlangC(c int, a float64) float64 {
-	if a >= float64(c) {
+// meanSpeed returns the mean of the servers' speeds.
+func meanSpeed(scenario *emulate.Scenario) float64 {
+	speeds := scenario.Servers.Speeds
+	if len(speeds) == 0 {
 		return 1
 	}
-	b := 1.0 // Erlang B by its recursion, which is stable
-	for k := 1; k <= c; k++ {
-		b = a * b / (float64(k) + a*b)
+	sum := 0.0
+	for _, speed := range speeds {
+		sum += speed
 	}
-	rho := a / float64(c)
-	return b / (1 - rho*(1-b))
+	return sum / float64(len(speeds))
 }
 
-// erlangServers is the fewest servers whose cores, as one queue, let a share of the requests wait no longer than their aim leaves.
-func erlangServers(sc *emulate.Scenario, rate, share float64) int {
-	parts, mean, slack := 0.0, 0.0, math.Inf(1)
-	for _, w := range sc.Work {
-		parts += w.Part
-	}
-	for _, w := range sc.Work {
-		work := w.Mean.MS() / speed(sc)
-		mean += w.Part / parts * work
-		for _, c := range sc.Pool.Classes {
-			if c.Name == w.Class {
-				slack = min(slack, c.Aim.MS()-work)
-			}
-		}
-	}
-	if slack <= 0 {
-		return 0
-	}
-	load := rate * mean / 1000
-	for n := 1; n <= 20_000; n++ {
-		c := n * sc.Servers.Cores
-		if load >= float64(c) {
-			continue
-		}
-		// The wait of those who wait is exponential with the rate that is left.
-		if late := ErlangC(c, load) * math.Exp(-(float64(c)-load)*slack/mean); late <= 1-share+1e-12 {
-			return n
-		}
-	}
-	return 0
+// serversFor returns the fewest servers that can do some work, in milliseconds per second, with a ratio of their capacity lost.
+func serversFor(scenario *emulate.Scenario, work, lost float64) int {
+	capacity := msPerSecond * float64(scenario.Servers.Cores) * meanSpeed(scenario) * (1 - lost)
+	return max(int(math.Ceil(work/capacity-rounding)), 1)
 }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"whinknot/internal/emulate"
-	"whinknot/internal/operator"
+	"milletmast/internal/emulate"
+	"milletmast/internal/operator"
 )
 
 // Erlang C against its published values.
@@ -49,7 +49,7 @@
 	if b := p.bound(); b.Servers != 9 || b.Erlang < 9 || b.Erlang > 12 { // 35,000 ms a second on four cores each
 		t.Errorf("%+v", b)
 	}
-	p.Survive = []Survive{{Name: "a zone", Faults: []emulate.Fault{{Kind: "zone", Zone: "a", At: 0, For: sc.For}}}}
+	p.Losses = []Loss{{Name: "a zone", Faults: []emulate.Fault{{Kind: "zone", Zone: "a", At: 0, For: sc.For}}}}
 	if b := p.bound(); b.Servers != 14 || !strings.Contains(b.Why, "a zone") { // two thirds of them can work
 		t.Errorf("%+v", b)
 	}
@@ -61,10 +61,10 @@
 // fake is an evaluation without an emulator.
 func fake(holds func(Size) bool) (*searcher, *int) {
 	asked := 0
-	return &searcher{known: map[Size]*Check{}, left: 200, evaluate: func(_ context.Context, s Size) (*Check, error) {
+	return newSearcher(func(_ context.Context, s Size) (*Check, error) {
 		asked++
 		return &Check{Size: s, Holds: holds(s), Scenario: "x"}, nil
-	}}, &asked
+	}, 200), &asked
 }
 
 // The search finds the fewest, asks for no size twice, and passes over an island below which fewer hold again.
@@ -97,7 +97,7 @@
 		t.Errorf("%v, %v", c, err)
 	}
 	s, _ = fake(func(s Size) bool { return s.Servers > 900 })
-	s.left = 5
+	s.remaining = 5
 	if _, _, err := s.search(t.Context(), &Search{Servers: []int{1, 1000}}, Size{}, 1); !errors.Is(err, ErrBudget) {
 		t.Error(err)
 	}
@@ -109,8 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Set = []string{"demand.rate=300", "for=20s", "demand.curve=[]"}
-	p.Seeds, p.Fresh = []int{1, 2}, []int{11, 12, 13}
+	p.Seeds, p.FreshSeeds = []int{1, 2}, []int{11, 12, 13}
 	a, err := p.Solve(t.Context(), 4, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Set, p.Seeds, p.Survive = []string{"demand.rate=300", "for=10s"}, []int{1}, nil
+	p.Seeds, p.Losses = []int{1}, nil
 	p.Search = Search{Servers: []int{1, 2}}
 	p.base = scenario(t)
 	if _, err := p.Solve(t.Context(), 4, nil); !errors.Is(err, ErrInfeasible) || !strings.Contains(err.Error(), "9 servers are needed at least, and 2 are allowed") {
@@ -202,10 +201,10 @@
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		p := &File{}
-		if operator.DecodeText("p", text, p, nil, p.check) != nil {
+		if operator.DecodeText("p", text, p, nil, p.validate) != nil {
 			return
 		}
-		if s := p.Search.Servers; len(s) != 2 || s[0] < 1 || s[1] < s[0] || p.Most < 1 || len(p.Seeds) == 0 {
+		if s := p.Search.Servers; len(s) != 2 || s[0] < 1 || s[1] < s[0] || p.MaxEvaluations < 1 || len(p.Seeds) == 0 {
 			t.Errorf("taken: %+v", p)
 		}
 	})
--- a/internal/plan/search.go
+++ b/internal/plan/search.go
@@ -7,28 +7,30 @@
 	"slices"
 )
 
-// Check is what was found of one size.
+// Check is the result of running one size.
 type Check struct {
 	Size     Size    `json:"size"`
 	Holds    bool    `json:"holds"`
-	Scenario string  `json:"scenario"` // the one with the least margin, or the one that fails
-	Figure   string  `json:"figure"`   // of it
+	Scenario string  `json:"scenario"` // the one with the least margin
+	Figure   string  `json:"figure"`   // the one with the least margin
 	Value    float64 `json:"value"`
 	Target   float64 `json:"target"`
-	Margin   float64 `json:"margin"` // least distance from a target, as a share of it; negative where it fails
+	Margin   float64 `json:"margin"` // distance from the target as a ratio of it; negative where it fails
 	Seed     uint64  `json:"seed"`
 }
 
+// String returns the result on one line.
 func (c *Check) String() string {
-	word := "holds"
+	verdict := "holds"
 	if !c.Holds {
-		word = "fails"
+		verdict = "fails"
 	}
-	return fmt.Sprintf("%v %s: %s, seed %d: %s %.4f, target %.4f (margin %+.3f)", c.Size, word, c.Scenario, c.Seed, c.Figure, c.Value, c.Target, c.Margin)
+	return fmt.Sprintf("%v %s: %s, seed %d: %s %.4f, target %.4f (margin %+.3f)",
+		c.Size, verdict, c.Scenario, c.Seed, c.Figure, c.Value, c.Target, c.Margin)
 }
 
-// Evaluate tells of one size whether it holds, on all seeds.
-type Evaluate func(ctx context.Context, s Size) (*Check, error)
+// checkFunc runs one size with all seeds.
+type checkFunc func(ctx context.Context, size Size) (*Check, error)
 
 // Errors of a search.
 var (
@@ -36,131 +38,169 @@
 	ErrBudget     = errors.New("the evaluations are used up")
 )
 
-// searcher asks for each size once.
+// neighbours is how many sizes right below an answer are known to fail.
+const neighbours = 2
+
+// searcher runs each size at most once.
 type searcher struct {
-	evaluate Evaluate
-	known    map[Size]*Check
-	order    []*Check
-	left     int
+	run       checkFunc
+	results   map[Size]*Check
+	inOrder   []*Check // the results in the order of their runs
+	remaining int      // runs that are left
+}
+
+func newSearcher(run checkFunc, maxRuns int) *searcher {
+	return &searcher{run: run, results: map[Size]*Check{}, remaining: maxRuns}
 }
 
+// check returns the result of a size, and runs it first if it is new. It returns ErrBudget if no runs are left.
 func (s *searcher) check(ctx context.Context, size Size) (*Check, error) {
-	if c := s.known[size]; c != nil {
-		return c, nil
+	if result := s.results[size]; result != nil {
+		return result, nil
 	}
-	if s.left == 0 {
+	if s.remaining == 0 {
 		return nil, ErrBudget
 	}
-	s.left--
-	c, err := s.evaluate(ctx, size)
+	s.remaining--
+	result, err := s.run(ctx, size)
 	if err != nil {
 		return nil, err
 	}
-	s.known[size] = c
-	s.order = append(s.order, c)
-	return c, nil
+	s.results[size] = result
+	s.inOrder = append(s.inOrder, result)
+	return result, nil
+}
+
+// dimension is one figure of a size that is searched, between least and most.
+type dimension struct {
+	least, most int
+	sizeWith    func(n int) Size
 }
 
-// least finds the fewest within a range that hold: upward from a guess by steps that double till one holds, then by halves. That more
-// never harms is not proved, so both neighbours below the answer are checked too; one of them that holds becomes the answer.
-func (s *searcher) least(ctx context.Context, from, to, guess int, size func(n int) Size) (int, *Check, error) {
-	failed, held := from-1, 0
-	var last *Check
-	for n, step := max(min(guess, to), from), 1; ; step *= 2 {
-		c, err := s.check(ctx, size(n))
+// smallest returns the smallest value of the dimension that holds. It searches upward from a guess by steps that double until one holds,
+// and then by bisection. That more never harms is not proved, so the neighbours below the answer are checked too, and one that holds
+// becomes the answer. With ErrInfeasible it returns the result of the largest size.
+func (s *searcher) smallest(ctx context.Context, d dimension, guess int) (int, *Check, error) {
+	failing, holding, last, err := s.firstHolding(ctx, d, guess)
+	if err != nil {
+		return 0, last, err
+	}
+	if holding, err = s.bisect(ctx, d, failing, holding); err != nil {
+		return 0, nil, err
+	}
+	for below := 1; below <= neighbours && holding-below >= d.least; below++ {
+		result, err := s.check(ctx, d.sizeWith(holding-below))
 		if err != nil {
 			return 0, nil, err
 		}
-		if c.Holds {
-			held = n
-			break
-		}
-		failed, last = n, c
-		if n == to {
-			return 0, last, ErrInfeasible
+		if result.Holds {
+			holding, below = holding-below, 0
 		}
-		n = min(n+step, to)
 	}
-	for held-failed > 1 {
-		n := failed + (held-failed)/2
-		c, err := s.check(ctx, size(n))
+	result, err := s.check(ctx, d.sizeWith(holding))
+	return holding, result, err
+}
+
+// firstHolding searches upward from a guess by steps that double. It returns a value that holds and the one before, which fails.
+func (s *searcher) firstHolding(ctx context.Context, d dimension, guess int) (failing, holding int, last *Check, err error) {
+	failing = d.least - 1
+	for n, step := max(min(guess, d.most), d.least), 1; ; step *= 2 {
+		result, err := s.check(ctx, d.sizeWith(n))
 		if err != nil {
-			return 0, nil, err
+			return 0, 0, nil, err
 		}
-		if c.Holds {
-			held = n
-		} else {
-			failed = n
+		if result.Holds {
+			return failing, n, result, nil
 		}
+		if n == d.most {
+			return 0, 0, result, ErrInfeasible
+		}
+		failing = n
+		n = min(n+step, d.most)
 	}
-	for below := 1; below <= neighbours && held-below >= from; below++ {
-		c, err := s.check(ctx, size(held-below))
+}
+
+// bisect returns a value that holds whose predecessor fails.
+func (s *searcher) bisect(ctx context.Context, d dimension, failing, holding int) (int, error) {
+	for holding-failing > 1 {
+		middle := failing + (holding-failing)/2
+		result, err := s.check(ctx, d.sizeWith(middle))
 		if err != nil {
-			return 0, nil, err
+			return 0, err
 		}
-		if c.Holds {
-			held, below = held-below, 0
+		if result.Holds {
+			holding = middle
+		} else {
+			failing = middle
 		}
 	}
-	c, err := s.check(ctx, size(held))
-	return held, c, err
+	return holding, nil
 }
 
-// neighbours is how many sizes right below an answer are known to fail.
-const neighbours = 2
-
-// search finds the fewest servers, then with them the fewest copies, then the smallest subset and the shortest queue of those to be
-// tried. The order is the price: a server costs most, a place in a queue least.
-func (s *searcher) search(ctx context.Context, p *Search, start Size, bound int) (Size, *Check, error) {
+// search returns the size with the fewest servers, with them the fewest copies, then the smallest subset and the shortest queue of
+// those to try. The order is that of the price: a server costs most, a place in a queue least.
+func (s *searcher) search(ctx context.Context, ranges *Search, start Size, minServers int) (Size, *Check, error) {
 	best := start
-	n, c, err := s.least(ctx, p.Servers[0], p.Servers[1], max(bound, p.Servers[0]), func(n int) Size { at := best; at.Servers = n; return at })
+	servers := dimension{ranges.Servers[0], ranges.Servers[1], func(n int) Size { size := best; size.Servers = n; return size }}
+	n, result, err := s.smallest(ctx, servers, max(minServers, servers.least))
 	if err != nil {
-		return best, c, err
+		return best, result, err
 	}
 	best.Servers = n
-	if len(p.Copies) == 2 {
-		if n, c, err = s.least(ctx, p.Copies[0], p.Copies[1], p.Copies[0], func(n int) Size { at := best; at.Copies = n; return at }); err != nil {
-			return best, c, err
+	if len(ranges.Copies) == 2 {
+		copies := dimension{ranges.Copies[0], ranges.Copies[1], func(n int) Size { size := best; size.Copies = n; return size }}
+		if n, result, err = s.smallest(ctx, copies, copies.least); err != nil {
+			return best, result, err
 		}
 		best.Copies = n
 	}
-	for _, list := range []struct {
-		values []int
-		set    func(*Size, int)
-	}{
-		{p.Subset, func(at *Size, n int) { at.Subset = n }},
-		{p.Queue, func(at *Size, n int) { at.Queue = n }},
-	} {
-		for _, v := range slices.SortedFunc(slices.Values(list.values), allLast) {
-			at := best
-			list.set(&at, v)
-			got, err := s.check(ctx, at)
-			if err != nil {
-				return best, got, err
-			}
-			if got.Holds {
-				best, c = at, got
-				break
-			}
+	withSubset := func(size Size, n int) Size { size.Subset = n; return size }
+	if best, result, err = s.firstOf(ctx, ranges.Subset, best, result, withSubset); err != nil {
+		return best, result, err
+	}
+	withQueue := func(size Size, n int) Size { size.Queue = n; return size }
+	if best, result, err = s.firstOf(ctx, ranges.Queue, best, result, withQueue); err != nil {
+		return best, result, err
+	}
+	return s.fewerServers(ctx, best, result, servers.least)
+}
+
+// firstOf returns best with the smallest of the values that holds, or best as it is if none does.
+func (s *searcher) firstOf(
+	ctx context.Context, values []int, best Size, result *Check, with func(Size, int) Size,
+) (Size, *Check, error) {
+	for _, value := range slices.SortedFunc(slices.Values(values), compareSubsets) {
+		candidate := with(best, value)
+		found, err := s.check(ctx, candidate)
+		if err != nil {
+			return best, found, err
+		}
+		if found.Holds {
+			return candidate, found, nil
 		}
 	}
-	for best.Servers > p.Servers[0] { // it was the fewest with the copies, subset and queue of before
-		at := best
-		at.Servers--
-		got, err := s.check(ctx, at)
+	return best, result, nil
+}
+
+// fewerServers removes servers from best as long as it holds: it had the fewest with the copies, subset and queue of the start.
+func (s *searcher) fewerServers(ctx context.Context, best Size, result *Check, least int) (Size, *Check, error) {
+	for best.Servers > least {
+		candidate := best
+		candidate.Servers--
+		found, err := s.check(ctx, candidate)
 		if err != nil {
-			return best, got, err
+			return best, found, err
 		}
-		if !got.Holds {
+		if !found.Holds {
 			break
 		}
-		best, c = at, got
+		best, result = candidate, found
 	}
-	return best, c, nil
+	return best, result, nil
 }
 
-// allLast sorts sizes, with 0 for all servers as the largest.
-func allLast(a, b int) int {
+// compareSubsets orders sizes of subsets. 0 stands for all servers and is the largest.
+func compareSubsets(a, b int) int {
 	if (a == 0) != (b == 0) {
 		return b - a
 	}
--- a/internal/plan/solve.go
+++ b/internal/plan/solve.go
@@ -5,86 +5,86 @@
 	"fmt"
 	"math"
 
-	"whinknot/internal/emulate"
+	"milletmast/internal/emulate"
 )
 
-// Answer is what a search has found.
+// worstSeconds is the length of the window of Target.Worst.
+const worstSeconds = 5
+
+// Answer is the result of a search.
 type Answer struct {
 	Size        Size     `json:"size"`
-	Binds       *Check   `json:"binds"` // what has the least margin at that size
+	Binds       *Check   `json:"binds"` // the result with the least margin at that size
 	Below       []*Check `json:"below"` // the sizes with fewer servers that were tried
-	Fresh       *Check   `json:"fresh"` // the same size on seeds that the search has not seen
+	Fresh       *Check   `json:"fresh"` // the same size with seeds that the search has not used
 	Bound       Bound    `json:"bound"`
 	Evaluations int      `json:"evaluations"`
 	Seeds       []int    `json:"seeds"`
 }
 
-// Solve searches. An error that wraps ErrInfeasible names what binds. Told hears of each size that was tried; it may be nil.
-func (p *Plan) Solve(ctx context.Context, atOnce int, told func(*Check)) (*Answer, error) {
-	b := p.bound()
-	if b.Servers > p.Search.Servers[1] {
-		return nil, fmt.Errorf("%w: %s, so %d servers are needed at least, and %d are allowed", ErrInfeasible, b.Why, b.Servers, p.Search.Servers[1])
+// Solve searches for the smallest size. It runs concurrency runs at once and calls onCheck, which may be nil, after each size. An error
+// that wraps ErrInfeasible names what no size holds.
+func (p *Plan) Solve(ctx context.Context, concurrency int, onCheck func(*Check)) (*Answer, error) {
+	bound := p.bound()
+	if most := p.Search.Servers[1]; bound.Servers > most {
+		return nil, fmt.Errorf("%w: %s, so %d servers are needed at least, and %d are allowed", ErrInfeasible, bound.Why, bound.Servers, most)
 	}
-	s := &searcher{known: map[Size]*Check{}, left: p.Most, evaluate: func(ctx context.Context, size Size) (*Check, error) {
-		c, err := p.evaluate(ctx, size, p.Seeds, atOnce)
-		if err == nil && told != nil {
-			told(c)
+	searcher := newSearcher(func(ctx context.Context, size Size) (*Check, error) {
+		result, err := p.Check(ctx, size, p.Seeds, concurrency)
+		if err == nil && onCheck != nil {
+			onCheck(result)
 		}
-		return c, err
-	}}
+		return result, err
+	}, p.MaxEvaluations)
 	start := Size{Copies: p.base.Copies.Count, Subset: p.base.Pool.Subset, Queue: p.base.Servers.Queue}
 	if len(p.Search.Copies) == 2 {
 		start.Copies = p.Search.Copies[1]
 	}
-	size, c, err := s.search(ctx, &p.Search, start, b.Servers)
+	size, result, err := searcher.search(ctx, &p.Search, start, bound.Servers)
 	if err != nil {
-		if c != nil {
-			return nil, fmt.Errorf("%w: %v", err, c)
+		if result != nil {
+			return nil, fmt.Errorf("%w: %v", err, result)
 		}
 		return nil, err
 	}
-	a := &Answer{Size: size, Binds: c, Bound: b, Evaluations: len(s.order), Seeds: p.Seeds}
-	for _, k := range s.order {
-		if k.Size.Servers < size.Servers {
-			a.Below = append(a.Below, k)
+	answer := &Answer{Size: size, Binds: result, Bound: bound, Evaluations: len(searcher.inOrder), Seeds: p.Seeds}
+	for _, tried := range searcher.inOrder {
+		if tried.Size.Servers < size.Servers {
+			answer.Below = append(answer.Below, tried)
 		}
 	}
-	if len(p.Fresh) > 0 {
-		if a.Fresh, err = p.evaluate(ctx, size, p.Fresh, atOnce); err != nil {
+	if len(p.FreshSeeds) > 0 {
+		if answer.Fresh, err = p.Check(ctx, size, p.FreshSeeds, concurrency); err != nil {
 			return nil, err
 		}
 	}
-	return a, nil
+	return answer, nil
 }
 
-// Check plays one size on seeds.
-func (p *Plan) Check(ctx context.Context, size Size, seeds []int, atOnce int) (*Check, error) {
-	return p.evaluate(ctx, size, seeds, atOnce)
-}
-
-// evaluate plays a size in all scenarios and on all seeds, and tells what is nearest to its target, or furthest beyond.
-func (p *Plan) evaluate(ctx context.Context, size Size, seeds []int, atOnce int) (*Check, error) {
-	scenarios, targets, err := p.scenarios(size)
+// Check runs a size in all scenarios and with all seeds. It returns the figure with the least margin.
+func (p *Plan) Check(ctx context.Context, size Size, seeds []int, concurrency int) (*Check, error) {
+	scenarios, err := p.scenariosFor(size)
 	if err != nil {
 		return nil, err
 	}
 	var jobs []emulate.Job
-	var aims []Target
-	for i, sc := range scenarios {
+	var targets []Target
+	for _, s := range scenarios {
 		for _, seed := range seeds {
-			jobs, aims = append(jobs, emulate.Job{Scenario: sc, Seed: uint64(seed)}), append(aims, targets[i])
+			jobs = append(jobs, emulate.Job{Scenario: s.scenario, Seed: uint64(seed)})
+			targets = append(targets, s.target)
 		}
 	}
-	results, err := emulate.Play(ctx, jobs, atOnce, nil)
+	results, err := emulate.RunAll(ctx, jobs, concurrency, nil)
 	if err != nil {
 		return nil, err
 	}
 	worst := &Check{Size: size, Margin: math.Inf(1)}
-	for i, r := range results {
-		for _, m := range aims[i].margins(r) {
-			if m.Margin < worst.Margin {
-				m.Size, m.Scenario, m.Seed = size, r.Scenario, r.Seed
-				worst = &m
+	for i, result := range results {
+		for _, figure := range targets[i].figures(result) {
+			if figure.Margin < worst.Margin {
+				figure.Size, figure.Scenario, figure.Seed = size, result.Scenario, result.Seed
+				worst = &figure
 			}
 		}
 	}
@@ -92,31 +92,34 @@
 	return worst, nil
 }
 
-// margins are the distances of a result from each target, as shares of it. A rule that breaks is the worst of all.
-func (t Target) margins(r *emulate.Result) []Check {
-	var out []Check
-	if r.BreakCount > 0 {
-		out = append(out, Check{Figure: "rules broken", Value: float64(r.BreakCount), Margin: -1})
-	}
-	if t.Share > 0 {
-		out = append(out, Check{Figure: "served worth", Value: r.Share, Target: t.Share, Margin: (r.Share - t.Share) / t.Share})
+// figures returns the figures of a result that the target requires, with their margins. A broken rule has the lowest margin.
+func (t Target) figures(result *emulate.Result) []Check {
+	var figures []Check
+	if result.ViolationCount > 0 {
+		figures = append(figures, Check{Figure: "rules broken", Value: float64(result.ViolationCount), Margin: -1})
 	}
-	if t.Worst > 0 {
-		w := r.Worst(worstSeconds)
-		out = append(out, Check{Figure: "worst 5 s", Value: w, Target: t.Worst, Margin: (w - t.Worst) / t.Worst})
-	}
-	if t.Refused > 0 {
-		n := 0
-		for _, c := range r.Classes {
-			n += c.Refused
+	atLeast := func(name string, value, target float64) {
+		if target > 0 {
+			figures = append(figures, Check{Figure: name, Value: value, Target: target, Margin: (value - target) / target})
 		}
-		share := float64(n) / math.Max(float64(r.Asked), 1)
-		out = append(out, Check{Figure: "refused", Value: share, Target: t.Refused, Margin: (t.Refused - share) / t.Refused})
 	}
-	if ms := t.P95.MS(); ms > 0 {
-		out = append(out, Check{Figure: "p95 ms", Value: r.P95, Target: ms, Margin: (ms - r.P95) / ms})
+	atMost := func(name string, value, target float64) {
+		if target > 0 {
+			figures = append(figures, Check{Figure: name, Value: value, Target: target, Margin: (target - value) / target})
+		}
 	}
-	return out
+	atLeast("served worth", result.Share, t.Share)
+	atLeast("worst 5 s", result.WorstShare(worstSeconds), t.Worst)
+	atMost("refused", refusedRatio(result), t.Refused)
+	atMost("p95 ms", result.P95, t.P95.MS())
+	return figures
 }
 
-const worstSeconds = 5
+// refusedRatio returns the ratio of the requests that were refused.
+func refusedRatio(result *emulate.Result) float64 {
+	refused := 0
+	for _, class := range result.Classes {
+		refused += class.Refused
+	}
+	return float64(refused) / math.Max(float64(result.Asked), 1)
+}
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -11,103 +11,110 @@
 	"strings"
 )
 
-// Compile makes a table of rules. All that is wrong is told, each as a *RuleError: what cannot be used, two routes that
-// could match one request with nothing to decide between them, and routes that never match as another always goes first.
+// Compile compiles a table of rules. It returns all errors: rules that cannot be used, two routes that could match one request with
+// nothing to decide between them, and routes that never match as another always goes first.
 func Compile(rules []Rule) (*Table, []*RuleError) {
-	c := compiler{names: map[string]int{}, buckets: map[string][]*entry{}}
+	c := compiler{names: map[string]int{}, buckets: map[string][]*compiledRoute{}}
 	for i := range rules {
-		if e := c.entry(i, &rules[i]); e != nil {
-			c.all = append(c.all, e)
+		if e := c.compileRule(i, &rules[i]); e != nil {
+			c.routes = append(c.routes, e)
 		}
 	}
 	c.findConflicts()
-	if len(c.errs) > 0 {
-		slices.SortStableFunc(c.errs, func(a, b *RuleError) int { return cmp.Compare(a.Rule, b.Rule) })
-		return nil, c.errs
+	if len(c.ruleErrors) > 0 {
+		slices.SortStableFunc(c.ruleErrors, func(a, b *RuleError) int { return cmp.Compare(a.Rule, b.Rule) })
+		return nil, c.ruleErrors
 	}
-	t := &Table{exact: map[string]*site{}, wild: map[string]*site{}, all: c.all}
-	for _, e := range c.all {
-		t.site(e).add(e)
+	t := &Table{exactHosts: map[string]*hostRoutes{}, wildcardHosts: map[string]*hostRoutes{}, routes: c.routes}
+	for _, e := range c.routes {
+		t.hostRoutesOf(e).add(e)
 	}
-	for _, s := range t.exact {
+	for _, s := range t.exactHosts {
 		s.sort()
 	}
-	for _, s := range t.wild {
+	for _, s := range t.wildcardHosts {
 		s.sort()
 	}
-	if t.any != nil {
-		t.any.sort()
+	if t.anyHost != nil {
+		t.anyHost.sort()
 	}
 	return t, nil
 }
 
+// errHostCondition is reported for a condition on the header Host.
+var errHostCondition = errors.New("the header Host is compared by the route's host")
+
+// compiler collects the compiled routes of a table and the errors of its rules.
 type compiler struct {
 	names        map[string]int
-	all          []*entry
-	errs         []*RuleError
+	routes       []*compiledRoute
+	ruleErrors   []*RuleError
 	instructions int
-	buckets      map[string][]*entry // entries by host and path, for the search for conflicts
+	buckets      map[string][]*compiledRoute // entries by host and path, for the search for conflicts
 }
 
-func (c *compiler) complain(rule int, field string, err error) {
-	c.errs = append(c.errs, &RuleError{Rule: rule, Field: field, Err: err})
+// addError adds an error of a rule.
+func (c *compiler) addError(rule int, field string, err error) {
+	c.ruleErrors = append(c.ruleErrors, &RuleError{Rule: rule, Field: field, Err: err})
 }
 
-// entry checks one rule and compiles it; nil if it cannot be used.
-func (c *compiler) entry(i int, r *Rule) *entry {
-	bad := len(c.errs)
-	own := *r // the table keeps a copy: what the caller does with its rules must not reach it
-	e := &entry{Rule: &own, index: i}
+// compileRule validates and compiles one rule. It returns nil if the rule cannot be used.
+func (c *compiler) compileRule(i int, r *Rule) *compiledRoute {
+	errorsBefore := len(c.ruleErrors)
+	own := *r // a copy: later changes by the caller must not reach the table
+	e := &compiledRoute{Rule: &own, index: i}
 	if first, ok := c.names[r.Name]; r.Name == "" {
-		c.complain(i, "name", errors.New("is missing"))
+		c.addError(i, "name", errors.New("is missing"))
 	} else if ok {
-		c.complain(i, "name", fmt.Errorf("%q names route %d already", r.Name, first))
+		c.addError(i, "name", fmt.Errorf("%q names route %d already", r.Name, first))
 	} else {
 		c.names[r.Name] = i
 	}
-	c.host(e)
-	c.path(e)
-	c.conditions(e)
-	c.outcome(e)
-	if len(c.errs) > bad {
+	c.compileHost(e)
+	c.compilePath(e)
+	c.compileConditions(e)
+	c.validateOutcome(e)
+	if len(c.ruleErrors) > errorsBefore {
 		return nil
 	}
 	return e
 }
 
-func (c *compiler) host(e *entry) {
+// compileHost brings the host of a route into its normal form.
+func (c *compiler) compileHost(e *compiledRoute) {
 	host := e.Host
 	if host == "" || host == "*" {
 		return
 	}
 	if rest, ok := strings.CutPrefix(host, "*."); ok {
-		e.wild, host = true, rest
+		e.isWildcard, host = true, rest
 	}
 	name, err := NormalizeHost(host)
 	switch {
 	case err != nil || name == "":
-		c.complain(e.index, "host", fmt.Errorf("%q is no host name", e.Host))
+		c.addError(e.index, "host", fmt.Errorf("%q is no host name", e.Host))
 	case strings.Contains(host, ":") && !strings.Contains(name, ":"):
-		c.complain(e.index, "host", fmt.Errorf("%q names a port: routes are for all ports", e.Host))
+		c.addError(e.index, "host", fmt.Errorf("%q names a port: routes are for all ports", e.Host))
 	}
 	e.host = name
 }
 
-func (c *compiler) path(e *entry) {
+// compilePath brings the path of a route into its normal form, or compiles its regular expression.
+func (c *compiler) compilePath(e *compiledRoute) {
 	if e.Kind == Regexp {
-		c.pattern(e)
+		c.compilePattern(e)
 		return
 	}
 	if e.Path == "" && e.Kind == Prefix {
-		e.Rule.Path = "/"
+		e.Path = "/"
 	}
 	p, err := Normalize(e.Path)
 	switch {
 	case err != nil:
-		c.complain(e.index, "path", err)
+		c.addError(e.index, "path", err)
 		return
 	case strings.Contains(e.Path, ";"):
-		c.complain(e.index, "path", errors.New("parameters behind ; are not compared"))
+		c.addError(e.index, "path", errors.New("parameters behind ; are not compared"))
 		return
 	}
 	if e.path = p.Match; e.Kind == Prefix {
@@ -116,10 +123,10 @@
 	}
 }
 
-// pattern compiles an expression within the bounds. It has to match the whole path.
-func (c *compiler) pattern(e *entry) {
-	if len(e.Path) > MaxPattern {
-		c.complain(e.index, "path", fmt.Errorf("the expression has %d bytes, over the %d allowed", len(e.Path), MaxPattern))
+// compilePattern compiles a regular expression within the bounds. It has to match the whole path.
+func (c *compiler) compilePattern(e *compiledRoute) {
+	if len(e.Path) > MaxPatternBytes {
+		c.addError(e.index, "path", fmt.Errorf("the expression has %d bytes, over the %d allowed", len(e.Path), MaxPatternBytes))
 		return
 	}
 	whole := `^(?:` + e.Path + `)$`
@@ -128,282 +135,162 @@
 		parsed, err = syntax.Parse(whole, syntax.Perl)
 	}
 	if err != nil {
-		c.complain(e.index, "path", err)
+		c.addError(e.index, "path", err)
 		return
 	}
 	program, err := syntax.Compile(parsed.Simplify())
 	if err != nil {
-		c.complain(e.index, "path", err)
+		c.addError(e.index, "path", err)
 		return
 	}
 	size := len(program.Inst)
 	if c.instructions += size; size > maxInstructions {
-		c.complain(e.index, "path", fmt.Errorf("the expression compiles to %d instructions, over the %d allowed", size, maxInstructions))
+		c.addError(e.index, "path", fmt.Errorf("the expression compiles to %d instructions, over the %d allowed", size, maxInstructions))
 		return
 	}
-	if c.instructions > maxAll {
-		c.complain(e.index, "path", fmt.Errorf("all expressions up to here compile to %d instructions, over the %d allowed", c.instructions, maxAll))
+	if c.instructions > maxTotalInstructions {
+		c.addError(e.index, "path", fmt.Errorf(
+			"all expressions up to here compile to %d instructions, over the %d allowed", c.instructions, maxTotalInstructions))
 		return
 	}
 	e.pattern, err = regexp.Compile(whole)
 	if err != nil {
-		c.complain(e.index, "path", err)
+		c.addError(e.index, "path", err)
 	}
 	e.path = e.Path
 }
 
-func (c *compiler) conditions(e *entry) {
+// compileConditions validates the methods and conditions of a route. The route gets copies of them.
+func (c *compiler) compileConditions(e *compiledRoute) {
+	c.compileMethods(e)
+	c.compileHeaders(e)
+	e.Query = slices.Clone(e.Query)
+	c.validateConditions(e, "headers", e.Headers)
+	c.validateConditions(e, "query", e.Query)
+}
+
+func (c *compiler) compileMethods(e *compiledRoute) {
 	if len(e.Methods) > maxMethods {
-		c.complain(e.index, "methods", fmt.Errorf("%d methods, over the %d allowed", len(e.Methods), maxMethods))
+		c.addError(e.index, "methods", fmt.Errorf("%d methods, over the %d allowed", len(e.Methods), maxMethods))
 	}
 	e.Methods = slices.Clone(e.Methods)
-	for i, m := range e.Methods {
-		if m == "" || strings.ContainsFunc(m, func(r rune) bool { return r < 'A' || r > 'Z' }) && m != "VERSION-CONTROL" {
-			c.complain(e.index, "methods", fmt.Errorf("%q is no method: they are in capital letters", m))
+	for i, method := range e.Methods {
+		if !isMethod(method) {
+			c.addError(e.index, "methods", fmt.Errorf("%q is no method: they are in capital letters", method))
 		}
-		if slices.Contains(e.Methods[:i], m) {
-			c.complain(e.index, "methods", fmt.Errorf("%s comes twice", m))
+		if slices.Contains(e.Methods[:i], method) {
+			c.addError(e.index, "methods", fmt.Errorf("%s comes twice", method))
 		}
 	}
-	e.Headers, e.Query = slices.Clone(e.Headers), slices.Clone(e.Query)
+}
+
+// isMethod reports whether a text is a method in capital letters. VERSION-CONTROL is the only registered one with another character.
+func isMethod(text string) bool {
+	isOther := func(r rune) bool { return r < 'A' || r > 'Z' }
+	return text != "" && (!strings.ContainsFunc(text, isOther) || text == "VERSION-CONTROL")
+}
+
+// compileHeaders brings the names of headers into their canonical form.
+func (c *compiler) compileHeaders(e *compiledRoute) {
+	e.Headers = slices.Clone(e.Headers)
 	for i := range e.Headers {
-		h := &e.Headers[i]
-		if h.Name = http.CanonicalHeaderKey(h.Name); h.Name == "" || strings.ContainsAny(h.Name, " :\t\r\n") {
-			c.complain(e.index, "headers", fmt.Errorf("%q is no name of a header", h.Name))
+		header := &e.Headers[i]
+		header.Name = http.CanonicalHeaderKey(header.Name)
+		if header.Name == "" || strings.ContainsAny(header.Name, " :\t\r\n") {
+			c.addError(e.index, "headers", fmt.Errorf("%q is no name of a header", header.Name))
 		}
-		if h.Name == "Host" {
-			c.complain(e.index, "headers", errors.New("Host is compared by the route's host"))
+		if header.Name == "Host" {
+			c.addError(e.index, "headers", errHostCondition)
 		}
 	}
-	for _, set := range [...]struct {
-		field string
-		of    []Condition
-	}{{"headers", e.Headers}, {"query", e.Query}} {
-		if len(set.of) > maxConditions {
-			c.complain(e.index, set.field, fmt.Errorf("%d conditions, over the %d allowed", len(set.of), maxConditions))
+}
+
+// validateConditions reports what is wrong with the conditions of one field.
+func (c *compiler) validateConditions(e *compiledRoute, field string, conditions []Condition) {
+	if len(conditions) > maxConditions {
+		c.addError(e.index, field, fmt.Errorf("%d conditions, over the %d allowed", len(conditions), maxConditions))
+	}
+	for i, condition := range conditions {
+		if condition.Name == "" {
+			c.addError(e.index, field, errors.New("a condition has no name"))
 		}
-		for i, a := range set.of {
-			if a.Name == "" {
-				c.complain(e.index, set.field, errors.New("a condition has no name"))
-			}
-			if slices.ContainsFunc(set.of[:i], func(b Condition) bool { return a.Name == b.Name }) {
-				c.complain(e.index, set.field, fmt.Errorf("two conditions on %s", a.Name))
-			}
+		if slices.ContainsFunc(conditions[:i], func(earlier Condition) bool { return condition.Name == earlier.Name }) {
+			c.addError(e.index, field, fmt.Errorf("two conditions on %s", condition.Name))
 		}
 	}
 }
 
-func (c *compiler) outcome(e *entry) {
-	w := e.Rewrite
+// validateOutcome reports what is wrong with the rewrite and the fixed answer of a route.
+func (c *compiler) validateOutcome(e *compiledRoute) {
+	rewrite := e.Rewrite
 	switch {
-	case (w.Strip || w.Replace != "") && e.Kind != Prefix:
-		c.complain(e.index, "rewrite", errors.New("only the path of a prefix route can be rewritten"))
-	case w.Replace != "" && !w.Strip:
-		c.complain(e.index, "rewrite", errors.New("a replacement needs the prefix to be stripped"))
-	case w.Replace != "":
-		if p, err := Normalize(w.Replace); err != nil || p.Raw != w.Replace {
-			c.complain(e.index, "rewrite", fmt.Errorf("%q is no path in its one spelling", w.Replace))
+	case (rewrite.Strip || rewrite.Replace != "") && e.Kind != Prefix:
+		c.addError(e.index, "rewrite", errors.New("only the path of a prefix route can be rewritten"))
+	case rewrite.Replace != "" && !rewrite.Strip:
+		c.addError(e.index, "rewrite", errors.New("a replacement needs the prefix to be stripped"))
+	case rewrite.Replace != "":
+		if p, err := Normalize(rewrite.Replace); err != nil || p.Raw != rewrite.Replace {
+			c.addError(e.index, "rewrite", fmt.Errorf("%q is no path in its one spelling", rewrite.Replace))
 		}
 	}
-	a := e.Answer
+	answer := e.Answer
 	switch {
-	case a == nil:
+	case answer == nil:
 		return
 	case e.Pool != "" || e.Class != "":
-		c.complain(e.index, "answer", errors.New("a route gives a fixed answer or names a pool, not both"))
-	case w != Rewrite{}:
-		c.complain(e.index, "rewrite", errors.New("a fixed answer has no path to rewrite"))
-	case a.Status < 200 || a.Status > 599:
-		c.complain(e.index, "answer", fmt.Errorf("%d is no status of an answer", a.Status))
-	case (a.Location != "") != (a.Status == 301 || a.Status == 302 || a.Status == 303 || a.Status == 307 || a.Status == 308):
-		c.complain(e.index, "answer", fmt.Errorf("status %d and a location of %q do not go together", a.Status, a.Location))
-	case strings.ContainsAny(a.Location, "\r\n\x00") || checkLocation(a.Location) != nil:
-		c.complain(e.index, "answer", fmt.Errorf("location %q: {host}, {path} and {query} are the only placeholders", a.Location))
-	case a.Body != "" && (a.Status == 204 || a.Status == 304):
-		c.complain(e.index, "answer", fmt.Errorf("status %d has no body", a.Status))
-	}
-}
-
-// checkLocation checks the placeholders of a redirect.
-func checkLocation(s string) error {
-	for _, name := range [...]string{"{host}", "{path}", "{query}"} {
-		s = strings.ReplaceAll(s, name, "")
-	}
-	if strings.ContainsAny(s, "{}") {
-		return errors.New("unknown placeholder")
-	}
-	return nil
-}
-
-// findConflicts looks for routes that are alike in rank and could match one request, and for those that never match.
-// Only routes whose hosts and paths can meet are compared, so that large tables stay quick to load.
-func (c *compiler) findConflicts() {
-	type key struct {
-		host string
-		wild bool
-	}
-	hosts := map[key]*meeting{}
-	for _, e := range c.all {
-		k := key{e.host, e.wild}
-		if hosts[k] == nil {
-			hosts[k] = &meeting{paths: map[string][]*entry{}}
-		}
-		hosts[k].add(e)
-	}
-	for _, e := range c.all {
-		own := hosts[key{e.host, e.wild}]
-		for _, other := range own.alike(e) {
-			if other.index < e.index && outranks(e, other) == 0 && compatible(e, other) {
-				c.complain(e.index, "priority", fmt.Errorf("route %q could match the same request and nothing decides between them: give one a higher priority", other.Name))
-				break
-			}
-		}
-		// A more specific host goes first but matches less, so only routes of the same host can hide this one.
-		for _, other := range own.above(e) {
-			if other != e && outranks(other, e) < 0 && covers(other, e) {
-				c.complain(e.index, "path", fmt.Errorf("is unreachable: route %q matches all that this one does, and goes first", other.Name))
-				break
-			}
+		c.addError(e.index, "answer", errors.New("a route gives a fixed answer or names a pool, not both"))
+	case rewrite != Rewrite{}:
+		c.addError(e.index, "rewrite", errors.New("a fixed answer has no path to rewrite"))
+	default:
+		if err := answer.validate(); err != nil {
+			c.addError(e.index, "answer", err)
 		}
 	}
 }
 
-// meeting holds the routes of one host by what their paths are.
-type meeting struct {
-	paths    map[string][]*entry // exact and prefix routes by path
-	patterns []*entry
-	wide     []*entry // patterns that may cover a prefix or other patterns
-}
-
-func (m *meeting) add(e *entry) {
-	if e.Kind != Regexp {
-		m.paths[e.path] = append(m.paths[e.path], e)
-		return
-	}
-	m.patterns = append(m.patterns, e)
-	if _, ok := e.everythingUnder(); ok {
-		m.wide = append(m.wide, e)
-	}
-}
-
-// alike are the routes that could be of the same rank.
-func (m *meeting) alike(e *entry) []*entry {
-	if e.Kind == Regexp {
-		return m.patterns
-	}
-	return m.paths[e.path]
-}
-
-// above are the routes that might hide this one.
-func (m *meeting) above(e *entry) []*entry {
-	switch e.Kind {
-	case Exact:
-		return m.paths[e.path] // expressions and prefixes come after an exact path
-	case Regexp:
-		return m.patterns
-	}
-	return slices.Concat(m.paths[e.path], m.wide)
-}
-
-// everythingUnder tells that an expression matches every path that begins with a text.
-func (e *entry) everythingUnder() (string, bool) {
-	re, err := syntax.Parse(e.Path, syntax.Perl)
-	if err != nil {
-		return "", false
-	}
-	re = re.Simplify()
-	parts := []*syntax.Regexp{re}
-	if re.Op == syntax.OpConcat {
-		parts = re.Sub
-	}
-	text := "/" // every path begins with it
-	for i, p := range parts {
-		switch {
-		case p.Op == syntax.OpBeginText || p.Op == syntax.OpBeginLine:
-		case p.Op == syntax.OpLiteral && p.Flags&syntax.FoldCase == 0 && i == len(parts)-2:
-			text = string(p.Rune)
-		case p.Op == syntax.OpStar && i == len(parts)-1:
-			return text, p.Sub[0].Op == syntax.OpAnyChar || p.Sub[0].Op == syntax.OpAnyCharNotNL
-		default:
-			return "", false
-		}
+// validate returns an error if the answer can't be given.
+func (a *Answer) validate() error {
+	switch {
+	case a.Status < 200 || a.Status > 599:
+		return fmt.Errorf("%d is no status of an answer", a.Status)
+	case (a.Location != "") != IsRedirect(a.Status):
+		return fmt.Errorf("status %d and a location of %q do not go together", a.Status, a.Location)
+	case strings.ContainsAny(a.Location, "\r\n\x00") || hasUnknownPlaceholder(a.Location):
+		return fmt.Errorf("location %q: {host}, {path} and {query} are the only placeholders", a.Location)
+	case a.Body != "" && (a.Status == http.StatusNoContent || a.Status == http.StatusNotModified):
+		return fmt.Errorf("status %d has no body", a.Status)
 	}
-	return "", false
+	return nil
 }
 
-// covers tells, for certain, that a matches whatever b of the same host does.
-func covers(a, b *entry) bool {
-	if len(a.Methods) > 0 {
-		if len(b.Methods) == 0 || slices.ContainsFunc(b.Methods, func(m string) bool { return !slices.Contains(a.Methods, m) }) {
-			return false
-		}
-	}
-	if !implied(a.Headers, b.Headers) || !implied(a.Query, b.Query) {
-		return false
-	}
-	if a.Kind != Regexp {
-		return a.Kind == b.Kind && a.path == b.path
-	}
-	if b.Kind == Regexp && a.path == b.path {
+// IsRedirect reports whether responses with a status have a location.
+func IsRedirect(status int) bool {
+	switch status {
+	case http.StatusMovedPermanently, http.StatusFound, http.StatusSeeOther, http.StatusTemporaryRedirect, http.StatusPermanentRedirect:
 		return true
 	}
-	under, ok := a.everythingUnder()
-	if !ok {
-		return false
-	}
-	if b.Kind == Regexp {
-		own, ok := b.everythingUnder()
-		return ok && strings.HasPrefix(own, under)
-	}
-	return b.Kind == Prefix && (under == "/" || strings.HasPrefix(b.path, under))
-}
-
-// implied tells whether each condition of a follows from those of b.
-func implied(a, b []Condition) bool {
-	for _, x := range a {
-		if !slices.ContainsFunc(b, func(y Condition) bool {
-			return x.Name == y.Name && (x == y || x.Kind == Present && y.Kind == Equals)
-		}) {
-			return false
-		}
-	}
-	return true
-}
-
-// compatible tells whether two routes of like host and path could match one request.
-func compatible(a, b *entry) bool {
-	if len(a.Methods) > 0 && len(b.Methods) > 0 &&
-		!slices.ContainsFunc(a.Methods, func(m string) bool { return slices.Contains(b.Methods, m) }) {
-		return false
-	}
-	return !exclude(a.Headers, b.Headers) && !exclude(a.Query, b.Query)
+	return false
 }
 
-// exclude tells whether no request can meet both sets of conditions.
-func exclude(a, b []Condition) bool {
-	for _, x := range a {
-		for _, y := range b {
-			if x.Name != y.Name {
-				continue
-			}
-			if (x.Kind == Absent) != (y.Kind == Absent) || x.Kind == Equals && y.Kind == Equals && x.Value != y.Value {
-				return true
-			}
-		}
+// hasUnknownPlaceholder reports whether the location of a redirect has braces that are no placeholder.
+func hasUnknownPlaceholder(location string) bool {
+	for _, placeholder := range [...]string{"{host}", "{path}", "{query}"} {
+		location = strings.ReplaceAll(location, placeholder, "")
 	}
-	return false
+	return strings.ContainsAny(location, "{}")
 }
 
-func (t *Table) site(e *entry) *site {
-	hosts := t.exact
+// hostRoutesOf returns the routes of the host of a route, and makes them first if the host is new.
+func (t *Table) hostRoutesOf(e *compiledRoute) *hostRoutes {
+	hosts := t.exactHosts
 	switch {
 	case e.host == "":
-		if t.any == nil {
-			t.any = newSite()
+		if t.anyHost == nil {
+			t.anyHost = newSite()
 		}
-		return t.any
-	case e.wild:
-		hosts = t.wild
+		return t.anyHost
+	case e.isWildcard:
+		hosts = t.wildcardHosts
 	}
 	if hosts[e.host] == nil {
 		hosts[e.host] = newSite()
@@ -411,12 +298,15 @@
 	return hosts[e.host]
 }
 
-func newSite() *site { return &site{exact: map[string][]*entry{}, prefixes: &node{}} }
+func newSite() *hostRoutes {
+	return &hostRoutes{exactPaths: map[string][]*compiledRoute{}, prefixes: &trieNode{}}
+}
 
-func (s *site) add(e *entry) {
+// add adds a route of the host.
+func (s *hostRoutes) add(e *compiledRoute) {
 	switch e.Kind {
 	case Exact:
-		s.exact[e.path] = append(s.exact[e.path], e)
+		s.exactPaths[e.path] = append(s.exactPaths[e.path], e)
 	case Regexp:
 		s.patterns = append(s.patterns, e)
 	default:
@@ -424,30 +314,36 @@
 		for rest := strings.TrimPrefix(e.path, "/"); rest != ""; {
 			var segment string
 			segment, rest, _ = strings.Cut(rest, "/")
-			next := at.children[segment]
-			if next == nil {
-				next = &node{parent: at}
-				if at.children == nil {
-					at.children = map[string]*node{}
-				}
-				at.children[segment] = next
-			}
-			at = next
+			at = at.child(segment)
 		}
 		at.entries = append(at.entries, e)
 	}
 }
 
-func (s *site) sort() {
-	slices.SortStableFunc(s.patterns, better)
-	for _, list := range s.exact {
-		slices.SortStableFunc(list, better)
+// child returns the child for a segment, and makes it first if it is new.
+func (n *trieNode) child(segment string) *trieNode {
+	if found := n.children[segment]; found != nil {
+		return found
+	}
+	if n.children == nil {
+		n.children = map[string]*trieNode{}
+	}
+	added := &trieNode{parent: n}
+	n.children[segment] = added
+	return added
+}
+
+// sort brings routes of one path, and all regular expressions, into their order of precedence.
+func (s *hostRoutes) sort() {
+	slices.SortStableFunc(s.patterns, comparePrecedence)
+	for _, list := range s.exactPaths {
+		slices.SortStableFunc(list, comparePrecedence)
 	}
 	s.prefixes.sort()
 }
 
-func (n *node) sort() {
-	slices.SortStableFunc(n.entries, better)
+func (n *trieNode) sort() {
+	slices.SortStableFunc(n.entries, comparePrecedence)
 	for _, child := range n.children {
 		child.sort()
 	}
--- a/internal/route/outcome.go
+++ b/internal/route/outcome.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// Rewritten gives the path that goes to the server of a request that matched this rule of a table.
+// Rewritten returns the path that a server gets for a request that matched this rule of a table.
 func (r *Rule) Rewritten(p *Path) string {
 	if !r.Rewrite.Strip {
 		return p.Raw
 	}
 	rest := p.Raw
-	for range r.depth { // segments keep their parameters: they are counted
+	for range r.depth { // segments are counted, as they may have parameters
 		if i := strings.IndexByte(rest[1:], '/'); i >= 0 {
 			rest = rest[1+i:]
 		} else {
@@ -16,20 +16,21 @@
 			break
 		}
 	}
-	switch to := r.Rewrite.Replace; {
-	case to == "" || to == "/":
+	replacement := r.Rewrite.Replace
+	switch {
+	case replacement == "" || replacement == "/":
 		if rest == "" {
 			return "/"
 		}
 		return rest
 	case rest == "":
-		return to
+		return replacement
 	default:
-		return strings.TrimSuffix(to, "/") + rest
+		return strings.TrimSuffix(replacement, "/") + rest
 	}
 }
 
-// Redirect gives the Location of a fixed answer for a request; "" if it redirects nowhere.
+// Redirect returns the Location of a fixed answer for a request, or "" for an answer that is no redirect.
 func (a *Answer) Redirect(r *Request) string {
 	if strings.IndexByte(a.Location, '{') < 0 {
 		return a.Location
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -7,15 +7,14 @@
 	"strings"
 )
 
-// Path is a request's path in its one spelling. Match is what routes compare: percent-encoding undone, parameters
-// behind ; dropped, no empty, "." or ".." segments. Raw is what goes on to a server: the same segments with their
-// parameters, with only those bytes percent-encoded that need it (RFC 3986, 3.3), in upper case. So what a server gets
-// is what was compared, whatever spelling it came in.
+// Path is a request's path in its normal form. Match is what routes compare: percent-decoded, without parameters behind ";" and without
+// empty, "." or ".." segments. Raw is what a server gets: the same segments with their parameters, with only those bytes percent-encoded
+// that need it (RFC 3986, section 3.3), in upper case. So a server gets what was compared, however the client wrote it.
 type Path struct {
 	Match, Raw string
 }
 
-// What a path may not hold: servers differ in what they take it for, so it could get round a route.
+// Errors of a path. Servers read such paths in different ways, so that they could bypass a route.
 var (
 	ErrPathForm    = errors.New("the path does not begin with /")
 	ErrPathEscape  = errors.New("the path holds a percent sign that begins no escape")
@@ -23,21 +22,21 @@
 	ErrPathControl = errors.New("the path holds a control character")
 )
 
-// Normalize gives the one spelling of a raw path (RFC 3986, 6.2.2, and the parameters of 3.3). A path that servers
-// could read in two ways is an error.
+// Normalize returns the normal form of a raw path (RFC 3986, section 6.2.2, and the parameters of section 3.3). It returns an error for
+// a path that servers could read in two ways.
 func Normalize(raw string) (Path, error) { return normalize(raw, false) }
 
-// NormalizeWhole gives what is compared where the parameters behind ; are a part of the path.
+// NormalizeWhole returns what is compared where parameters behind ";" are a part of the path.
 func NormalizeWhole(raw string) (string, error) {
 	p, err := normalize(raw, true)
 	return p.Match, err
 }
 
-func normalize(raw string, parameters bool) (Path, error) {
+func normalize(raw string, keepParameters bool) (Path, error) {
 	if raw == "" || raw[0] != '/' {
 		return Path{}, ErrPathForm
 	}
-	if clean(raw) {
+	if isNormalized(raw) {
 		return Path{Match: raw, Raw: raw}, nil
 	}
 	var match, out []string // segments
@@ -45,7 +44,7 @@
 	for rest, more := raw[1:], true; more; {
 		var segment string
 		segment, rest, more = strings.Cut(rest, "/")
-		m, o, err := decode(segment, parameters)
+		m, o, err := decodeSegment(segment, keepParameters)
 		if err != nil {
 			return Path{}, err
 		}
@@ -60,17 +59,17 @@
 		}
 	}
 	p := Path{Match: "/" + strings.Join(match, "/"), Raw: "/" + strings.Join(out, "/")}
-	if len(match) > 0 && (last == "" || last == "." || last == "..") { // it named a folder, and still does
+	if len(match) > 0 && (last == "" || last == "." || last == "..") { // it named a directory, and still does
 		p.Match, p.Raw = p.Match+"/", p.Raw+"/"
 	}
 	return p, nil
 }
 
-// clean tells whether a path is in its one spelling already, as most are.
-func clean(raw string) bool {
+// isNormalized reports whether a path is in its normal form already, as most are.
+func isNormalized(raw string) bool {
 	for i := 1; i < len(raw); i++ {
 		c := raw[i]
-		if c == '/' && raw[i-1] == '/' || c == ';' || !plain(c) && c != '/' {
+		if c == '/' && raw[i-1] == '/' || c == ';' || !isPathChar(c) && c != '/' {
 			return false
 		}
 		if c == '.' && raw[i-1] == '/' && (i+1 == len(raw) || raw[i+1] == '/' || raw[i+1] == '.') {
@@ -80,44 +79,75 @@
 	return true
 }
 
-// decode gives the two spellings of one segment. An encoded semicolon begins parameters like a plain one.
-func decode(segment string, keep bool) (match, out string, err error) {
-	const hex = "0123456789ABCDEF"
-	var m, o strings.Builder
-	parameters := false
-	for i := 0; i < len(segment); i++ {
-		c, escaped := segment[i], false
-		if c == '%' {
-			if i+2 >= len(segment) || unhex(segment[i+1]) < 0 || unhex(segment[i+2]) < 0 {
-				return "", "", ErrPathEscape
-			}
-			c, escaped = byte(unhex(segment[i+1])<<4|unhex(segment[i+2])), true
-			i += 2
-		}
-		switch {
-		case c == '\\' || c == '/':
-			return "", "", ErrPathSlash
-		case c < ' ' || c == 0x7f:
-			return "", "", ErrPathControl
+// decodeSegment returns the two normal forms of one segment. An encoded semicolon begins parameters like a plain one.
+func decodeSegment(segment string, keepParameters bool) (match, raw string, err error) {
+	var matchBuilder, rawBuilder strings.Builder
+	inParameters := false
+	for rest := segment; rest != ""; {
+		c, size, err := nextByte(rest)
+		if err != nil {
+			return "", "", err
 		}
-		parameters = parameters || c == ';'
-		if !parameters || keep {
-			m.WriteByte(c)
+		rest = rest[size:]
+		inParameters = inParameters || c == ';'
+		if !inParameters || keepParameters {
+			matchBuilder.WriteByte(c)
 		}
-		if plain(c) && (!escaped || unreserved(c)) {
-			o.WriteByte(c)
+		escaped := size > 1
+		if isPathChar(c) && (!escaped || isUnreserved(c)) {
+			rawBuilder.WriteByte(c)
 		} else {
-			o.WriteByte('%')
-			o.WriteByte(hex[c>>4])
-			o.WriteByte(hex[c&15])
+			writeEscaped(&rawBuilder, c)
+		}
+	}
+	if match = matchBuilder.String(); match == "" && inParameters {
+		return "", "", ErrPathForm // a segment of parameters alone: some servers drop it, others don't
+	}
+	return match, rawBuilder.String(), nil
+}
+
+// nextByte returns the first byte of a segment, percent-decoded, and how many bytes it took. It returns an error for a byte that may not
+// be in a segment.
+func nextByte(segment string) (c byte, size int, err error) {
+	c, size = segment[0], 1
+	if c == '%' {
+		const escapeSize = 3
+		if len(segment) < escapeSize || unhex(segment[1]) < 0 || unhex(segment[2]) < 0 {
+			return 0, 0, ErrPathEscape
 		}
+		c, size = byte(unhex(segment[1])<<4|unhex(segment[2])), escapeSize
 	}
-	if match = m.String(); match == "" && parameters {
-		return "", "", ErrPathForm // a segment of parameters alone: some servers drop it, some do not
+	switch {
+	case c == '\\' || c == '/':
+		return 0, 0, ErrPathSlash
+	case c < ' ' || c == 0x7f:
+		return 0, 0, ErrPathControl
+	}
+	return c, size, nil
+}
+
+// EscapePath percent-encodes those bytes of a decoded path that need it (RFC 3986, section 3.3).
+func EscapePath(path string) string {
+	var b strings.Builder
+	for i := range len(path) {
+		if c := path[i]; isPathChar(c) || c == '/' {
+			b.WriteByte(c)
+		} else {
+			writeEscaped(&b, c)
+		}
 	}
-	return match, o.String(), nil
+	return b.String()
+}
+
+// writeEscaped writes a byte percent-encoded.
+func writeEscaped(b *strings.Builder, c byte) {
+	const digits = "0123456789ABCDEF"
+	b.WriteByte('%')
+	b.WriteByte(digits[c>>4])
+	b.WriteByte(digits[c&15])
 }
 
+// unhex returns the value of a hexadecimal digit, or -1.
 func unhex(c byte) int {
 	switch {
 	case '0' <= c && c <= '9':
@@ -130,35 +160,36 @@
 	return -1
 }
 
-func unreserved(c byte) bool {
+// isUnreserved reports whether a byte is an unreserved character (RFC 3986, section 2.3).
+func isUnreserved(c byte) bool {
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || strings.IndexByte("-._~", c) >= 0
 }
 
-// plain tells whether a byte stands for itself in a segment (pchar of RFC 3986, 3.3).
-func plain(c byte) bool { return unreserved(c) || strings.IndexByte("!$&'()*+,;=:@", c) >= 0 }
+// isPathChar reports whether a byte may be in a segment without encoding (pchar of RFC 3986, section 3.3).
+func isPathChar(c byte) bool { return isUnreserved(c) || strings.IndexByte("!$&'()*+,;=:@", c) >= 0 }
 
-// ErrHost is told of a Host that names no host.
+// ErrHost is returned for a Host header that names no host.
 var ErrHost = errors.New("the host cannot be read")
 
-// NormalizeHost gives the one spelling of a Host header or authority (RFC 9110, 7.2): lower case, without the port and
-// without the dot that may end a full name.
+// NormalizeHost returns the normal form of a Host header or authority (RFC 9110, section 7.2): lower case, without the port and without
+// the dot that may end a fully qualified name.
 func NormalizeHost(host string) (string, error) {
 	if strings.HasPrefix(host, "[") {
 		end := strings.IndexByte(host, ']')
-		if end < 0 || net.ParseIP(host[1:end]) == nil || !portOrNothing(host[end+1:]) {
+		if end < 0 || net.ParseIP(host[1:end]) == nil || !isPortOrEmpty(host[end+1:]) {
 			return "", ErrHost
 		}
 		return strings.ToLower(host[1:end]), nil
 	}
 	name, port, found := strings.Cut(host, ":")
-	if found && !portOrNothing(":"+port) {
+	if found && !isPortOrEmpty(":"+port) {
 		return "", ErrHost
 	}
 	name = strings.TrimSuffix(name, ".")
 	lower := false
 	for i := 0; i < len(name); i++ {
 		c := name[i]
-		if !unreserved(c) || c == '~' {
+		if !isUnreserved(c) || c == '~' {
 			return "", ErrHost
 		}
 		if c == '.' && (i == 0 || name[i-1] == '.') {
@@ -172,8 +203,8 @@
 	return name, nil
 }
 
-// portOrNothing checks what stands behind a host: nothing, or a colon and up to five digits.
-func portOrNothing(s string) bool {
+// isPortOrEmpty reports whether a text is empty, or a colon and up to five digits.
+func isPortOrEmpty(s string) bool {
 	if s == "" {
 		return true
 	}
@@ -188,8 +219,8 @@
 	return true
 }
 
-// parameter counts a query parameter and gives its first value. What cannot be decoded is compared as it stands.
-func parameter(query, name string) (n int, value string) {
+// queryParameter returns how often a query parameter occurs, and its first value. Text that cannot be decoded is compared as it is.
+func queryParameter(query, name string) (n int, value string) {
 	for query != "" {
 		var pair string
 		pair, query, _ = strings.Cut(query, "&")
@@ -207,12 +238,13 @@
 	return n, value
 }
 
+// unescape decodes a name or value of a query. It returns text that cannot be decoded as it is.
 func unescape(s string) string {
 	if strings.IndexByte(s, '%') < 0 && strings.IndexByte(s, '+') < 0 {
 		return s
 	}
-	if plain, err := url.QueryUnescape(s); err == nil {
-		return plain
+	if decoded, err := url.QueryUnescape(s); err == nil {
+		return decoded
 	}
 	return s
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,7 +1,7 @@
-// Package route decides which pool and class a request belongs to. A Table is compiled once from rules, is immutable
-// and free of I/O, and may be used by any number of goroutines.
+// Package route decides which pool and class a request belongs to. A Table is compiled once from rules. It is immutable, does no I/O, and
+// may be used by any number of goroutines.
 //
-// Where several routes match, the order of precedence does not depend on the order in which they were given:
+// If several routes match, the first in this order of precedence is used. The order in which they were given does not count:
 //
 //  1. the host: an exact name before a wildcard, a longer wildcard before a shorter one, any host last;
 //  2. the path: an exact path before a regular expression, that before a prefix, a longer prefix before a shorter one;
@@ -9,7 +9,7 @@
 //  4. a route that names methods before one that does not;
 //  5. more header conditions, then more query conditions.
 //
-// Two routes that are alike in all of this and could match one request are an error of the table.
+// Two routes that are equal in all of this and could match one request are an error of the table.
 package route
 
 import (
@@ -21,48 +21,48 @@
 	"strings"
 )
 
-// PathKind tells how a route's path is compared.
+// PathKind is how a route's path is compared.
 type PathKind uint8
 
-// The kinds of path. A prefix matches whole segments: /a matches /a, /a/ and /a/b, never /ab. An expression is RE2 and
-// must match the whole path.
+// The kinds of path. A prefix matches whole segments: /a matches /a, /a/ and /a/b, but not /ab. A regular expression has the syntax of
+// RE2 and must match the whole path.
 const (
 	Prefix PathKind = iota
 	Exact
 	Regexp
 )
 
-// Presence tells what a condition asks of a header or query parameter.
+// Presence is what a condition requires of a header or query parameter.
 type Presence uint8
 
-// The kinds of condition. Equals holds only if the name comes exactly once, so that no second value gets round it.
+// The kinds of condition. Equals holds only if the name occurs exactly once, so that a second value can't bypass it.
 const (
 	Equals Presence = iota
 	Present
 	Absent
 )
 
-// Condition is one on a header (names compare without case) or on a query parameter.
+// Condition is a condition on a header, whose name is compared without case, or on a query parameter.
 type Condition struct {
 	Name  string
 	Kind  Presence
 	Value string // of Equals
 }
 
-// Rewrite says how the path changes on its way to the server.
+// Rewrite is how the path changes on its way to the server.
 type Rewrite struct {
-	Strip   bool   // the prefix that matched is taken away
-	Replace string // and this is put in its place; "" for nothing
+	Strip   bool   // whether the prefix that matched is removed
+	Replace string // what replaces it; "" for nothing
 }
 
-// Answer is a fixed answer, given without any server.
+// Answer is a fixed response, given without a server.
 type Answer struct {
 	Status   int
 	Body     string
 	Location string // of a redirect; {host}, {path} and {query} stand for the request's
 }
 
-// Rule is one route as an operator writes it.
+// Rule is one route of the operator file.
 type Rule struct {
 	Name     string // unique in a table
 	Host     string // "" or "*" for any, "a.example.org", or "*.example.org" for the names below it
@@ -73,107 +73,116 @@
 	Query    []Condition
 	Priority int
 
-	Pool, Class string // for the caller; not looked at here
+	Pool, Class string // for the caller; not used here
 	Rewrite     Rewrite
 	Answer      *Answer // instead of a pool
 
 	depth int // segments of a prefix, in a compiled rule
 }
 
-// Request is what a look-up sees of a request. Path is what Normalize made of its target.
+// Request is what Match uses of a request.
 type Request struct {
 	Method string
-	Host   string // as NormalizeHost gives it
-	Path   *Path
+	Host   string // from NormalizeHost
+	Path   *Path  // from Normalize
 	Query  string // raw, without the question mark
 	Header http.Header
 }
 
-// Bounds of a table: what a file asks for in expressions is paid for with each request.
+// Bounds of a table. Regular expressions cost time with each request.
 const (
-	MaxPattern      = 1024    // bytes of one expression
-	maxInstructions = 5000    // of one compiled expression
-	maxAll          = 200_000 // and of all of a table together
-	maxConditions   = 32      // of one route, each of headers and query
-	maxMethods      = 16
+	MaxPatternBytes      = 1024    // bytes of one expression
+	maxInstructions      = 5000    // of one compiled expression
+	maxTotalInstructions = 200_000 // and of all of a table together
+	maxConditions        = 32      // of one route, each of headers and query
+	maxMethods           = 16
 )
 
-// entry is a compiled rule.
-type entry struct {
+// compiledRoute is a compiled rule.
+type compiledRoute struct {
 	*Rule
-	index   int
-	path    string // as it is compared
-	pattern *regexp.Regexp
-	host    string // without "*.", lower case
-	wild    bool   // host is a suffix
+	index      int
+	path       string // that is compared
+	pattern    *regexp.Regexp
+	host       string // without "*.", lower case
+	isWildcard bool   // whether host is a suffix
 }
 
 // Table is a compiled set of routes.
 type Table struct {
-	exact map[string]*site // by host
-	wild  map[string]*site // by suffix, without "*."
-	any   *site
-	all   []*entry
+	exactHosts    map[string]*hostRoutes // by host
+	wildcardHosts map[string]*hostRoutes // by suffix, without "*."
+	anyHost       *hostRoutes
+	routes        []*compiledRoute
 }
 
-// site holds the routes of one host.
-type site struct {
-	exact    map[string][]*entry
-	patterns []*entry
-	prefixes *node
+// hostRoutes holds the routes of one host.
+type hostRoutes struct {
+	exactPaths map[string][]*compiledRoute
+	patterns   []*compiledRoute
+	prefixes   *trieNode
 }
 
-// node is a segment in the trie of prefixes.
-type node struct {
-	parent   *node
-	children map[string]*node
-	entries  []*entry // the best first
+// trieNode is a segment in the trie of prefixes.
+type trieNode struct {
+	parent   *trieNode
+	children map[string]*trieNode
+	entries  []*compiledRoute // in order of precedence
 }
 
-// Match looks a request up: the rule that it belongs to, or nil. It allocates nothing unless a query has to be decoded.
+// Match returns the rule of a request, or nil. It allocates nothing unless a query has to be decoded.
 func (t *Table) Match(r *Request) *Rule {
-	if s := t.exact[r.Host]; s != nil {
+	if s := t.exactHosts[r.Host]; s != nil {
 		if e := s.match(r); e != nil {
 			return e.Rule
 		}
 	}
-	if len(t.wild) > 0 {
-		for rest := r.Host; ; {
-			_, after, ok := strings.Cut(rest, ".")
-			if !ok {
-				break
-			}
-			rest = after
-			if s := t.wild[rest]; s != nil {
-				if e := s.match(r); e != nil {
-					return e.Rule
-				}
-			}
-		}
+	if e := t.matchWildcards(r); e != nil {
+		return e.Rule
 	}
-	if t.any != nil {
-		if e := t.any.match(r); e != nil {
+	if t.anyHost != nil {
+		if e := t.anyHost.match(r); e != nil {
 			return e.Rule
 		}
 	}
 	return nil
 }
 
-// Rules are the routes of the table in the order in which they were given.
+// matchWildcards returns the route of a request among those of wildcard hosts, the longest first, or nil.
+func (t *Table) matchWildcards(r *Request) *compiledRoute {
+	if len(t.wildcardHosts) == 0 {
+		return nil
+	}
+	for host := r.Host; ; {
+		_, suffix, found := strings.Cut(host, ".")
+		if !found {
+			return nil
+		}
+		host = suffix
+		if s := t.wildcardHosts[suffix]; s != nil {
+			if e := s.match(r); e != nil {
+				return e
+			}
+		}
+	}
+}
+
+// Rules returns the rules of the table in the order in which they were given.
 func (t *Table) Rules() []*Rule {
-	rules := make([]*Rule, len(t.all))
-	for i, e := range t.all {
+	rules := make([]*Rule, len(t.routes))
+	for i, e := range t.routes {
 		rules[i] = e.Rule
 	}
 	return rules
 }
 
-func (s *site) match(r *Request) *entry {
-	if e := first(s.exact[r.Path.Match], r); e != nil {
+// match returns the route of a request among those of one host, or nil.
+func (s *hostRoutes) match(r *Request) *compiledRoute {
+	if e := firstMatching(s.exactPaths[r.Path.Match], r); e != nil {
 		return e
 	}
 	for _, e := range s.patterns {
-		if e.pattern.MatchString(r.Path.Match) && e.holds(r) {
+		if e.pattern.MatchString(r.Path.Match) && e.meetsConditions(r) {
 			return e
 		}
 	}
@@ -187,59 +196,61 @@
 		at, rest = next, after
 	}
 	for ; at != nil; at = at.parent {
-		if e := first(at.entries, r); e != nil {
+		if e := firstMatching(at.entries, r); e != nil {
 			return e
 		}
 	}
 	return nil
 }
 
-func first(entries []*entry, r *Request) *entry {
+// firstMatching returns the first route whose conditions a request meets, or nil.
+func firstMatching(entries []*compiledRoute, r *Request) *compiledRoute {
 	for _, e := range entries {
-		if e.holds(r) {
+		if e.meetsConditions(r) {
 			return e
 		}
 	}
 	return nil
 }
 
-// holds checks all but host and path.
-func (e *entry) holds(r *Request) bool {
+// meetsConditions reports whether a request meets the methods and conditions of a route.
+func (e *compiledRoute) meetsConditions(r *Request) bool {
 	if len(e.Methods) > 0 && !slices.Contains(e.Methods, r.Method) {
 		return false
 	}
 	for i := range e.Headers {
 		values := r.Header[e.Headers[i].Name]
-		one := ""
+		firstValue := ""
 		if len(values) > 0 {
-			one = values[0]
+			firstValue = values[0]
 		}
-		if !e.Headers[i].met(len(values), one) {
+		if !e.Headers[i].holds(len(values), firstValue) {
 			return false
 		}
 	}
 	for i := range e.Query {
-		n, one := parameter(r.Query, e.Query[i].Name)
-		if !e.Query[i].met(n, one) {
+		count, firstValue := queryParameter(r.Query, e.Query[i].Name)
+		if !e.Query[i].holds(count, firstValue) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Condition) met(n int, value string) bool {
+// holds reports whether the condition holds for a name that occurs count times and has this first value.
+func (c *Condition) holds(count int, value string) bool {
 	switch c.Kind {
 	case Equals:
-		return n == 1 && value == c.Value
+		return count == 1 && value == c.Value
 	case Present:
-		return n > 0
+		return count > 0
 	default:
-		return n == 0
+		return count == 0
 	}
 }
 
-// better orders the routes of one host and one exact path, prefix or set of expressions.
-func better(a, b *entry) int {
+// comparePrecedence compares routes of one host and one path, or two regular expressions of one host: negative if a goes first.
+func comparePrecedence(a, b *compiledRoute) int {
 	return cmp.Or(
 		cmp.Compare(b.Priority, a.Priority),
 		cmp.Compare(min(len(b.Methods), 1), min(len(a.Methods), 1)),
@@ -248,8 +259,8 @@
 	)
 }
 
-// kindRank is higher for what goes before.
-func (e *entry) kindRank() int {
+// kindRank returns the precedence of the kind of path: higher goes first.
+func (e *compiledRoute) kindRank() int {
 	switch e.Kind {
 	case Exact:
 		return 2
@@ -259,35 +270,39 @@
 	return 0
 }
 
-// outranks compares whole ranks: under 0 if a goes before b wherever both match.
-func outranks(a, b *entry) int {
+// compareRank compares the precedence of any two routes: negative if a goes first wherever both match.
+func compareRank(a, b *compiledRoute) int {
 	return cmp.Or(
 		cmp.Compare(b.hostRank(), a.hostRank()),
 		cmp.Compare(b.kindRank(), a.kindRank()),
 		cmp.Compare(b.depth, a.depth),
-		better(a, b),
+		comparePrecedence(a, b),
 	)
 }
 
-// hostRank: among hosts that match one name, the higher goes first.
-func (e *entry) hostRank() int {
+// exactHostRank is higher than that of any wildcard: no host name has so many labels.
+const exactHostRank = 1 << 20
+
+// hostRank returns the precedence of the host: among hosts that match one name, higher goes first.
+func (e *compiledRoute) hostRank() int {
 	switch {
 	case e.host == "":
 		return 0
-	case e.wild:
+	case e.isWildcard:
 		return 1 + strings.Count(e.host, ".")
 	}
-	return 1 << 20
+	return exactHostRank
 }
 
-// RuleError is what is wrong with one rule.
+// RuleError is an error of one rule.
 type RuleError struct {
-	Rule  int    // its place in the rules
+	Rule  int    // index of the rule
 	Field string // host, path, methods, headers, query, rewrite, answer or name
 	Err   error
 }
 
+// Error returns the index of the rule, the field and the cause.
 func (e *RuleError) Error() string { return fmt.Sprintf("route %d: %s: %v", e.Rule, e.Field, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *RuleError) Unwrap() error { return e.Err }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -1,6 +1,7 @@
 package route
 
 import (
+	"errors"
 	"fmt"
 	"net/http"
 	"strings"
@@ -122,7 +123,7 @@
 		{"path", []Rule{{Name: "a", Path: "b"}, {Name: "b", Path: "/%zz"}, {Name: "c", Path: "/x;y"}},
 			[]string{"0 path begin", "1 path percent", "2 path ;"}},
 		{"expression", []Rule{{Name: "a", Path: "(", Kind: Regexp}, {Name: "b", Path: ")|(", Kind: Regexp}}, []string{"0 path missing", "1 path unexpected"}},
-		{"long expression", []Rule{{Name: "a", Path: strings.Repeat("a", MaxPattern+1), Kind: Regexp}}, []string{"0 path bytes"}},
+		{"long expression", []Rule{{Name: "a", Path: strings.Repeat("a", MaxPatternBytes+1), Kind: Regexp}}, []string{"0 path bytes"}},
 		{"huge expression", []Rule{{Name: "a", Path: strings.Repeat("[a-z]{0,900}", 8), Kind: Regexp}, {Name: "b", Path: "/ok"}}, []string{"0 path instructions"}},
 		{"method", []Rule{{Name: "a", Methods: []string{"get"}}, {Name: "b", Path: "/b", Methods: []string{"GET", "GET"}}},
 			[]string{"0 methods capital", "1 methods twice"}},
@@ -195,7 +196,7 @@
 		{"", "", "", ErrPathForm},
 	} {
 		p, err := Normalize(c.raw)
-		if p.Match != c.match || p.Raw != c.out || err != c.err {
+		if p.Match != c.match || p.Raw != c.out || !errors.Is(err, c.err) {
 			t.Errorf("%q: %+v, %v, want %q, %q, %v", c.raw, p, err, c.match, c.out, c.err)
 		}
 	}
--- a/internal/rules/answers.go
+++ b/internal/rules/answers.go
@@ -6,77 +6,79 @@
 	"sync"
 )
 
-// Answers checks by what endpoints ran and what callers were told that no answer is another request's, that nothing runs twice that
-// must not, and that what is said not to have run has not and never does. Facts may come from any goroutine, and a run also after what
-// its caller was told. The zero value is usable.
+// Answers checks, by what endpoints ran and which responses callers got, that no response belongs to another request, that no request
+// runs twice that must not, and that a request which was reported as not run never runs. It may be used by any goroutine. An execution may
+// be recorded after the response to its caller. The zero value is usable.
 type Answers struct {
-	mu    sync.Mutex
-	asked map[string]*asked
-	wrong []string // at most mostBreaks
-	count int
+	mu         sync.Mutex
+	requests   map[string]*recordedRequest
+	violations []string // at most mostBreaks
+	count      int
 }
 
-// Given is an answer as an endpoint gave it.
-type Given struct {
+// Response is the part of a response that is compared.
+type Response struct {
 	Status     int
 	Seal, Body string
 }
 
-type asked struct {
-	once  bool
-	runs  []Given
-	never string // what its caller was told that says that it has not run and never will
+// recordedRequest is what is known of one request.
+type recordedRequest struct {
+	atMostOnce    bool       // whether it must run at most once
+	executions    []Response // the response of each execution
+	notExecutedBy string     // the response by which its caller knows that it has not run and never will; "" for none
 }
 
-func (a *Answers) breaks(id, format string, args ...any) {
-	if a.count++; a.count <= mostBreaks {
-		a.wrong = append(a.wrong, id+": "+fmt.Sprintf(format, args...))
+// violate records a violation. The caller holds a.mu.
+func (a *Answers) violate(id, format string, args ...any) {
+	if a.count++; a.count <= maxViolations {
+		a.violations = append(a.violations, id+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-// Asked takes that a caller sends a request, which may run once only or more often.
-func (a *Answers) Asked(id string, once bool) {
+// RecordRequest records that a caller sends a request, and whether it must run at most once.
+func (a *Answers) RecordRequest(id string, once bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.asked == nil {
-		a.asked = map[string]*asked{}
+	if a.requests == nil {
+		a.requests = map[string]*recordedRequest{}
 	}
-	a.asked[id] = &asked{once: once}
+	a.requests[id] = &recordedRequest{atMostOnce: once}
 }
 
-// Ran takes that an endpoint began work on a request, and what it answers.
-func (a *Answers) Ran(id string, g Given) {
+// RecordExecution records that an endpoint began to execute a request, and its response.
+func (a *Answers) RecordExecution(id string, g Response) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	q := a.asked[id]
+	q := a.requests[id]
 	if q == nil {
-		a.breaks(id, "runs, and nobody has asked for it")
+		a.violate(id, "runs, and nobody has asked for it")
 		return
 	}
-	if q.runs = append(q.runs, g); q.once && len(q.runs) > 1 {
-		a.breaks(id, "runs %d times, and may once", len(q.runs))
+	if q.executions = append(q.executions, g); q.atMostOnce && len(q.executions) > 1 {
+		a.violate(id, "runs %d times, and may once", len(q.executions))
 	}
-	if q.never != "" {
-		a.breaks(id, "runs, and its caller was told %s", q.never)
+	if q.notExecutedBy != "" {
+		a.violate(id, "runs, and its caller was told %s", q.notExecutedBy)
 	}
 }
 
-// Never takes that it was said to be certain that a request has not run and will not.
-func (a *Answers) Never(id, by string) {
+// RecordNotExecuted records that a request was reported as not run for certain.
+func (a *Answers) RecordNotExecuted(id, by string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.neverLocked(id, by)
+	a.notExecuted(id, by)
 }
 
-func (a *Answers) neverLocked(id, by string) {
-	q := a.asked[id]
-	if q.never = by; len(q.runs) > 0 {
-		a.breaks(id, "its caller was told %s, and it had run", by)
+func (a *Answers) notExecuted(id, by string) {
+	q := a.requests[id]
+	if q.notExecutedBy = by; len(q.executions) > 0 {
+		a.violate(id, "its caller was told %s, and it had run", by)
 	}
 }
 
-// promises are the statuses that say that a request has not run and never will.
-func promises(status int) bool {
+// promisesNotExecuted reports whether a status says that a request has not run and never will.
+func promisesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -84,32 +86,33 @@
 	return false
 }
 
-// Told takes the final answer that a caller got. What bears a seal, and every success, must be what an endpoint gave to that request.
-func (a *Answers) Told(id string, got Given) {
+// RecordResponse records the final response that a caller got. A response with a seal, and every success, must be one that an endpoint
+// gave to that request.
+func (a *Answers) RecordResponse(id string, got Response) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	q := a.asked[id]
+	q := a.requests[id]
 	if q == nil {
-		a.breaks(id, "answered, and nobody has asked")
+		a.violate(id, "answered, and nobody has asked")
 		return
 	}
-	if q.once && promises(got.Status) {
-		a.neverLocked(id, fmt.Sprint(got.Status))
+	if q.atMostOnce && promisesNotExecuted(got.Status) {
+		a.notExecuted(id, fmt.Sprint(got.Status))
 	}
 	if got.Seal == "" && got.Status/100 != 2 {
 		return
 	}
-	for _, g := range q.runs {
+	for _, g := range q.executions {
 		if g == got {
 			return
 		}
 	}
-	a.breaks(id, "its caller got %+v, and endpoints gave it %+v", got, q.runs)
+	a.violate(id, "its caller got %+v, and endpoints gave it %+v", got, q.executions)
 }
 
-// Wrong is what was found, and how often; only the first are kept.
-func (a *Answers) Wrong() ([]string, int) {
+// Violations returns the first violations, and the number of all.
+func (a *Answers) Violations() ([]string, int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.wrong, a.count
+	return a.violations, a.count
 }
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,5 +1,8 @@
-// Package rules checks the four rules over the stream of what sidecars, servers and clients did. It knows nothing of how they
-// decide or of how they are modelled: facts go in, in the order of their times, and breaks come out.
+// Package rules checks the four rules of the sidecar over a stream of facts about what sidecars, servers and clients did. It does not
+// depend on how they decide or how they are modelled: facts go in, in the order of their times, and violations come out.
+//
+// Rule 1: each request gets exactly one answer, in its client's time. Rule 2: a draining server gets no new request. Rule 3: a cold server
+// is not overloaded. Rule 4: a request that may have run is not sent again unless that is safe.
 package rules
 
 import (
@@ -7,24 +10,24 @@
 	"maps"
 	"slices"
 
-	"whinknot"
+	"milletmast/balancer"
 )
 
-// Kind is what a fact tells.
+// Kind is the kind of a fact.
 type Kind uint8
 
-// The kinds of fact, and the fields that count.
+// The kinds of fact, with the fields that each uses.
 const (
-	Taken    Kind = iota + 1 // Copy, Request, Class, Due: a copy has taken a request whose client gives it up at Due
-	Left                     // Copy, Request: its client waits no longer
-	Sent                     // Copy, Request, Attempt, Server: an attempt goes out
-	Closed                   // Copy, Request, Attempt, MayRun: it is over, and may have run or is certain not to have
-	Answered                 // Copy, Request, Answer
-	Lost                     // Copy: it was killed: what it held gets no answer, and none is owed
-	Up                       // Server, Zone, Cell, Cold: it has started, cold or as it was before all
-	Told                     // Copy, Server, Serves: the copy has heard that a server serves, or that it drains or is gone
-	Reached                  // Server, Copy, Work, Capacity: work has reached a server that can do so much a second at that moment
-	Ended                    // the end: what is open still gets no answer
+	RequestReceived Kind = iota + 1 // Copy, Request, Class, Due: a sidecar has accepted a request whose client gives up at Due
+	ClientLeft                      // Copy, Request: its client no longer waits
+	AttemptSent                     // Copy, Request, Attempt, Server: an attempt is sent
+	AttemptEnded                    // Copy, Request, Attempt, MayRun: it has ended, and may have run or certainly has not
+	RequestAnswered                 // Copy, Request, Answer: the client gets its final answer
+	ReplicaKilled                   // Copy: the sidecar was killed; its open requests need no answer
+	ServerStarted                   // Server, Zone, Cell, Cold: it has started, cold or warm
+	ServerListed                    // Copy, Server, Serves: the sidecar's list says that a server serves, or that it drains or is gone
+	WorkArrived                     // Server, Copy, Work, Capacity: work has reached a server of this capacity at that moment
+	RunEnded                        // the end of the run: open requests get no answer
 )
 
 // Answer is a final answer.
@@ -37,9 +40,10 @@
 	Failed
 )
 
+// String returns the answer in lower case.
 func (a Answer) String() string { return [...]string{"none", "served", "refused", "failed"}[a] }
 
-// Fact is one thing that happened. Times are milliseconds, work is milliseconds of one server at its full capacity.
+// Fact is one event. Times are in milliseconds, work is in milliseconds of one server at its full capacity.
 type Fact struct {
 	At       float64
 	Kind     Kind
@@ -61,17 +65,17 @@
 
 // Limits are what the rules allow.
 type Limits struct {
-	Classes      []whinknot.Class
-	MaxAttempts  int
-	AnswerSlack  float64 // ms that an answer may come after the client's time
-	DrainGrace   float64 // ms after a copy was told
-	FallMultiple float64 // work that reaches a cold server against what it can do
-	FallAfter    float64 // ms
-	ToldShare    float64 // of that work which has to come from copies that knew of the start for the break to be theirs
+	Classes       []balancer.Class
+	MaxAttempts   int
+	AnswerSlack   float64 // ms after the client's time in which an answer counts
+	DrainGrace    float64 // ms after a sidecar's list says that a server drains
+	FallMultiple  float64 // highest ratio of the work that reaches a cold server to its capacity
+	FallAfter     float64 // ms over which that ratio is measured
+	InformedShare float64 // least ratio of that work from sidecars that knew of the start, for a violation
 }
 
-// Break is one breach of a rule.
-type Break struct {
+// Violation is one violation of a rule.
+type Violation struct {
 	Rule    int     // 1 to 4
 	At      float64 // ms
 	Copy    uint32
@@ -80,257 +84,281 @@
 	Text    string
 }
 
-func (b Break) String() string {
+// String returns the violation on one line.
+func (b Violation) String() string {
 	return fmt.Sprintf("rule %d at %.3f ms: copy %d, server %d, request %d: %s", b.Rule, b.At, b.Copy, b.Server, b.Request, b.Text)
 }
 
-// mostBreaks bounds what is kept; Count goes on.
-const mostBreaks = 100
+// maxViolations bounds the violations that are kept; all are counted.
+const maxViolations = 100
 
-// Margins are how near the rules came to being broken.
+// Margins are the highest values of what the rules limit.
 type Margins struct {
-	Drain  float64 // ms: the latest new request to a server after the word that it drains or is gone
-	Answer float64 // ms: the latest answer past its client's time
-	Cold   float64 // highest of work to what a cold server could do, over FallAfter
+	Drain  float64 // ms from when a list said that a server drains or is gone to the last new request to it
+	Answer float64 // ms from the end of a client's time to its answer
+	Cold   float64 // ratio of the work that reached a cold server to its capacity, over FallAfter
 }
 
+// request is the state of an open request.
 type request struct {
-	class    uint16
-	copy     uint32
-	due      float64
-	answered bool
-	left     bool
-	open     int
-	attempts int
-	mayRun   bool
-	firstRun float64
-	runAt    uint32 // the server of that attempt
-	sent     [4]struct {
+	class       uint16
+	replica     uint32
+	due         float64
+	answered    bool
+	abandoned   bool
+	open        int
+	attempts    int
+	mayRun      bool
+	firstRun    float64
+	firstServer uint32 // the server of the first attempt that may have run
+	sent        [4]struct {
 		at     float64
 		server uint32
 	}
 }
 
+// server is the state of a server since its start.
 type server struct {
-	zone   uint8
-	cell   uint16
-	cold   bool
-	fallen bool
-	window []reached // work of the last FallAfter
-	first  int
-	work   float64
-	told   float64 // the part of it that copies sent which knew of the start
+	zone         uint8
+	cell         uint16
+	cold         bool
+	overloaded   bool
+	arrivals     []arrival // work of the last FallAfter
+	first        int
+	work         float64
+	informedWork float64 // the part of it from sidecars that knew of the start
 }
 
-type reached struct {
+// arrival is one arrival of work at a server.
+type arrival struct {
 	at, work float64
-	told     bool
+	informed bool
 }
 
-// pair is a copy and a server.
-type pair struct{ copy, server uint32 }
+// replicaServer is a sidecar and a server.
+type replicaServer struct{ copy, server uint32 }
 
-// Checker goes over the facts. The zero value is not usable: see New.
+// Checker checks a stream of facts. Use NewChecker to make one.
 type Checker struct {
-	limits   Limits
-	requests map[uint64]*request
-	servers  map[uint32]*server
-	gone     map[pair]float64 // since when a copy knows that a server takes nothing new
-	knows    map[pair]bool    // copies that were told of a server since it started
-	byCopy   map[uint32]map[uint64]bool
-
-	Breaks  []Break
-	Count   int // of breaks, also those not kept
-	Margins Margins
+	limits        Limits
+	requests      map[uint64]*request
+	servers       map[uint32]*server
+	drainingSince map[replicaServer]float64 // since when the sidecar's list says that the server drains or is gone
+	knowsStart    map[replicaServer]bool    // whether the sidecar's list has shown the server
+	byReplica     map[uint32]map[uint64]bool
+
+	Violations     []Violation
+	ViolationCount int // of all violations, also those not kept
+	Margins        Margins
 }
 
-// New makes a checker.
-func New(l Limits) *Checker {
+// NewChecker returns a checker that has seen no facts.
+func NewChecker(l Limits) *Checker {
 	return &Checker{
-		limits: l, requests: map[uint64]*request{}, servers: map[uint32]*server{}, gone: map[pair]float64{}, knows: map[pair]bool{},
-		byCopy: map[uint32]map[uint64]bool{},
+		limits: l, requests: map[uint64]*request{}, servers: map[uint32]*server{},
+		drainingSince: map[replicaServer]float64{}, knowsStart: map[replicaServer]bool{},
+		byReplica: map[uint32]map[uint64]bool{},
 	}
 }
 
-// Open is the number of requests that have no final answer yet or attempts out.
-func (c *Checker) Open() int { return len(c.requests) }
+// OpenRequests returns the number of requests without a final answer or with an open attempt.
+func (c *Checker) OpenRequests() int { return len(c.requests) }
 
-func (c *Checker) breaks(rule int, f *Fact, format string, args ...any) {
-	c.Count++
-	if len(c.Breaks) < mostBreaks {
-		c.Breaks = append(c.Breaks, Break{rule, f.At, f.Copy, f.Server, f.Request, fmt.Sprintf(format, args...)})
+// violate records a violation.
+func (c *Checker) violate(rule int, f *Fact, format string, args ...any) {
+	c.ViolationCount++
+	if len(c.Violations) < maxViolations {
+		c.Violations = append(c.Violations, Violation{rule, f.At, f.Copy, f.Server, f.Request, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Hear takes the next fact.
-func (c *Checker) Hear(f *Fact) {
+// Record checks the next fact.
+func (c *Checker) Record(f *Fact) {
 	switch f.Kind {
-	case Taken:
-		if c.requests[f.Request] != nil {
-			c.breaks(1, f, "taken twice")
-			return
-		}
-		c.requests[f.Request] = &request{class: f.Class, copy: f.Copy, due: f.Due}
-		if c.byCopy[f.Copy] == nil {
-			c.byCopy[f.Copy] = map[uint64]bool{}
-		}
-		c.byCopy[f.Copy][f.Request] = true
-	case Left:
+	case RequestReceived:
+		c.requestReceived(f)
+	case ClientLeft:
 		if q := c.requests[f.Request]; q != nil {
-			q.left = true
-			c.settle(f.Request, q)
-		}
-	case Sent:
-		c.sent(f)
-	case Closed:
-		c.closed(f)
-	case Answered:
-		c.answered(f)
-	case Lost:
-		for id := range c.byCopy[f.Copy] {
-			delete(c.requests, id)
+			q.abandoned = true
+			c.removeIfDone(f.Request, q)
 		}
-		delete(c.byCopy, f.Copy)
-	case Up:
+	case AttemptSent:
+		c.checkAttempt(f)
+	case AttemptEnded:
+		c.attemptEnded(f)
+	case RequestAnswered:
+		c.checkAnswer(f)
+	case ReplicaKilled:
+		c.replicaKilled(f)
+	case ServerStarted:
 		c.servers[f.Server] = &server{zone: f.Zone, cell: f.Cell, cold: f.Cold}
-	case Told:
-		p := pair{f.Copy, f.Server}
-		c.knows[p] = true
-		if f.Serves {
-			delete(c.gone, p)
-		} else if _, ok := c.gone[p]; !ok {
-			c.gone[p] = f.At
-		}
-	case Reached:
-		c.reached(f)
-	case Ended:
-		for _, id := range slices.Sorted(maps.Keys(c.requests)) {
-			q := c.requests[id]
-			if !q.answered && !q.left && f.At > q.due+c.limits.AnswerSlack {
-				c.breaks(1, &Fact{At: f.At, Copy: q.copy, Request: id}, "no final answer %.1f ms past its client's time", f.At-q.due)
-			}
+	case ServerListed:
+		c.serverListed(f)
+	case WorkArrived:
+		c.checkColdServer(f)
+	case RunEnded:
+		c.runEnded(f)
+	}
+}
+
+func (c *Checker) requestReceived(f *Fact) {
+	if c.requests[f.Request] != nil {
+		c.violate(1, f, "taken twice")
+		return
+	}
+	c.requests[f.Request] = &request{class: f.Class, replica: f.Copy, due: f.Due}
+	if c.byReplica[f.Copy] == nil {
+		c.byReplica[f.Copy] = map[uint64]bool{}
+	}
+	c.byReplica[f.Copy][f.Request] = true
+}
+
+func (c *Checker) replicaKilled(f *Fact) {
+	for id := range c.byReplica[f.Copy] {
+		delete(c.requests, id)
+	}
+	delete(c.byReplica, f.Copy)
+}
+
+func (c *Checker) serverListed(f *Fact) {
+	p := replicaServer{f.Copy, f.Server}
+	c.knowsStart[p] = true
+	if f.Serves {
+		delete(c.drainingSince, p)
+	} else if _, draining := c.drainingSince[p]; !draining {
+		c.drainingSince[p] = f.At
+	}
+}
+
+// runEnded checks that no request is overdue.
+func (c *Checker) runEnded(f *Fact) {
+	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
+		q := c.requests[id]
+		if !q.answered && !q.abandoned && f.At > q.due+c.limits.AnswerSlack {
+			c.violate(1, &Fact{At: f.At, Copy: q.replica, Request: id}, "no final answer %.1f ms past its client's time", f.At-q.due)
 		}
 	}
 }
 
-// sent checks an attempt against rules 1, 2 and 4.
-func (c *Checker) sent(f *Fact) {
-	if since, ok := c.gone[pair{f.Copy, f.Server}]; ok {
+// checkAttempt checks an attempt against rules 1, 2 and 4.
+func (c *Checker) checkAttempt(f *Fact) {
+	if since, ok := c.drainingSince[replicaServer{f.Copy, f.Server}]; ok {
 		c.Margins.Drain = max(c.Margins.Drain, f.At-since)
 		if f.At-since > c.limits.DrainGrace {
-			c.breaks(2, f, "sent %.1f ms after the word that the server takes nothing new", f.At-since)
+			c.violate(2, f, "sent %.1f ms after the word that the server takes nothing new", f.At-since)
 		}
 	}
 	q := c.requests[f.Request]
 	if q == nil {
-		c.breaks(1, f, "an attempt of a request that is over or was never taken")
+		c.violate(1, f, "an attempt of a request that is over or was never taken")
 		return
 	}
-	if q.answered || q.left {
-		c.breaks(1, f, "an attempt after the final answer")
+	if q.answered || q.abandoned {
+		c.violate(1, f, "an attempt after the final answer")
 	}
 	if q.open > 0 {
-		c.breaks(4, f, "a second attempt beside one that is out")
+		c.violate(4, f, "a second attempt beside one that is out")
 	}
 	if q.attempts++; q.attempts > c.limits.MaxAttempts {
-		c.breaks(4, f, "attempt %d of %d", q.attempts, c.limits.MaxAttempts)
+		c.violate(4, f, "attempt %d of %d", q.attempts, c.limits.MaxAttempts)
 	}
 	if q.mayRun {
-		c.repeat(f, q)
+		c.checkRetry(f, q)
 	}
 	q.open++
 	n := int(f.Attempt) % len(q.sent)
 	q.sent[n].at, q.sent[n].server = f.At, f.Server
 }
 
-// repeat checks an attempt after one that may have run.
-func (c *Checker) repeat(f *Fact, q *request) {
+// checkRetry checks rule 4 for an attempt after one that may have run.
+func (c *Checker) checkRetry(f *Fact, q *request) {
 	class := &c.limits.Classes[q.class]
 	switch class.Effect {
-	case whinknot.Unsafe:
-		c.breaks(4, f, "an unsafe request that may have run goes out again")
-	case whinknot.Keyed:
+	case balancer.Unsafe:
+		c.violate(4, f, "an unsafe request that may have run goes out again")
+	case balancer.Keyed:
 		if f.At >= q.firstRun+class.Window {
-			c.breaks(4, f, "a keyed request goes out again %.1f ms after the first, past the window", f.At-q.firstRun)
+			c.violate(4, f, "a keyed request goes out again %.1f ms after the first, past the window", f.At-q.firstRun)
 		}
-		a, b := c.servers[q.runAt], c.servers[f.Server]
+		a, b := c.servers[q.firstServer], c.servers[f.Server]
 		if a == nil || b == nil {
 			return
 		}
-		if class.Group == whinknot.GroupZone && a.zone != b.zone || class.Group == whinknot.GroupCell && a.cell != b.cell {
-			c.breaks(4, f, "a keyed request goes out again to servers that do not remember the first")
+		if class.Group == balancer.GroupZone && a.zone != b.zone || class.Group == balancer.GroupCell && a.cell != b.cell {
+			c.violate(4, f, "a keyed request goes out again to servers that do not remember the first")
 		}
 	}
 }
 
-func (c *Checker) closed(f *Fact) {
+// attemptEnded records the end of an attempt.
+func (c *Checker) attemptEnded(f *Fact) {
 	q := c.requests[f.Request]
 	if q == nil {
 		return
 	}
 	if q.open--; q.open < 0 {
-		c.breaks(1, f, "an attempt ended twice")
+		c.violate(1, f, "an attempt ended twice")
 		q.open = 0
 	}
 	if f.MayRun && !q.mayRun {
 		sent := q.sent[int(f.Attempt)%len(q.sent)]
-		q.mayRun, q.firstRun, q.runAt = true, sent.at, sent.server
+		q.mayRun, q.firstRun, q.firstServer = true, sent.at, sent.server
 	}
-	c.settle(f.Request, q)
+	c.removeIfDone(f.Request, q)
 }
 
-// answered checks a final answer against rules 1 and 4.
-func (c *Checker) answered(f *Fact) {
+// checkAnswer checks a final answer against rules 1 and 4.
+func (c *Checker) checkAnswer(f *Fact) {
 	q := c.requests[f.Request]
 	if q == nil || q.answered {
-		c.breaks(1, f, "a second final answer (%v)", f.Answer)
+		c.violate(1, f, "a second final answer (%v)", f.Answer)
 		return
 	}
 	q.answered = true
 	late := f.At - q.due
-	if !q.left {
+	if !q.abandoned {
 		c.Margins.Answer = max(c.Margins.Answer, late)
 	}
-	if late > c.limits.AnswerSlack && !q.left {
-		c.breaks(1, f, "answered (%v) %.1f ms past its client's time", f.Answer, late)
+	if late > c.limits.AnswerSlack && !q.abandoned {
+		c.violate(1, f, "answered (%v) %.1f ms past its client's time", f.Answer, late)
 	}
 	class := &c.limits.Classes[q.class]
-	remembers := class.Effect == whinknot.Keyed && class.Group == whinknot.GroupAll
-	if f.Answer == Refused && class.Effect != whinknot.Safe && !remembers && (q.mayRun || q.open > 0) {
-		c.breaks(4, f, "refused though an attempt may have run")
+	remembers := class.Effect == balancer.Keyed && class.Group == balancer.GroupAll
+	if f.Answer == Refused && class.Effect != balancer.Safe && !remembers && (q.mayRun || q.open > 0) {
+		c.violate(4, f, "refused though an attempt may have run")
 	}
-	c.settle(f.Request, q)
+	c.removeIfDone(f.Request, q)
 }
 
-// settle forgets a request of which nothing more can be heard.
-func (c *Checker) settle(id uint64, q *request) {
-	if (q.answered || q.left) && q.open == 0 {
+// removeIfDone removes a request that is answered or abandoned and has no open attempt.
+func (c *Checker) removeIfDone(id uint64, q *request) {
+	if (q.answered || q.abandoned) && q.open == 0 {
 		delete(c.requests, id)
-		delete(c.byCopy[q.copy], id)
+		delete(c.byReplica[q.replica], id)
 	}
 }
 
-// reached checks rule 3: a cold server that is sent too much for too long, most of it by copies that knew.
-func (c *Checker) reached(f *Fact) {
+// checkColdServer checks rule 3: a cold server that gets too much work for too long, most of it from sidecars that knew of its start.
+func (c *Checker) checkColdServer(f *Fact) {
 	s := c.servers[f.Server]
-	if s == nil || !s.cold || s.fallen {
+	if s == nil || !s.cold || s.overloaded {
 		return
 	}
-	told := c.knows[pair{f.Copy, f.Server}]
-	s.window = append(s.window, reached{f.At, f.Work, told})
+	told := c.knowsStart[replicaServer{f.Copy, f.Server}]
+	s.arrivals = append(s.arrivals, arrival{f.At, f.Work, told})
 	s.work += f.Work
 	if told {
-		s.told += f.Work
+		s.informedWork += f.Work
 	}
-	for s.window[s.first].at < f.At-c.limits.FallAfter {
-		s.work -= s.window[s.first].work
-		if s.window[s.first].told {
-			s.told -= s.window[s.first].work
+	for s.arrivals[s.first].at < f.At-c.limits.FallAfter {
+		s.work -= s.arrivals[s.first].work
+		if s.arrivals[s.first].informed {
+			s.informedWork -= s.arrivals[s.first].work
 		}
 		s.first++
 	}
-	if s.first > len(s.window)/2 {
-		s.window = s.window[:copy(s.window, s.window[s.first:])]
+	if s.first > len(s.arrivals)/2 {
+		s.arrivals = s.arrivals[:copy(s.arrivals, s.arrivals[s.first:])]
 		s.first = 0
 	}
 	over := s.work / max(f.Capacity*c.limits.FallAfter/1000, 1e-9)
@@ -338,21 +366,21 @@
 	if over <= c.limits.FallMultiple {
 		return
 	}
-	s.fallen = true
-	if s.told >= c.limits.ToldShare*s.work {
-		c.breaks(3, f, "%.2f times what the cold server can do reached it within %.0f ms", over, c.limits.FallAfter)
+	s.overloaded = true
+	if s.informedWork >= c.limits.InformedShare*s.work {
+		c.violate(3, f, "%.2f times what the cold server can do reached it within %.0f ms", over, c.limits.FallAfter)
 	}
 }
 
-// Fallen tells whether a cold server has been pushed over, by whoever.
-func (c *Checker) Fallen(server uint32) bool {
+// IsOverloaded reports whether a cold server has been overloaded, by any sidecars.
+func (c *Checker) IsOverloaded(server uint32) bool {
 	s := c.servers[server]
-	return s != nil && s.fallen
+	return s != nil && s.overloaded
 }
 
-// Warm says that a server is warm: it can be pushed over no more.
-func (c *Checker) Warm(server uint32) {
+// MarkWarm ends the check of rule 3 for a server, which is warm from now on.
+func (c *Checker) MarkWarm(server uint32) {
 	if s := c.servers[server]; s != nil {
-		s.cold, s.window, s.first, s.work, s.told = false, nil, 0, 0, 0
+		s.cold, s.arrivals, s.first, s.work, s.informedWork = false, nil, 0, 0, 0
 	}
 }
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -4,39 +4,39 @@
 	"strings"
 	"testing"
 
-	"whinknot"
+	"milletmast/balancer"
 )
 
 var limits = Limits{
-	Classes: []whinknot.Class{
-		{Name: "read", Effect: whinknot.Safe}, {Name: "pay", Effect: whinknot.Unsafe},
-		{Name: "zoned", Effect: whinknot.Keyed, Group: whinknot.GroupZone, Window: 100},
-		{Name: "celled", Effect: whinknot.Keyed, Group: whinknot.GroupCell, Window: 1000},
-		{Name: "keyed", Effect: whinknot.Keyed, Window: 1000},
+	Classes: []balancer.Class{
+		{Name: "read", Effect: balancer.Safe}, {Name: "pay", Effect: balancer.Unsafe},
+		{Name: "zoned", Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 100},
+		{Name: "celled", Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 1000},
+		{Name: "keyed", Effect: balancer.Keyed, Window: 1000},
 	},
-	MaxAttempts: 4, AnswerSlack: 20, DrainGrace: 500, FallMultiple: 2.5, FallAfter: 1000, ToldShare: 2. / 3,
+	MaxAttempts: 4, AnswerSlack: 20, DrainGrace: 500, FallMultiple: 2.5, FallAfter: 1000, InformedShare: 2. / 3,
 }
 
 func taken(at float64, class uint16) Fact {
-	return Fact{At: at, Kind: Taken, Copy: 1, Request: 1, Class: class, Due: at + 1000}
+	return Fact{At: at, Kind: RequestReceived, Copy: 1, Request: 1, Class: class, Due: at + 1000}
 }
 func sent(at float64, n uint16, server uint32) Fact {
-	return Fact{At: at, Kind: Sent, Copy: 1, Request: 1, Attempt: n, Server: server}
+	return Fact{At: at, Kind: AttemptSent, Copy: 1, Request: 1, Attempt: n, Server: server}
 }
 func closed(at float64, n uint16, mayRun bool) Fact {
-	return Fact{At: at, Kind: Closed, Copy: 1, Request: 1, Attempt: n, MayRun: mayRun}
+	return Fact{At: at, Kind: AttemptEnded, Copy: 1, Request: 1, Attempt: n, MayRun: mayRun}
 }
 func answered(at float64, a Answer) Fact {
-	return Fact{At: at, Kind: Answered, Copy: 1, Request: 1, Answer: a}
+	return Fact{At: at, Kind: RequestAnswered, Copy: 1, Request: 1, Answer: a}
 }
 func up(server uint32, zone uint8, cell uint16) Fact {
-	return Fact{Kind: Up, Server: server, Zone: zone, Cell: cell}
+	return Fact{Kind: ServerStarted, Server: server, Zone: zone, Cell: cell}
 }
-func told(at float64, server uint32, serves bool) Fact {
-	return Fact{At: at, Kind: Told, Copy: 1, Server: server, Serves: serves}
+func told(at float64, serves bool) Fact {
+	return Fact{At: at, Kind: ServerListed, Copy: 1, Server: 1, Serves: serves}
 }
-func reach(at float64, copy uint32, work float64) Fact {
-	return Fact{At: at, Kind: Reached, Copy: copy, Server: 1, Work: work, Capacity: 100}
+func reach(at float64, replica uint32, work float64) Fact {
+	return Fact{At: at, Kind: WorkArrived, Copy: replica, Server: 1, Work: work, Capacity: 100}
 }
 
 // Each rule is broken by what breaks it, and by nothing beside it.
@@ -53,16 +53,16 @@
 		{"answered twice, at rest", []Fact{taken(0, 0), answered(5, Refused), answered(6, Failed)}, 1, "second final answer"},
 		{"just in time", []Fact{taken(0, 0), answered(1020, Failed)}, 0, ""},
 		{"too late", []Fact{taken(0, 0), answered(1021, Failed)}, 1, "past its client's time"},
-		{"late but left", []Fact{taken(0, 0), sent(1, 0, 1), {At: 900, Kind: Left, Copy: 1, Request: 1}, answered(1100, Failed), closed(1101, 0, true)}, 0, ""},
-		{"never", []Fact{taken(0, 0), {At: 1100, Kind: Ended}}, 1, "no final answer"},
-		{"not yet", []Fact{taken(0, 0), {At: 900, Kind: Ended}}, 0, ""},
-		{"killed", []Fact{taken(0, 0), sent(1, 0, 1), {At: 2, Kind: Lost, Copy: 1}, {At: 2000, Kind: Ended}}, 0, ""},
+		{"late but left", []Fact{taken(0, 0), sent(1, 0, 1), {At: 900, Kind: ClientLeft, Copy: 1, Request: 1}, answered(1100, Failed), closed(1101, 0, true)}, 0, ""},
+		{"never", []Fact{taken(0, 0), {At: 1100, Kind: RunEnded}}, 1, "no final answer"},
+		{"not yet", []Fact{taken(0, 0), {At: 900, Kind: RunEnded}}, 0, ""},
+		{"killed", []Fact{taken(0, 0), sent(1, 0, 1), {At: 2, Kind: ReplicaKilled, Copy: 1}, {At: 2000, Kind: RunEnded}}, 0, ""},
 		{"after the answer", []Fact{taken(0, 0), sent(1, 0, 1), answered(2, Failed), sent(3, 1, 1)}, 1, "after the final answer"},
 		{"after it was over", []Fact{taken(0, 0), answered(2, Failed), sent(3, 0, 1)}, 1, "is over"},
-		{"after it left", []Fact{taken(0, 0), sent(1, 0, 1), {At: 2, Kind: Left, Copy: 1, Request: 1}, sent(3, 1, 1)}, 1, "after the final answer"},
-		{"within the grace", []Fact{told(0, 1, true), told(10, 1, false), told(300, 1, false), taken(500, 0), sent(510, 0, 1)}, 0, ""},
-		{"past the grace", []Fact{told(0, 1, true), told(10, 1, false), told(300, 1, false), taken(500, 0), sent(511, 0, 1)}, 2, "501.0 ms"},
-		{"serves again", []Fact{told(10, 1, false), told(20, 1, true), taken(900, 0), sent(911, 0, 1)}, 0, ""},
+		{"after it left", []Fact{taken(0, 0), sent(1, 0, 1), {At: 2, Kind: ClientLeft, Copy: 1, Request: 1}, sent(3, 1, 1)}, 1, "after the final answer"},
+		{"within the grace", []Fact{told(0, true), told(10, false), told(300, false), taken(500, 0), sent(510, 0, 1)}, 0, ""},
+		{"past the grace", []Fact{told(0, true), told(10, false), told(300, false), taken(500, 0), sent(511, 0, 1)}, 2, "501.0 ms"},
+		{"serves again", []Fact{told(10, false), told(20, true), taken(900, 0), sent(911, 0, 1)}, 0, ""},
 		{"two at once", []Fact{taken(0, 0), sent(1, 0, 1), sent(2, 1, 2)}, 4, "beside one"},
 		{"four", []Fact{taken(0, 0), sent(1, 0, 1), closed(2, 0, true), sent(3, 1, 1), closed(4, 1, true), sent(5, 2, 1), closed(6, 2, true), sent(7, 3, 1)}, 0, ""},
 		{"five", []Fact{taken(0, 0), sent(1, 0, 1), closed(2, 0, true), sent(3, 1, 1), closed(4, 1, true), sent(5, 2, 1), closed(6, 2, true), sent(7, 3, 1), closed(8, 3, true), sent(9, 4, 1)}, 4, "attempt 5 of 4"},
@@ -76,42 +76,42 @@
 		{"unsafe refused, out", []Fact{taken(0, 1), sent(1, 0, 1), answered(3, Refused)}, 4, "refused though"},
 		{"zoned refused, may have run", []Fact{taken(0, 2), sent(1, 0, 1), closed(2, 0, true), answered(3, Refused)}, 4, "refused though"},
 		{"keyed anywhere refused, may have run", []Fact{taken(0, 4), sent(1, 0, 1), closed(2, 0, true), answered(3, Refused)}, 0, ""},
-		{"a warm one", []Fact{up(1, 0, 0), told(0, 1, true), reach(1, 1, 900)}, 0, ""},
-		{"cold, enough", []Fact{{Kind: Up, Server: 1, Cold: true}, told(0, 1, true), reach(1, 1, 125), reach(900, 1, 125), reach(1950, 1, 120)}, 0, ""},
-		{"cold, too much", []Fact{{Kind: Up, Server: 1, Cold: true}, told(0, 1, true), reach(1, 1, 125), reach(900, 1, 126)}, 3, "the cold server"},
-		{"cold, by those not told", []Fact{{Kind: Up, Server: 1, Cold: true}, told(0, 1, true), reach(1, 1, 125), reach(900, 2, 126)}, 0, ""},
+		{"a warm one", []Fact{up(1, 0, 0), told(0, true), reach(1, 1, 900)}, 0, ""},
+		{"cold, enough", []Fact{{Kind: ServerStarted, Server: 1, Cold: true}, told(0, true), reach(1, 1, 125), reach(900, 1, 125), reach(1950, 1, 120)}, 0, ""},
+		{"cold, too much", []Fact{{Kind: ServerStarted, Server: 1, Cold: true}, told(0, true), reach(1, 1, 125), reach(900, 1, 126)}, 3, "the cold server"},
+		{"cold, by those not told", []Fact{{Kind: ServerStarted, Server: 1, Cold: true}, told(0, true), reach(1, 1, 125), reach(900, 2, 126)}, 0, ""},
 	} {
-		k := New(limits)
+		k := NewChecker(limits)
 		for i := range c.facts {
-			k.Hear(&c.facts[i])
+			k.Record(&c.facts[i])
 		}
 		switch {
-		case c.rule == 0 && k.Count > 0:
-			t.Errorf("%s: %v", c.name, k.Breaks)
-		case c.rule > 0 && (k.Count == 0 || k.Breaks[0].Rule != c.rule || !strings.Contains(k.Breaks[0].Text, c.says)):
-			t.Errorf("%s: %v, want one of rule %d that says %q", c.name, k.Breaks, c.rule, c.says)
+		case c.rule == 0 && k.ViolationCount > 0:
+			t.Errorf("%s: %v", c.name, k.Violations)
+		case c.rule > 0 && (k.ViolationCount == 0 || k.Violations[0].Rule != c.rule || !strings.Contains(k.Violations[0].Text, c.says)):
+			t.Errorf("%s: %v, want one of rule %d that says %q", c.name, k.Violations, c.rule, c.says)
 		}
 	}
 }
 
 // What is over is forgotten, and how near the rules came is kept.
 func TestMarginsAndMemory(t *testing.T) {
-	k := New(limits)
+	k := NewChecker(limits)
 	for i := range uint64(1000) {
 		at := float64(10 * i)
 		for _, f := range []Fact{
-			{At: at, Kind: Taken, Copy: 1, Request: i, Due: at + 5},
-			{At: at + 1, Kind: Sent, Copy: 1, Request: i, Server: 1},
-			{At: at + 8, Kind: Closed, Copy: 1, Request: i, MayRun: true},
-			{At: at + 9, Kind: Answered, Copy: 1, Request: i, Answer: Served},
+			{At: at, Kind: RequestReceived, Copy: 1, Request: i, Due: at + 5},
+			{At: at + 1, Kind: AttemptSent, Copy: 1, Request: i, Server: 1},
+			{At: at + 8, Kind: AttemptEnded, Copy: 1, Request: i, MayRun: true},
+			{At: at + 9, Kind: RequestAnswered, Copy: 1, Request: i, Answer: Served},
 		} {
-			k.Hear(&f)
+			k.Record(&f)
 		}
 	}
-	k.Hear(&Fact{At: 20_000, Kind: Told, Copy: 1, Server: 1})
-	k.Hear(&Fact{At: 20_000, Kind: Taken, Copy: 1, Request: 5000, Due: 30_000})
-	k.Hear(&Fact{At: 20_123, Kind: Sent, Copy: 1, Request: 5000, Server: 1})
-	if k.Count > 0 || k.Open() != 1 || k.Margins.Answer != 4 || k.Margins.Drain != 123 {
-		t.Errorf("%v, %d open, %+v", k.Breaks, k.Open(), k.Margins)
+	k.Record(&Fact{At: 20_000, Kind: ServerListed, Copy: 1, Server: 1})
+	k.Record(&Fact{At: 20_000, Kind: RequestReceived, Copy: 1, Request: 5000, Due: 30_000})
+	k.Record(&Fact{At: 20_123, Kind: AttemptSent, Copy: 1, Request: 5000, Server: 1})
+	if k.ViolationCount > 0 || k.OpenRequests() != 1 || k.Margins.Answer != 4 || k.Margins.Drain != 123 {
+		t.Errorf("%v, %d open, %+v", k.Violations, k.OpenRequests(), k.Margins)
 	}
 }
--- a/internal/sidecar/bulk_test.go
+++ b/internal/sidecar/bulk_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"whinknot"
+	"milletmast/balancer"
 )
 
 // pattern is a body of a length that no other place of it repeats soon.
@@ -44,7 +44,7 @@
 
 func patternSum(length int) uint64 {
 	h := fnv.New64a()
-	io.Copy(h, &pattern{length: length})
+	_, _ = io.Copy(h, &pattern{length: length})
 	return h.Sum64()
 }
 
@@ -54,7 +54,7 @@
 func (c *client) ask(t *testing.T) *http.Response {
 	t.Helper()
 	c.send("GET", "read", "")
-	c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(long))
 	res, err := http.ReadResponse(c.reader, &http.Request{Method: "GET"})
 	if err != nil {
 		t.Fatal(err)
@@ -71,26 +71,26 @@
 	}{
 		{"length", func(c net.Conn) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", big)
-			io.Copy(c, &pattern{length: big})
+			_, _ = io.Copy(c, &pattern{length: big})
 		}, true},
 		{"chunks", func(c net.Conn) {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			body := &pattern{length: big}
 			for size := 1; body.at < big; size = size*3%70001 + 1 {
 				n := min(size, big-body.at)
 				fmt.Fprintf(c, "%x;note=\"x\"\r\n", n)
-				io.CopyN(c, body, int64(n))
-				io.WriteString(c, "\r\n")
+				_, _ = io.CopyN(c, body, int64(n))
+				_, _ = io.WriteString(c, "\r\n")
 			}
-			io.WriteString(c, "0\r\nX-Trailer: 1\r\n\r\n")
+			_, _ = io.WriteString(c, "0\r\nX-Trailer: 1\r\n\r\n")
 		}, true},
 		{"the connection's end", func(c net.Conn) {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
-			io.Copy(c, &pattern{length: big})
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
+			_, _ = io.Copy(c, &pattern{length: big})
 		}, false},
 		{"the connection's end, by its version", func(c net.Conn) {
-			io.WriteString(c, "HTTP/1.0 200 OK\r\n\r\n")
-			io.Copy(c, &pattern{length: big})
+			_, _ = io.WriteString(c, "HTTP/1.0 200 OK\r\n\r\n")
+			_, _ = io.Copy(c, &pattern{length: big})
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -108,7 +108,7 @@
 				}
 			}
 			eventually(t, "counted", func() bool {
-				f := s.Figures()
+				f := s.Stats()
 				return f.Classes[0].Completed == 2 && f.Pending == 0
 			})
 		})
@@ -122,7 +122,7 @@
 	for range endpoints {
 		addrs = append(addrs, script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 32<<20)
-			io.Copy(conn, &pattern{length: 32 << 20})
+			_, _ = io.Copy(conn, &pattern{length: 32 << 20})
 			return true
 		}).Addr().String())
 	}
@@ -145,7 +145,7 @@
 	if after := heap(); after > before+readers*(256<<10) {
 		t.Errorf("%d answers that nobody reads on hold %d bytes of heap", readers, after-before)
 	}
-	if f := s.Figures(); f.Pending != readers {
+	if f := s.Stats(); f.Pending != readers {
 		t.Errorf("%d pending, want %d", f.Pending, readers)
 	}
 }
@@ -160,7 +160,7 @@
 			if strings.HasPrefix(head, "T") {
 				fmt.Fprintf(conn, "%x\r\n", big)
 			}
-			io.CopyN(conn, &pattern{length: big}, big/2)
+			_, _ = io.CopyN(conn, &pattern{length: big}, big/2)
 			return false
 		}).Addr().String()))
 		res := dial(t, s).ask(t)
@@ -168,7 +168,7 @@
 			t.Errorf("%s: read %d bytes, %v, want an error", head, n, err)
 		}
 		eventually(t, "counted as failed", func() bool {
-			f := s.Figures()
+			f := s.Stats()
 			return f.Classes[0].Failed == 1 && f.Classes[0].Completed == 0 && f.Pending == 0
 		})
 		if n := len(asked); n != 1 {
@@ -181,9 +181,9 @@
 func TestLongAnswerInPieces(t *testing.T) {
 	next := make(chan string)
 	s := start(t, config(t, script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBody+6)
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBufferedBody+6)
 		for piece := range next {
-			io.WriteString(conn, piece)
+			_, _ = io.WriteString(conn, piece)
 		}
 		return true
 	}).Addr().String()))
@@ -203,9 +203,9 @@
 			next <- "def"
 		}
 	}
-	next <- strings.Repeat("x", maxBody)
+	next <- strings.Repeat("x", maxBufferedBody)
 	close(next)
-	if n, err := io.Copy(io.Discard, res.Body); err != nil || n != maxBody {
+	if n, err := io.Copy(io.Discard, res.Body); err != nil || n != maxBufferedBody {
 		t.Errorf("the rest: %d bytes, %v", n, err)
 	}
 }
@@ -240,7 +240,7 @@
 						return
 					}
 					came <- received{n, h.Sum64()}
-					io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
+					_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
 				}
 			}()
 		}
@@ -253,7 +253,7 @@
 	addr, came := sink(t)
 	s := start(t, config(t, addr))
 	c := dial(t, s)
-	c.SetDeadline(time.Now().Add(long))
+	_ = c.SetDeadline(time.Now().Add(long))
 	for i, framing := range []string{fmt.Sprintf("Content-Length: %d", big), "Transfer-Encoding: chunked"} {
 		expect := []string{"", "Expect: 100-continue\r\n"}[i]
 		fmt.Fprintf(c, "POST /pay/x HTTP/1.1\r\nHost: h\r\nX-Class: pay\r\nX-Request-Id: %d\r\n%s%s\r\n\r\n", i, expect, framing)
@@ -265,15 +265,15 @@
 		}
 		body := &pattern{length: big}
 		if i == 0 {
-			io.Copy(c, body)
+			_, _ = io.Copy(c, body)
 		} else {
 			for body.at < big {
 				n := min(50021, big-body.at)
 				fmt.Fprintf(c, "%x\r\n", n)
-				io.CopyN(c, body, int64(n))
-				io.WriteString(c, "\r\n")
+				_, _ = io.CopyN(c, body, int64(n))
+				_, _ = io.WriteString(c, "\r\n")
 			}
-			io.WriteString(c, "0\r\n\r\n")
+			_, _ = io.WriteString(c, "0\r\n\r\n")
 		}
 		if res, text := c.answer(t); res.StatusCode != 200 || text != "hi" {
 			t.Fatalf("%s: status %d, %q", framing, res.StatusCode, text)
@@ -282,7 +282,7 @@
 			t.Errorf("%s: the endpoint got %d bytes with the sum %x", framing, g.n, g.sum)
 		}
 	}
-	if f := s.Figures(); f.Attempts != 2 || f.Classes[1].Completed != 2 {
+	if f := s.Stats(); f.Attempts != 2 || f.Classes[1].Completed != 2 {
 		t.Errorf("%d attempts, %+v", f.Attempts, f.Classes[1])
 	}
 }
@@ -294,15 +294,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.front.uploads.idle = 50 * time.Millisecond
-	go s.Run(t.Context())
+	s.frontend.uploadBounds.idleTimeout = 50 * time.Millisecond
+	go func() { _ = s.Run(t.Context()) }()
 	c := dial(t, s)
-	fmt.Fprintf(c, "POST /pay/x HTTP/1.1\r\nHost: h\r\nX-Class: pay\r\nX-Request-Id: 1\r\nContent-Length: %d\r\n\r\n%s", big, strings.Repeat("x", maxBody))
-	c.SetReadDeadline(time.Now().Add(long))
+	fmt.Fprintf(c, "POST /pay/x HTTP/1.1\r\nHost: h\r\nX-Class: pay\r\nX-Request-Id: 1\r\nContent-Length: %d\r\n\r\n%s", big, strings.Repeat("x", maxBufferedBody))
+	_ = c.SetReadDeadline(time.Now().Add(long))
 	if text, err := io.ReadAll(c.reader); err != nil || strings.Contains(string(text), " 200 ") {
 		t.Errorf("told %q, %v", text, err)
 	}
-	eventually(t, "nothing is open", func() bool { return s.Figures().Pending == 0 })
+	eventually(t, "nothing is open", func() bool { return s.Stats().Pending == 0 })
 	if len(reached) > 0 {
 		t.Error("the endpoint took half a body for a request")
 	}
@@ -323,7 +323,7 @@
 		for _, size := range []int{len(c.text), 1} {
 			caller := dial(t, s)
 			for at := 0; at < len(c.text); at += size {
-				io.WriteString(caller, c.text[at:min(at+size, len(c.text))])
+				_, _ = io.WriteString(caller, c.text[at:min(at+size, len(c.text))])
 			}
 			if res, body := caller.answer(t); res.StatusCode != 200 || body != c.want {
 				t.Errorf("%s in pieces of %d: status %d, %q, want %q", c.name, size, res.StatusCode, body, c.want)
@@ -336,7 +336,7 @@
 // came on them.
 func TestUnprovenConnectionsGiveWay(t *testing.T) {
 	cfg := config(t, script(t, echo).Addr().String())
-	cfg.Sockets = LeastSockets
+	cfg.Sockets = MinSockets
 	s := start(t, cfg)
 	kept := dial(t, s)
 	slow := dial(t, s)
@@ -346,26 +346,26 @@
 		if res, _ := kept.answer(t); res.StatusCode != 200 || res.Close {
 			t.Fatalf("status %d, close %v", res.StatusCode, res.Close)
 		}
-		io.WriteString(slow, piece) // what it sends keeps it ahead of those that stopped
+		_, _ = io.WriteString(slow, piece) // what it sends keeps it ahead of those that stopped
 		var idle *client
-		for range s.front.callers.most / 3 {
+		for range s.frontend.clients.maxConns / 3 {
 			idle = dial(t, s)
 			if n%2 > 0 {
-				io.WriteString(idle, "GET /read/x HT")
+				_, _ = io.WriteString(idle, "GET /read/x HT")
 			}
 		}
 		eventually(t, "the last one is taken in, and so all are", func() bool {
-			s.front.callers.mu.Lock()
-			defer s.front.callers.mu.Unlock()
-			for e := s.front.callers.fresh.Front(); e != nil; e = e.Next() {
-				if e.Value.(*caller).RemoteAddr().String() == idle.LocalAddr().String() {
+			s.frontend.clients.mu.Lock()
+			defer s.frontend.clients.mu.Unlock()
+			for e := s.frontend.clients.idleUnused.Front(); e != nil; e = e.Next() {
+				if e.Value.(*clientConn).RemoteAddr().String() == idle.LocalAddr().String() {
 					return true
 				}
 			}
 			return false
 		})
 	}
-	io.WriteString(slow, "\r\n")
+	_, _ = io.WriteString(slow, "\r\n")
 	if res, _ := slow.answer(t); res.StatusCode != 200 {
 		t.Errorf("a slow one: status %d", res.StatusCode)
 	}
@@ -374,16 +374,16 @@
 // An endpoint that says that it closes its connection behind a long answer is not sent a next request on it.
 func TestConnectionNotKept(t *testing.T) {
 	u := pooled(script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", maxBody+1)
-		conn.Write(bytes.Repeat([]byte("x"), maxBody+1))
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", maxBufferedBody+1)
+		_, _ = conn.Write(bytes.Repeat([]byte("x"), maxBufferedBody+1))
 		return true // and yet it does not
 	}).Addr().String(), 4)
-	if got, _ := attemptOn(u, long); got != whinknot.OK {
+	if got, _ := attemptOn(u, long); got != balancer.OK {
 		t.Fatalf("outcome %v", got)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.open != 0 {
-		t.Errorf("%d connections are kept", u.open)
+	if u.openConns != 0 {
+		t.Errorf("%d connections are kept", u.openConns)
 	}
 }
--- /dev/null
+++ b/internal/sidecar/calltree.go
@@ -0,0 +1,276 @@
+package sidecar
+
+import (
+	"encoding/hex"
+	"fmt"
+	"hash/fnv"
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"milletmast/balancer"
+	"milletmast/internal/budget"
+	"milletmast/internal/operator"
+	"milletmast/internal/route"
+	"milletmast/internal/trace"
+)
+
+// outcomeHeader tells the previous tier what became of a call that failed, so that it does not retry the call.
+const outcomeHeader = "X-Call-Outcome"
+
+// The values of outcomeHeader.
+const (
+	outcomeRan   = "ran"   // the call may have been executed
+	outcomeSpent = "spent" // the retries of the tree are used up
+	outcomeLoop  = "loop"  // the call came back to a sidecar that it had passed; the response is final
+)
+
+const statusLoop = http.StatusLoopDetected
+
+// callTrees is the part of an instance in trees of calls over several tiers (package budget); nil if its file does not ask for it.
+type callTrees struct {
+	id      string // in paths
+	name    string
+	retries int
+	budgets *budget.Table
+	tracer  *trace.Writer // nil if nothing is traced
+	sample  float64
+
+	invalidContexts, loops atomic.Uint64
+}
+
+// maxRetryBudgets bounds the attempts of the previous tier whose calls share retries here at a time.
+const maxRetryBudgets = 1 << 14
+
+// hashHopID returns the id of a sidecar in paths: short, and without its name.
+func hashHopID(name string) string {
+	sum := fnv.New32a()
+	sum.Write([]byte(name))
+	return hex.EncodeToString(sum.Sum(nil))
+}
+
+// treeCall is a call as part of a tree.
+type treeCall struct {
+	trees        *callTrees
+	rule         *route.Rule
+	context      budget.Context // as received, or as made here
+	budget       *budget.RetryBudget
+	traced       bool
+	traceID      string // of this call
+	tellsOutcome bool   // to the previous tier, in outcomeHeader
+	leaf         bool   // no retries are delegated to the next tier
+	arrivedAt    time.Time
+	retryWindow  time.Duration // in which a keyed call that is a retry must end; 0 for no such limit
+	outOfRetries bool          // an attempt was not made as there was no retry left
+}
+
+// contextError is why a call is rejected for its context.
+type contextError struct {
+	status  int
+	text    string
+	outcome string // see outcomeHeader
+}
+
+// enter reads the context of a call, if its listener trusts contexts, or makes one. A call that has passed this sidecar already is
+// rejected even if contexts are not trusted: whoever forges one harms only himself.
+func (ts *callTrees) enter(values []string, d *listenerRouter, rule *route.Rule, class *balancer.Class) (*treeCall, *contextError) {
+	t := &treeCall{arrivedAt: time.Now(), trees: ts, rule: rule, tellsOutcome: d.trustsContexts}
+	received, rejection := ts.parseContext(values, d, rule)
+	if rejection != nil {
+		return nil, rejection
+	}
+	if received == nil {
+		t.context = budget.Context{Root: newID(), Attempt: rootAttempt, Worth: class.Worth, Retries: ts.retries}
+		t.budget = budget.NewRetryBudget(ts.retries)
+	} else {
+		t.context = *received
+		t.context.Worth = min(t.context.Worth, d.maxWorth)
+		t.context.Retries = min(t.context.Retries, ts.retries) // no more than a request from outside gets here
+		t.budget = ts.budgets.Get(&t.context, t.arrivedAt)
+	}
+	if rejection := t.checkRetry(class); rejection != nil {
+		return nil, rejection
+	}
+	if t.traced = ts.tracer != nil && isSampled(t.context.Root, ts.sample); t.traced {
+		t.traceID = fmt.Sprintf("%08x", rand.Uint32())
+	}
+	return t, nil
+}
+
+// rootAttempt is the id of the attempt in a context that is made here.
+const rootAttempt = "00000000"
+
+// parseContext returns the context that a call has brought; nil if there is none, or it is not trusted.
+func (ts *callTrees) parseContext(values []string, d *listenerRouter, rule *route.Rule) (*budget.Context, *contextError) {
+	if len(values) == 0 {
+		return nil, nil
+	}
+	c, err := budget.Parse(values[0])
+	if len(values) > 1 {
+		err = fmt.Errorf("%s comes twice", budget.Header)
+	}
+	if err != nil {
+		if !d.trustsContexts {
+			return nil, nil
+		}
+		if n := ts.invalidContexts.Add(1); isPowerOfTwo(n) {
+			slog.Warn("a context cannot be read", "cause", err, "count", n)
+		}
+		return nil, &contextError{status: http.StatusBadRequest, text: err.Error()}
+	}
+	if c.Contains(ts.id) || c.Hops() >= budget.MaxHops {
+		if n := ts.loops.Add(1); isPowerOfTwo(n) {
+			slog.Warn("a call has come back", "route", rule.Name, "path", strings.Join(c.Path, "."), "count", n)
+		}
+		text := fmt.Sprintf("loop: %s > %s (%s), by route %s", strings.Join(c.Path, " > "), ts.id, ts.name, rule.Name)
+		return nil, &contextError{statusLoop, text, outcomeLoop}
+	}
+	if !d.trustsContexts {
+		return nil, nil
+	}
+	return c, nil
+}
+
+// isPowerOfTwo chooses the occurrences that are logged of what can occur at any rate.
+func isPowerOfTwo(n uint64) bool { return n&(n-1) == 0 }
+
+// checkRetry checks a call that the previous tier retries though it may have been executed, at a server that is not known here.
+// Unsafe calls are rejected, and keyed ones unless all servers drop repeats; those only within their window.
+func (t *treeCall) checkRetry(class *balancer.Class) *contextError {
+	if !t.context.MayHaveExecuted || class.Effect == balancer.Safe {
+		return nil
+	}
+	left := millis(class.Window) - t.context.FirstSentAgo
+	if class.Effect == balancer.Unsafe || class.Group != balancer.GroupAll || left <= 0 {
+		return &contextError{statusFailed, "an attempt before may have run: calls of class " + class.Name + " are not sent again", outcomeRan}
+	}
+	t.retryWindow = left
+	return nil
+}
+
+// isSampled reports whether a root request is traced. All tiers choose the same requests.
+func isSampled(root string, share float64) bool {
+	sum := fnv.New32a()
+	sum.Write([]byte(root))
+	return float64(sum.Sum32()) < share*(1<<32)
+}
+
+// apply applies the context to a call: its worth, the limit of its attempts, and its deadline.
+func (t *treeCall) apply(k *call, p *pool) {
+	k.tree, t.leaf = t, p.spec.Leaf
+	k.event.Worth = t.context.Worth
+	k.event.Attempts = 1 + t.budget.Remaining()
+	if t.context.Hops() > 0 {
+		left := withoutMargin(t.context.TimeLeft.Seconds())
+		k.timeout, k.streamTimeout = min(k.timeout, left), min(k.streamTimeout, left)
+	}
+	if t.retryWindow > 0 {
+		within := inMillis(t.retryWindow)
+		k.timeout, k.streamTimeout = min(k.timeout, within), min(k.streamTimeout, within)
+	}
+}
+
+// startAttempt sets the context of an attempt; false if there is no retry left for it. FirstExecutedAt is when the first attempt
+// that may have been executed was sent; zero for none.
+func (t *treeCall) startAttempt(a *attempt, number int, left time.Duration, firstExecutedAt time.Time) bool {
+	if number > 0 && !t.budget.Spend() {
+		t.outOfRetries = true
+		return false
+	}
+	a.id = fmt.Sprintf("%08x", rand.Uint32())
+	c := t.context
+	c.Attempt, c.TimeLeft, c.Retries = a.id, left, 0
+	if !t.leaf {
+		c.Retries = t.budget.Delegate()
+		a.delegatedRetries = c.Retries
+	}
+	if t.context.MayHaveExecuted {
+		c.FirstSentAgo += time.Since(t.arrivedAt)
+	} else if !firstExecutedAt.IsZero() {
+		c.MayHaveExecuted, c.FirstSentAgo = true, time.Since(firstExecutedAt)
+	}
+	c.Path = append(append([]string(nil), t.context.Path...), t.trees.id)
+	a.context = c.String()
+	return true
+}
+
+// outcome returns the value of outcomeHeader of a call that failed; "" for none.
+func (t *treeCall) outcome(mayRun bool) string {
+	switch {
+	case !t.tellsOutcome:
+		return ""
+	case mayRun:
+		return outcomeRan
+	case t.outOfRetries:
+		return outcomeSpent
+	}
+	return ""
+}
+
+// trace writes an attempt of a traced call to the trace.
+func (t *treeCall) trace(a *attempt, number int, server string, o balancer.Outcome, took time.Duration) {
+	t.trees.tracer.Add(trace.Attempt{
+		Root:    t.context.Root,
+		Parent:  t.context.Attempt,
+		Call:    t.traceID,
+		ID:      a.id,
+		Sidecar: t.trees.name,
+		Hop:     t.context.Hops(),
+		Route:   t.rule.Name,
+		Pool:    t.rule.Pool,
+		Class:   t.rule.Class,
+		Server:  server,
+		Number:  number,
+		Outcome: outcomeNames[o],
+		TookMS:  inMillis(took),
+		Weight:  t.context.Worth,
+	})
+}
+
+// outcomeNames are the outcomes of attempts in traces.
+var outcomeNames = [...]string{
+	balancer.OK:            "ok",
+	balancer.Error:         "error",
+	balancer.Full:          "refused",
+	balancer.Timeout:       "timeout",
+	balancer.ConnectFailed: "connect-failed",
+	balancer.Reset:         "reset",
+	balancer.Cancelled:     "cancelled",
+	balancer.NotSent:       "not-sent",
+}
+
+// newCallTrees returns the part of an instance, with the retry budgets and the trace of the previous generation, if there is one.
+func newCallTrees(cfg *operator.Config, old *callTrees) (*callTrees, error) {
+	c := &cfg.Context
+	if c.ID == "" {
+		return nil, nil
+	}
+	ts := &callTrees{id: hashHopID(c.ID), name: c.ID, retries: c.Retries, sample: c.Sample}
+	if old != nil {
+		ts.budgets = old.budgets
+	} else {
+		ts.budgets = budget.NewTable(maxRetryBudgets)
+	}
+	if c.Trace != "" && c.Sample > 0 {
+		if old != nil && old.tracer != nil && old.tracer.Path() == c.Trace {
+			ts.tracer = old.tracer
+			return ts, nil
+		}
+		w, err := trace.NewWriter(c.Trace)
+		if err != nil {
+			return nil, fmt.Errorf("context.trace: %w", err)
+		}
+		ts.tracer = w
+	}
+	return ts, nil
+}
+
+// close closes the trace, unless another generation writes it.
+func (ts *callTrees) close(other *callTrees) {
+	if ts != nil && ts.tracer != nil && (other == nil || other.tracer != ts.tracer) {
+		ts.tracer.Close()
+	}
+}
--- a/internal/sidecar/tiers_test.go
+++ b/internal/sidecar/calltree_test.go
@@ -20,9 +20,10 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"whinknot/internal/budget"
-	"whinknot/internal/standin"
-	"whinknot/internal/trace"
+	"milletmast/internal/budget"
+	"milletmast/internal/fakeserver"
+	"milletmast/internal/freeport"
+	"milletmast/internal/trace"
 )
 
 const innerText = "\n[[listener]]\nname = \"in\"\naddress = \"127.0.0.1:0\"\ninner = true\n"
@@ -35,13 +36,13 @@
 // at is the text of a server at an address.
 func at(addr string) string { return fmt.Sprintf("[[pool.server]]\naddress = %q\n", addr) }
 
-func newApp(t testing.TB, next string, fan int, passes bool, lose func() bool) *standin.App {
+func newApp(t testing.TB, next string, fan int, passes bool, lose func() bool) *fakeserver.App {
 	t.Helper()
-	o := standin.AppOptions{Next: next, Fan: fan, Lose: lose, Final: []string{outcomeHeader}, Pass: []string{"X-Call", "Idempotency-Key"}}
+	o := fakeserver.AppOptions{Next: next, Calls: fan, LoseResponse: lose, FinalHeaders: []string{outcomeHeader}, PassHeaders: []string{"X-Call", "Idempotency-Key"}}
 	if passes {
-		o.Pass = append(o.Pass, budget.Header)
+		o.PassHeaders = append(o.PassHeaders, budget.Header)
 	}
-	a, err := standin.NewApp(o)
+	a, err := fakeserver.NewApp(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,18 +62,18 @@
 }
 
 // failing has a share of what a server is sent fail after it has run.
-func failing(s *standin.Server, seed uint64, share float64) {
+func failing(s *fakeserver.Server, seed uint64, share float64) {
 	draw := seeded(seed, share)
-	s.FaultBy(func(r *http.Request) standin.Fault {
+	s.SetFaultFunc(func(r *http.Request) fakeserver.Fault {
 		if r != nil && draw() {
-			return standin.Error500
+			return fakeserver.Error500
 		}
-		return standin.None
+		return fakeserver.NoFault
 	})
 }
 
 // chain runs tiers of sidecars, with an app between each two, over servers of the last tier; it gives the first's address.
-func chain(t *testing.T, tiers, fan, retries int, passes bool, pool string, lose func() bool, last ...*standin.Server) string {
+func chain(t *testing.T, tiers, fan, retries int, passes bool, pool string, lose func() bool, last ...*fakeserver.Server) string {
 	t.Helper()
 	addr := ""
 	plain := pool
@@ -140,7 +141,7 @@
 }
 
 // byRoot counts what reached the last tier for each request of the outside.
-func byRoot(servers []*standin.Server) (total, most int) {
+func byRoot(servers []*fakeserver.Server) (total, most int) {
 	count := map[string]int{}
 	for _, s := range servers {
 		for _, r := range s.Records() {
@@ -214,7 +215,7 @@
 func TestLoopIsCaught(t *testing.T) {
 	for _, front := range []string{"http", "grpc"} {
 		t.Run(front, func(t *testing.T) {
-			addrs := []string{freeAddr(t), freeAddr(t)}
+			addrs := []string{freeport.AddressForTest(t), freeport.AddressForTest(t)}
 			for n := range 2 {
 				in := strings.Replace(innerText, "127.0.0.1:0", addrs[n], 1) + fmt.Sprintf("front = %q\n", front)
 				pool := poolText("p", fmt.Sprintf("protocol = %q\n", front))
@@ -224,7 +225,7 @@
 				cc := dialRPC(t, addrs[0])
 				for range 100 {
 					_, err := unary(cc, "/a.B/C", "x")
-					want := fmt.Sprintf("loop: %s > %s > %s (side-0), by route circle", hopID("side-0"), hopID("side-1"), hopID("side-0"))
+					want := fmt.Sprintf("loop: %s > %s > %s (side-0), by route circle", hashHopID("side-0"), hashHopID("side-1"), hashHopID("side-0"))
 					if st := status.Convert(err); st.Code() != codes.Unknown || st.Message() != want {
 						t.Fatal(err)
 					}
@@ -238,7 +239,7 @@
 				}
 				text, _ := io.ReadAll(answer.Body)
 				answer.Body.Close()
-				want := fmt.Sprintf("loop: %s > %s > %s (side-0), by route circle\n", hopID("side-0"), hopID("side-1"), hopID("side-0"))
+				want := fmt.Sprintf("loop: %s > %s > %s (side-0), by route circle\n", hashHopID("side-0"), hashHopID("side-1"), hashHopID("side-0"))
 				if answer.StatusCode != http.StatusLoopDetected || string(text) != want {
 					t.Fatalf("%d %q, want %q", answer.StatusCode, text, want)
 				}
@@ -252,7 +253,7 @@
 	s := servers(t, "a")[0]
 	outer := strings.Replace(inText, "name = \"in\"", "name = \"out\"", 1)
 	i, _ := launch(t, parse(t, contextText("me", 2, ""), innerText, "max_worth = 20\n", outer, poolText("p", "", s), routeText("r", "/", "p", "read", "")))
-	sound := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 12, Left: 900 * time.Millisecond, Retries: 1, Path: []string{"aaaaaaaa"}}
+	sound := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 12, TimeLeft: 900 * time.Millisecond, Retries: 1, Path: []string{"aaaaaaaa"}}
 	greedy := sound
 	greedy.Worth, greedy.Retries, greedy.Attempt = 1e6, 99, "89abcdef"
 	ask := func(listener string, values ...string) (int, *budget.Context) {
@@ -279,13 +280,13 @@
 		return answer.StatusCode, c
 	}
 	if _, c := ask("in", sound.String()); c.Root != sound.Root || c.Attempt == sound.Attempt || c.Worth != 12 || c.Retries != 1 ||
-		c.Left > 900*time.Millisecond || c.Left < 500*time.Millisecond || fmt.Sprint(c.Path) != fmt.Sprint([]string{"aaaaaaaa", hopID("me")}) {
+		c.TimeLeft > 900*time.Millisecond || c.TimeLeft < 500*time.Millisecond || fmt.Sprint(c.Path) != fmt.Sprint([]string{"aaaaaaaa", hashHopID("me")}) {
 		t.Errorf("believed: %+v", c)
 	}
 	if _, c := ask("in", greedy.String()); c.Worth != 20 || c.Retries != 1 {
 		t.Errorf("over what is allowed: %+v", c)
 	}
-	if _, c := ask("out", sound.String()); c.Root == sound.Root || c.Worth != 1 || c.Retries != 1 || c.Hops() != 1 || c.Left < time.Second {
+	if _, c := ask("out", sound.String()); c.Root == sound.Root || c.Worth != 1 || c.Retries != 1 || c.Hops() != 1 || c.TimeLeft < time.Second {
 		t.Errorf("from outside: %+v", c)
 	}
 	reached := len(s.Records())
@@ -300,10 +301,10 @@
 	if n := len(s.Records()); n != reached+5 {
 		t.Errorf("%d requests reached the server", n-reached)
 	}
-	if n := i.current.tiers.bad.Load(); n != 5 {
+	if n := i.current.callTrees.invalidContexts.Load(); n != 5 {
 		t.Errorf("%d bad contexts are counted", n)
 	}
-	if code, _ := ask("out", strings.Replace(sound.String(), "aaaaaaaa", hopID("me"), 1)); code != http.StatusLoopDetected {
+	if code, _ := ask("out", strings.Replace(sound.String(), "aaaaaaaa", hashHopID("me"), 1)); code != http.StatusLoopDetected {
 		t.Errorf("%d for a call that has come back from outside", code)
 	}
 	full := sound
@@ -344,7 +345,7 @@
 						mu.Lock()
 						count++
 						mu.Unlock()
-						io.WriteString(conn, c.answer)
+						_, _ = io.WriteString(conn, c.answer)
 					}
 				})
 			}
@@ -394,7 +395,7 @@
 		{"everywhere", true, 9 * time.Second, true}, {"everywhere", true, 10 * time.Second, false}, {"everywhere", false, 0, true},
 	} {
 		before := len(s.Records())
-		k := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 1, Left: 5 * time.Second, Path: []string{"aaaaaaaa"}, Again: c.again, Since: c.since}
+		k := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 1, TimeLeft: 5 * time.Second, Path: []string{"aaaaaaaa"}, MayHaveExecuted: c.again, FirstSentAgo: c.since}
 		r, _ := http.NewRequest("POST", "http://"+i.Addresses()["in"]+"/"+c.class, nil)
 		r.Header.Set(budget.Header, k.String())
 		r.Header.Set("Idempotency-Key", "7")
@@ -410,7 +411,7 @@
 		if sent {
 			records := s.Records()
 			got, err := budget.Parse(records[len(records)-1].Header.Get(budget.Header))
-			if err != nil || got.Again != c.again || got.Since < c.since || got.Since > c.since+time.Second {
+			if err != nil || got.MayHaveExecuted != c.again || got.FirstSentAgo < c.since || got.FirstSentAgo > c.since+time.Second {
 				t.Errorf("%+v: it goes on as %+v, %v", c, got, err)
 			}
 		}
@@ -439,17 +440,17 @@
 		t.Fatal(err)
 	}
 	answer.Body.Close()
-	if n := len(last.Records()); n != 1 || a.Runs() != 2 || answer.StatusCode != statusFailed {
-		t.Errorf("%d calls reached the last tier, %d the middle; answered %d", n, a.Runs(), answer.StatusCode)
+	if n := len(last.Records()); n != 1 || a.Requests() != 2 || answer.StatusCode != statusFailed {
+		t.Errorf("%d calls reached the last tier, %d the middle; answered %d", n, a.Requests(), answer.StatusCode)
 	}
 }
 
 // TestTimeOfTheTierBefore has a server hang: the call ends by the time that the tier before has, not by its class's.
 func TestTimeOfTheTierBefore(t *testing.T) {
 	s := servers(t, "a")[0]
-	s.Fault(standin.Stall)
+	s.SetFault(fakeserver.NoResponse)
 	i, _ := launch(t, parse(t, contextText("me", 2, ""), innerText, poolText("p", "", s), routeText("r", "/", "p", "pay", "")))
-	k := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 1, Left: 300 * time.Millisecond, Path: []string{"aaaaaaaa"}}
+	k := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 1, TimeLeft: 300 * time.Millisecond, Path: []string{"aaaaaaaa"}}
 	r, _ := http.NewRequest("GET", "http://"+i.Addresses()["in"]+"/x", nil)
 	r.Header.Set(budget.Header, k.String())
 	begun := time.Now()
@@ -466,7 +467,7 @@
 // TestCancelGoesDown has the caller of the first tier leave while the last one works: the attempts of both tiers end.
 func TestCancelGoesDown(t *testing.T) {
 	s := servers(t, "a")[0]
-	s.Fault(standin.Stall)
+	s.SetFault(fakeserver.NoResponse)
 	back, _ := launch(t, parse(t, contextText("back", 2, ""), innerText, poolText("p", "leaf = true\n", s), routeText("r", "/", "p", "read", "")))
 	a := newApp(t, back.Addresses()["in"], 1, true, nil)
 	front, _ := launch(t, parse(t, contextText("front", 2, ""), inText, poolText("q", ""), at(a.Addr()), routeText("r", "/", "q", "read", "")))
@@ -508,7 +509,7 @@
 	}
 	for _, r := range s.Records() {
 		c, err := budget.Parse(r.Header.Get(budget.Header))
-		if err != nil || fmt.Sprint(c.Path) != fmt.Sprint([]string{hopID("front"), hopID("back")}) {
+		if err != nil || fmt.Sprint(c.Path) != fmt.Sprint([]string{hashHopID("front"), hashHopID("back")}) {
 			t.Error(c, err)
 		}
 	}
@@ -516,9 +517,9 @@
 
 // TestRPCContext carries a context in metadata.
 func TestRPCContext(t *testing.T) {
-	s := newScript(t, false, func(p *standin.Frames, id uint32, n int) { p.WriteRSTStream(id, http2.ErrCodeRefusedStream) })
+	s := newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) { _ = p.WriteRSTStream(id, http2.ErrCodeRefusedStream) })
 	i, _ := launch(t, parse(t, contextText("me", 1, ""), strings.Replace(rpcText, "max_body", "inner = true\nmax_body", 1), rpcPool("p", "attempts = 4\nleaf = true\n"), s.server(), rpcRoutes("p")))
-	c := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 12, Left: time.Second, Retries: 1, Path: []string{"aaaaaaaa"}}
+	c := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 12, TimeLeft: time.Second, Retries: 1, Path: []string{"aaaaaaaa"}}
 	cc := dialRPC(t, i.Addresses()["in"])
 	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), contextName, c.String()), patience)
 	defer cancel()
@@ -529,7 +530,7 @@
 	if s.count() != 2 { // one, and one for the only retry
 		t.Errorf("%d attempts", s.count())
 	}
-	got, err := budget.Parse(standin.Field(s.heads[:1], s.heads[0].Stream, contextName))
+	got, err := budget.Parse(fakeserver.FieldValue(s.heads[:1], s.heads[0].Stream, contextName))
 	if err != nil || got.Root != c.Root || got.Hops() != 2 {
 		t.Error(got, err)
 	}
@@ -583,10 +584,10 @@
 }
 
 // narrow has a server work on one request after the other, and tell what it will take at its arrival.
-func narrow(s *standin.Server, each time.Duration) {
+func narrow(s *fakeserver.Server, each time.Duration) {
 	var mu sync.Mutex
 	var free time.Time
-	s.WorkBy(func() time.Duration {
+	s.SetWorkFunc(func() time.Duration {
 		mu.Lock()
 		defer mu.Unlock()
 		now := time.Now()
@@ -625,7 +626,7 @@
 					}
 					time.Sleep(time.Duration(r.ExpFloat64() * float64(time.Second/300)))
 					calls.Go(func() {
-						c := budget.Context{Root: fmt.Sprintf("%016x", n+1), Attempt: fmt.Sprintf("%08x", n), Worth: 1, Left: time.Second, Path: []string{"aaaaaaaa"}}
+						c := budget.Context{Root: fmt.Sprintf("%016x", n+1), Attempt: fmt.Sprintf("%08x", n), Worth: 1, TimeLeft: time.Second, Path: []string{"aaaaaaaa"}}
 						if carried == 1 {
 							c.Worth = w
 						}
--- a/internal/sidecar/chunks.go
+++ b/internal/sidecar/chunks.go
@@ -8,113 +8,114 @@
 	"strconv"
 )
 
-// The transfer coding of RFC 9112, section 7.1. The one of net/http/httputil brings a ready-made proxy into each program that links it.
+// The chunked transfer coding (RFC 9112, section 7.1). That of net/http/httputil would link a complete reverse proxy into each
+// program.
 
-var errChunk = errors.New("a chunk cannot be read")
+var errBadChunk = errors.New("a chunk cannot be read")
 
 const (
-	chunkExtra  = 16 << 10 // bytes that are no data, beyond what each chunk may have
-	chunkDigits = 16       // of a length
-	chunkLine   = 16       // bytes of a length's line that each chunk may have, besides twice its data
+	maxChunkOverhead   = 16 << 10 // bytes that are not data, beyond those that each chunk may have
+	maxChunkDigits     = 16       // of a length
+	freeChunkLineBytes = 16       // bytes of the line of a length that each chunk may have, besides twice its data
 )
 
-// chunkReader reads the data of chunks up to the last one. The trailers behind that are not read.
+// chunkReader reads the data of chunks up to the last one. The trailers behind it are not read.
 type chunkReader struct {
-	from  *bufio.Reader
-	left  uint64 // of the chunk's data
-	begun bool   // a chunk's data was begun: its end of line follows that
-	extra int64  // bytes that were no data, beyond what the chunks may have
-	err   error
+	reader    *bufio.Reader
+	remaining uint64 // bytes of the data of the chunk
+	inChunk   bool   // a chunk has been started: a line end follows its data
+	overhead  int64  // bytes that were not data, beyond those that the chunks may have
+	err       error
 }
 
-func newChunkReader(from *bufio.Reader) *chunkReader { return &chunkReader{from: from} }
+func newChunkReader(from *bufio.Reader) *chunkReader { return &chunkReader{reader: from} }
 
 func (c *chunkReader) Read(p []byte) (int, error) {
-	for c.err == nil && c.left == 0 {
-		c.err = c.next()
+	for c.err == nil && c.remaining == 0 {
+		c.err = c.readChunkHeader()
 	}
 	if c.err != nil || len(p) == 0 {
 		return 0, c.err
 	}
-	n, err := c.from.Read(p[:min(uint64(len(p)), c.left)])
-	c.left -= uint64(n)
-	if err == io.EOF {
+	n, err := c.reader.Read(p[:min(uint64(len(p)), c.remaining)])
+	c.remaining -= uint64(n)
+	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	c.err = err
 	return n, err
 }
 
-// next reads what stands before the data of a chunk; io.EOF after the last one.
-func (c *chunkReader) next() error {
-	if c.begun {
-		line, err := c.line()
+// readChunkHeader reads the line before the data of a chunk; io.EOF after the last chunk.
+func (c *chunkReader) readChunkHeader() error {
+	if c.inChunk {
+		line, err := c.readLine()
 		if err == nil && len(line) > 0 {
-			err = errChunk
+			err = errBadChunk
 		}
 		if err != nil {
 			return err
 		}
 	}
-	c.begun = true
-	line, err := c.line()
+	c.inChunk = true
+	line, err := c.readLine()
 	if err != nil {
 		return err
 	}
-	size, _, _ := bytes.Cut(line, []byte(";")) // extensions tell nothing here
+	size, _, _ := bytes.Cut(line, []byte(";")) // without extensions
 	size = bytes.TrimRight(size, " \t")
-	if len(size) > chunkDigits || bytes.ContainsFunc(size, func(r rune) bool { return r == '+' || r == '-' || r == '_' }) {
-		return errChunk
+	if len(size) > maxChunkDigits || bytes.ContainsFunc(size, func(r rune) bool { return r == '+' || r == '-' || r == '_' }) {
+		return errBadChunk
 	}
-	if c.left, err = strconv.ParseUint(string(size), 16, 64); err != nil {
-		return errChunk
+	if c.remaining, err = strconv.ParseUint(string(size), 16, 64); err != nil {
+		return errBadChunk
 	}
-	// Chunks of a byte each, or with long extensions, cost their reader more than they say.
-	spare := int64(min(c.left, chunkExtra))
-	if c.extra = max(c.extra+int64(len(line))+2-chunkLine-2*spare, 0); c.extra > chunkExtra {
-		return errChunk
+	// Chunks of a byte each, or with long extensions, take more work than their data is worth.
+	spare := int64(min(c.remaining, maxChunkOverhead))
+	if c.overhead = max(c.overhead+int64(len(line))+2-freeChunkLineBytes-2*spare, 0); c.overhead > maxChunkOverhead {
+		return errBadChunk
 	}
-	if c.left == 0 {
+	if c.remaining == 0 {
 		return io.EOF
 	}
 	return nil
 }
 
-// line reads one line, without its end, which is CR and LF: a bare LF would be another line to another reader.
-func (c *chunkReader) line() ([]byte, error) {
-	line, err := c.from.ReadSlice('\n')
+// readLine reads a line without its end, which must be CR LF: other readers may not take a bare LF for a line end.
+func (c *chunkReader) readLine() ([]byte, error) {
+	line, err := c.reader.ReadSlice('\n')
 	switch {
-	case err == io.EOF:
+	case errors.Is(err, io.EOF):
 		return nil, io.ErrUnexpectedEOF
-	case err == bufio.ErrBufferFull:
-		return nil, errChunk
+	case errors.Is(err, bufio.ErrBufferFull):
+		return nil, errBadChunk
 	case err != nil:
 		return nil, err
 	}
 	line, ok := bytes.CutSuffix(line, []byte("\r\n"))
 	if !ok || bytes.IndexByte(line, '\r') >= 0 {
-		return nil, errChunk
+		return nil, errBadChunk
 	}
 	return line, nil
 }
 
-// chunkWriter writes each piece as a chunk. What ends a body is written by Close, but for the empty line behind the trailers.
-type chunkWriter struct{ to io.Writer }
+// chunkWriter writes each piece as a chunk. Close writes the last chunk, but not the empty line behind the trailers.
+type chunkWriter struct{ writer io.Writer }
 
 func (c *chunkWriter) Write(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
-	chunk := make([]byte, 0, len(p)+chunkDigits+4)
+	chunk := make([]byte, 0, len(p)+maxChunkDigits+4)
 	chunk = strconv.AppendUint(chunk, uint64(len(p)), 16)
 	chunk = append(append(append(chunk, "\r\n"...), p...), "\r\n"...)
-	if _, err := c.to.Write(chunk); err != nil {
+	if _, err := c.writer.Write(chunk); err != nil {
 		return 0, err
 	}
 	return len(p), nil
 }
 
 func (c *chunkWriter) Close() error {
-	_, err := io.WriteString(c.to, "0\r\n")
+	_, err := io.WriteString(c.writer, "0\r\n")
 	return err
 }
--- a/internal/sidecar/chunks_test.go
+++ b/internal/sidecar/chunks_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"io"
 	"net/http/httputil"
 	"strings"
@@ -54,7 +55,7 @@
 		if (err == nil) != (wrong == nil) || err == nil && !bytes.Equal(got, want) {
 			t.Errorf("%.40q: %v, %d bytes; the library: %v, %d bytes", text, err, len(got), wrong, len(want))
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			t.Errorf("%.40q ends as a whole body", text)
 		}
 	}
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -11,6 +11,7 @@
 	"hash/fnv"
 	"io"
 	"log/slog"
+	"math"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -19,26 +20,27 @@
 	"sync"
 	"time"
 
-	"whinknot"
+	"milletmast/balancer"
 )
 
 const (
-	watchSilence = 4500 * time.Millisecond // a watch beats every 2 s: after two missed beats it is dead
-	callTime     = 6 * time.Second         // longest wait for a call's turn
-	dialList     = 2 * time.Second
-	backoffFirst = 200 * time.Millisecond // between watches of an agent that pushes; doubles, with jitter
-	backoffMost  = 3 * time.Second
-	maxLine      = 8 << 20 // bytes of one line of a watch
+	defaultWatchTimeout  = 4500 * time.Millisecond // a watch sends a line every 2 s: two are missing then
+	watchCallTimeout     = 6 * time.Second         // for the response to a call
+	discoveryDialTimeout = 2 * time.Second
+	minWatchBackoff      = 200 * time.Millisecond // between watches of an agent that pushes; it doubles, with jitter
+	maxWatchBackoff      = 3 * time.Second
+	initialListLine      = 16 << 10 // bytes of one line of a watch
+	maxListLine          = 8 << 20
 )
 
-// List is what discovery tells: a whole list or changes.
+// List is a list of servers from discovery, or changes of it.
 type List struct {
 	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
+	Full    bool     `json:"all"`
 	Targets []Target `json:"targets"`
 }
 
-// Target is one line of a list.
+// Target is one server of a list.
 type Target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -51,108 +53,117 @@
 	Backup   bool    `json:"-"` // of an operator file
 }
 
-var states = map[string]whinknot.ServerState{
-	"Ready": whinknot.Ready, "Terminating": whinknot.Draining, "Gone": whinknot.Gone,
+// The states of a target.
+const (
+	stateReady       = "Ready"
+	stateTerminating = "Terminating"
+	stateGone        = "Gone"
+)
+
+// serverStates are the states of targets for the decision module.
+var serverStates = map[string]balancer.ServerState{
+	stateReady: balancer.Ready, stateTerminating: balancer.Draining, stateGone: balancer.Gone,
 }
 
-// ParseList reads one list and checks each line of it.
+// ParseList decodes a list and checks each target.
 func ParseList(text []byte) (List, error) {
 	var l List
 	if err := json.Unmarshal(text, &l); err != nil {
 		return l, err
 	}
 	for i, t := range l.Targets {
-		if _, ok := states[t.State]; !ok || t.UID == "" {
+		if _, ok := serverStates[t.State]; !ok || t.UID == "" {
 			return l, fmt.Errorf("targets[%d]: uid %q or state %q is unknown", i, t.UID, t.State)
 		}
-		if _, _, err := net.SplitHostPort(t.Endpoint); err != nil && states[t.State] != whinknot.Gone {
+		if _, _, err := net.SplitHostPort(t.Endpoint); err != nil && serverStates[t.State] != balancer.Gone {
 			return l, fmt.Errorf("targets[%d]: endpoint: %w", i, err)
 		}
 	}
 	return l, nil
 }
 
-// directory gives servers their ids. A uid hashes to the same id at every sidecar, as the module's share-out
-// of servers over copies needs; only of two that collide, one gets another id.
-type directory struct {
+// serverIDs numbers servers for the decision module. A uid hashes to the same id at every sidecar, as the division of servers among
+// replicas needs; of two uids with the same hash, one gets another id.
+type serverIDs struct {
 	zones, kinds []string
 	ids          map[string]uint32
-	taken        map[uint32]string
+	uids         map[uint32]string
 }
 
-func newDirectory(zones, kinds []string) *directory {
-	return &directory{zones: zones, kinds: kinds, ids: map[string]uint32{}, taken: map[uint32]string{}}
+func newServerIDs(zones, kinds []string) *serverIDs {
+	return &serverIDs{zones: zones, kinds: kinds, ids: map[string]uint32{}, uids: map[uint32]string{}}
 }
 
-func (d *directory) id(uid string) uint32 {
+// id returns the id of a server, and assigns it if it is new.
+func (d *serverIDs) id(uid string) uint32 {
 	if id, ok := d.ids[uid]; ok {
 		return id
 	}
 	h := fnv.New32a()
-	io.WriteString(h, uid)
+	h.Write([]byte(uid))
 	id := h.Sum32()
-	for d.taken[id] != "" {
+	for d.uids[id] != "" {
 		id++
 	}
-	d.ids[uid], d.taken[id] = id, uid
+	d.ids[uid], d.uids[id] = id, uid
 	return id
 }
 
-// entry turns a line of the list into the module's. A zone that the settings do not name is nobody's own.
-func (d *directory) entry(t *Target) whinknot.ServerEntry {
+// serverEntry converts a target for the decision module. A zone that the settings do not name is none of a replica's own.
+func (d *serverIDs) serverEntry(t *Target) balancer.ServerEntry {
 	zone, kind := slices.Index(d.zones, t.Zone), slices.Index(d.kinds, t.Kind)
 	if zone < 0 {
-		zone = min(len(d.zones), 255)
+		zone = min(len(d.zones), math.MaxUint8)
 	}
-	return whinknot.ServerEntry{
+	return balancer.ServerEntry{
 		Server: d.id(t.UID), Zone: uint8(zone), Kind: uint16(max(kind, 0)), Cell: t.Cell,
-		State: states[t.State], Weight: t.Weight, Started: t.BootMS, Backup: t.Backup,
+		State: serverStates[t.State], Weight: t.Weight, Started: t.BootMS, Backup: t.Backup,
 	}
 }
 
-// forget drops servers that no list names any more: uids come and go for as long as a sidecar runs.
-func (d *directory) forget(listed func(id uint32) bool) {
+// forget drops servers that are not listed any more, as new uids come for as long as a sidecar runs.
+func (d *serverIDs) forget(listed func(id uint32) bool) {
 	for uid, id := range d.ids {
 		if !listed(id) {
 			delete(d.ids, uid)
-			delete(d.taken, id)
+			delete(d.uids, id)
 		}
 	}
 }
 
-// discovery holds the watch on the list. Where the list is asked for, the module says when to watch;
-// where it is pushed, the watch is on an agent nearby and is taken up again by itself.
-// A newer watch takes over from an older one as soon as it is answered, so that a move leaves no gap.
+// discovery watches the list of servers. If the list is requested, the decision module says when to watch; if it is pushed by an
+// agent, the watch is renewed by itself. A new watch replaces the active one once it has been answered, so that a change of the
+// address leaves no gap.
 type discovery struct {
-	silence time.Duration // after which a watch is dead
-	tell    func(List)    // a list or a change came
-	failed  func()        // the latest call failed or its watch broke
+	watchTimeout time.Duration // without a line
+	onList       func(List)    // called with each list or change
+	onFailure    func()        // called when the latest call failed or its watch broke
 
-	mu    sync.Mutex
-	addr  string
-	rev   int64  // version of the list held
-	begun int    // number of the latest watch
-	heard int    // number of the one that is listened to
-	end   func() // ends that one
+	mu           sync.Mutex
+	addr         string
+	rev          int64  // version of the latest list
+	latestWatch  int    // number of the latest watch
+	activeWatch  int    // number of the watch whose lists count
+	cancelActive func() // ends that watch
 }
 
-// newDiscovery makes one that tells a loop, which holds the list of a version; 0 for none.
-func newDiscovery(l *loop, addr string, rev int64) *discovery {
+// newDiscovery returns a discovery for a loop that has the list of a version; 0 for none.
+func newDiscovery(l *eventLoop, addr string, rev int64) *discovery {
 	return &discovery{
-		addr: addr, rev: rev, silence: watchSilence,
-		tell: func(list List) {
-			kind := whinknot.ListDelta
-			if list.All {
-				kind = whinknot.ListFull
+		addr: addr, rev: rev, watchTimeout: defaultWatchTimeout,
+		onList: func(list List) {
+			kind := balancer.ListDelta
+			if list.Full {
+				kind = balancer.ListFull
 			}
-			l.post(func() { l.list(list, kind) })
+			l.post(func() { l.applyList(list, kind) })
 		},
-		failed: func() { l.post(l.listFailed) },
+		onFailure: func() { l.post(l.listFailed) },
 	}
 }
 
-// move has the next watches made at another address and tells whether it is one.
-func (d *discovery) move(addr string) bool {
+// setAddr sets the address of later watches, and reports whether it is a new one.
+func (d *discovery) setAddr(addr string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	moved := d.addr != addr
@@ -160,69 +171,69 @@
 	return moved
 }
 
-// at returns the address and the version of the list held.
-func (d *discovery) at() (string, int64) {
+// current returns the address and the version of the latest list.
+func (d *discovery) current() (string, int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addr, d.rev
 }
 
-// follow keeps a pushed list watched until ctx ends or discovery moves.
-func (d *discovery) follow(ctx context.Context) {
-	wait := backoffFirst
-	addr, rev := d.at()
-	for here := addr; ctx.Err() == nil && here == addr; {
-		d.once(ctx)
-		now := rev
-		if here, now = d.at(); now != rev {
-			wait, rev = backoffFirst, now
+// run keeps a pushed list watched until ctx ends or the address changes.
+func (d *discovery) run(ctx context.Context) {
+	backoff := minWatchBackoff
+	firstAddr, rev := d.current()
+	for addr := firstAddr; ctx.Err() == nil && addr == firstAddr; {
+		d.watchOnce(ctx)
+		var latest int64
+		if addr, latest = d.current(); latest != rev {
+			backoff, rev = minWatchBackoff, latest
 		}
 		select {
-		case <-time.After(wait/2 + rand.N(wait)):
+		case <-time.After(backoff/2 + rand.N(backoff)):
 		case <-ctx.Done():
 		}
-		wait = min(2*wait, backoffMost)
+		backoff = min(2*backoff, maxWatchBackoff)
 	}
 }
 
-// once watches until the watch ends, and reports that unless a later watch has been begun meanwhile.
-func (d *discovery) once(ctx context.Context) {
+// watchOnce watches until the watch ends, and reports that unless a later watch has been started meanwhile.
+func (d *discovery) watchOnce(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	d.mu.Lock()
-	d.begun++
-	number, addr, rev := d.begun, d.addr, d.rev
+	d.latestWatch++
+	number, addr, rev := d.latestWatch, d.addr, d.rev
 	d.mu.Unlock()
-	err := d.watch(ctx, addr, rev, func(f func()) error { return d.hear(number, cancel, f) })
+	err := d.watch(ctx, addr, rev, func(f func()) error { return d.forActive(number, cancel, f) })
 	d.mu.Lock()
-	latest := number == d.begun
+	latest := number == d.latestWatch
 	d.mu.Unlock()
 	slog.Info("watch ended", "addr", addr, "latest", latest, "err", err)
 	if latest {
-		d.failed()
+		d.onFailure()
 	}
 }
 
-var errOvertaken = errors.New("a later watch has been answered")
+var errSuperseded = errors.New("a later watch has been answered")
 
-// hear runs f on behalf of a watch, unless a later one has been heard; the one heard before ends.
-func (d *discovery) hear(number int, cancel func(), f func()) error {
+// forActive calls f for a watch, which becomes the active one. It fails if a later watch is active.
+func (d *discovery) forActive(number int, cancel func(), f func()) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if number < d.heard {
-		return errOvertaken
+	if number < d.activeWatch {
+		return errSuperseded
 	}
-	if number > d.heard && d.end != nil {
-		d.end()
+	if number > d.activeWatch && d.cancelActive != nil {
+		d.cancelActive()
 	}
-	d.heard, d.end = number, cancel
+	d.activeWatch, d.cancelActive = number, cancel
 	f()
 	return nil
 }
 
-// watch makes one call and passes on what comes, through hear; it returns when the watch is over.
-func (d *discovery) watch(ctx context.Context, addr string, rev int64, hear func(func()) error) error {
-	dialer := net.Dialer{Timeout: dialList}
+// watch makes one call and applies the lists that are received by forActive. It returns when the watch has ended.
+func (d *discovery) watch(ctx context.Context, addr string, rev int64, forActive func(func()) error) error {
+	dialer := net.Dialer{Timeout: discoveryDialTimeout}
 	c, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
@@ -234,24 +245,32 @@
 	if err != nil {
 		return err
 	}
-	c.SetDeadline(time.Now().Add(callTime))
+	if err := c.SetDeadline(time.Now().Add(watchCallTimeout)); err != nil {
+		return err
+	}
 	if err := req.Write(c); err != nil {
 		return err
 	}
-	res, err := http.ReadResponse(bufio.NewReader(c), req)
+	response, err := http.ReadResponse(bufio.NewReader(c), req)
 	if err != nil {
 		return err
 	}
-	if res.StatusCode != http.StatusOK {
-		return errors.New(res.Status)
+	defer func() {
+		c.Close() // first, as the body is read to its end when it is closed
+		response.Body.Close()
+	}()
+	if response.StatusCode != http.StatusOK {
+		return errors.New(response.Status)
 	}
-	if err := hear(func() {}); err != nil {
+	if err := forActive(func() {}); err != nil {
 		return err
 	}
-	lines := bufio.NewScanner(res.Body)
-	lines.Buffer(make([]byte, 0, 1<<14), maxLine)
+	lines := bufio.NewScanner(response.Body)
+	lines.Buffer(make([]byte, 0, initialListLine), maxListLine)
 	for lines.Scan() {
-		c.SetDeadline(time.Now().Add(d.silence))
+		if err := c.SetDeadline(time.Now().Add(d.watchTimeout)); err != nil {
+			return err
+		}
 		line := bytes.TrimSpace(lines.Bytes())
 		if len(line) == 0 {
 			continue
@@ -260,7 +279,7 @@
 		if err != nil {
 			return fmt.Errorf("list: %w", err)
 		}
-		if err := hear(func() { d.rev = l.Rev; d.tell(l) }); err != nil {
+		if err := forActive(func() { d.rev = l.Rev; d.onList(l) }); err != nil {
 			return err
 		}
 	}
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -5,44 +5,44 @@
 	"net"
 	"time"
 
-	"whinknot/internal/grpcfront"
+	"milletmast/internal/grpcfront"
 )
 
-const drainPoll = 5 * time.Millisecond
+const drainPollInterval = 5 * time.Millisecond
 
-// gate is a front and the listener that it takes connections from.
-type gate struct {
-	front    *front
+// drainingListener is a listener that is being drained, with what serves its connections.
+type drainingListener struct {
+	frontend *frontend
 	listener net.Listener
-	rpc      *grpcfront.Front // nil where there is none
+	grpc     *grpcfront.Server // nil for none
 }
 
-// drainFronts ends fronts in order: they go on taking requests while new connections may come, and on those that they
-// have for as long as what comes there can be finished; then they finish what was taken. What is left at last is given
-// up.
-func drainFronts(gates []gate, cs *callers, accept, last time.Duration, giveUp func()) {
-	begun := time.Now()
-	for _, g := range gates {
-		g.front.draining.Store(true)
+// drainFrontends ends listeners gracefully. New connections are accepted for acceptTime. Requests are accepted on the open
+// connections for as long as there is time to finish them, and then only those that are open are finished. After drainTime
+// answerAll is called for what is left. Both times count from the call.
+func drainFrontends(listeners []drainingListener, clients *clientConns, acceptTime, drainTime time.Duration, answerAll func()) {
+	startedAt := time.Now()
+	for _, l := range listeners {
+		l.frontend.draining.Store(true)
 	}
-	time.Sleep(accept)
-	for _, g := range gates {
-		g.listener.Close()
-		if g.rpc != nil {
-			g.rpc.Drain()
+	time.Sleep(acceptTime)
+	for _, l := range listeners {
+		l.listener.Close()
+		if l.grpc != nil {
+			l.grpc.Drain()
 		}
 	}
-	time.Sleep(time.Until(begun.Add(last - finishTime)))
-	for _, g := range gates {
-		g.front.ending.Store(true)
+	time.Sleep(time.Until(startedAt.Add(drainTime - platformFinishTime)))
+	for _, l := range listeners {
+		l.frontend.closing.Store(true)
 	}
-	timer := time.AfterFunc(time.Until(begun.Add(last)), giveUp)
+	timer := time.AfterFunc(time.Until(startedAt.Add(drainTime)), answerAll)
 	defer timer.Stop()
-	cs.drain(begun.Add(last + lastWrites))
+	clients.drain(startedAt.Add(drainTime + finalWriteTime))
 }
 
-// wait waits until no connection is left or the time is up.
-func (cs *callers) wait(until time.Time) {
+// wait waits until no connection is left, or until a time.
+func (cs *clientConns) wait(until time.Time) {
 	for time.Now().Before(until) {
 		cs.mu.Lock()
 		left := cs.open
@@ -50,26 +50,32 @@
 		if left == 0 {
 			return
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// drain closes what has no open request, until nothing is left or the time is up.
-func (cs *callers) drain(until time.Time) {
+// drain closes connections without an open request, until none is left or until a time.
+func (cs *clientConns) drain(until time.Time) {
 	for left := 1; left > 0 && time.Now().Before(until); {
-		cs.mu.Lock()
-		for _, l := range []*list.List{cs.fresh, cs.quiet} {
-			for e := l.Front(); e != nil; {
-				next := e.Next()
-				if c := e.Value.(*caller); !c.leaves {
-					l.Remove(e)
-					c.Close()
-				}
-				e = next
+		left = cs.closeIdle()
+		time.Sleep(drainPollInterval)
+	}
+}
+
+// closeIdle closes the connections without an open request, except those that drain by themselves. It returns how many
+// connections are open.
+func (cs *clientConns) closeIdle() (open int) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	for _, l := range []*list.List{cs.idleUnused, cs.idleUsed} {
+		for e := l.Front(); e != nil; {
+			next := e.Next()
+			if c := e.Value.(*clientConn); !c.drainsItself {
+				l.Remove(e)
+				c.Close()
 			}
+			e = next
 		}
-		left = cs.open
-		cs.mu.Unlock()
-		time.Sleep(drainPoll)
 	}
+	return cs.open
 }
--- a/internal/sidecar/errorpage.go
+++ b/internal/sidecar/errorpage.go
@@ -5,42 +5,42 @@
 	"strconv"
 	"time"
 
-	"whinknot"
-	"whinknot/internal/vhost"
+	"milletmast/balancer"
+	"milletmast/internal/vhost"
 )
 
-// mostAttempts is the number of attempts of one request, over all the pools that it is sent to.
-const mostAttempts = 4
+// maxTotalAttempts bounds the attempts of one request, over all pools that it is sent to.
+const maxTotalAttempts = 4
 
-// replacing is a request of a site whose answer an error page may replace (see vhost.ErrorPage).
-type replacing struct {
-	door   *door
-	caller *caller
-	came   time.Time
-	head   message // as it came
-	host   string
-	most   int64
-	out    vhost.Outcome
-	class  whinknot.Effect // of the first call
-	body   *call           // the first call, which holds the body
+// errorPageHandler handles a request of a site whose response an error page may replace (vhost.ErrorPage).
+type errorPageHandler struct {
+	router    *listenerRouter
+	client    *clientConn
+	arrivedAt time.Time
+	head      message // as received
+	host      string
+	maxBody   int64
+	outcome   vhost.Outcome
+	effect    balancer.Effect // of the first call
+	firstCall *call           // it holds the body
 }
 
-// standIn is what stands in for an answer: another answer, or a call that is to be made first.
-type standIn struct {
-	fixed  *answer
-	next   *taken
-	page   bool // next is a request of its own
-	status int  // see vhost.Outcome
+// replacement is what replaces a response: another response, or that of a call that is made first.
+type replacement struct {
+	response *response
+	next     *intakeResult
+	isPage   bool // next is a request of its own
+	status   int  // see vhost.Outcome
 }
 
-// effect is what a repeat of a request would do in the pool that it goes to.
-func (d *door) effect(out *vhost.Outcome) whinknot.Effect {
+// effectOf returns the effect of repeating a request in the pool that an outcome sends it to.
+func (d *listenerRouter) effectOf(out *vhost.Outcome) balancer.Effect {
 	p := d.pools[out.Do.Pool]
-	return p.set.Classes[p.classes[out.Class]].Effect
+	return p.settings.Classes[p.classes[out.Class]].Effect
 }
 
-// asPage takes away what belongs to the request that a page stands in for: its conditions, and the part that it wants.
-func asPage(h http.Header) {
+// removeRequestFields removes what belongs to the request whose response a page replaces: its conditions, its range and its body.
+func removeRequestFields(h http.Header) {
 	for _, name := range []string{
 		"Range", "If-Range", "If-Match", "If-None-Match", "If-Modified-Since", "If-Unmodified-Since", "Idempotency-Key", "Expect",
 		"Content-Type", "Content-Encoding",
@@ -49,117 +49,142 @@
 	}
 }
 
-// statuses are those by which an error page is looked up. Refusals are none of nginx, whose word for a pool without a server
-// that can take the request is 502; that for a server that was too slow is 504.
-func (r *replacing) statuses(a *answer) []int {
+// statuses returns the statuses by which an error page is looked up. The statuses of nginx, for which the pages were written, are
+// 502 for a pool without a usable server, where this sidecar rejects with 503, and 504 for a server that is too slow.
+func (h *errorPageHandler) statuses(r *response) []int {
 	switch {
-	case a.made && a.status == statusRefused:
+	case r.isLocal && r.status == statusRefused:
 		return []int{http.StatusServiceUnavailable, http.StatusBadGateway}
-	case a.made && a.late:
+	case r.isLocal && r.timedOut:
 		return []int{http.StatusGatewayTimeout}
-	case a.made:
+	case r.isLocal:
 		return []int{http.StatusBadGateway}
-	case r.out.Intercepts() && a.status >= 300:
-		return []int{a.status}
+	case h.outcome.Intercepts() && r.status >= 300:
+		return []int{r.status}
 	}
 	return nil
 }
 
-// instead tells what stands in for an answer. A request goes on to a named location only as its class allows: once it may have
-// run, only if it is safe there and here; never with more attempts than a request may have, nor for longer than its caller waits.
-func (r *replacing) instead(a *answer) *standIn {
-	if r.out.Status != 0 { // the call was itself a page, for an error of the table's
-		if r.out.Status != vhost.Own && !a.made {
-			own := *a
-			own.status = r.out.Status
-			return &standIn{fixed: &own, status: vhost.Own}
-		}
-		return nil
-	}
-	out, ok := r.out.Recover(r.statuses(a)...)
+// replace returns what replaces a response; nil for nothing. A request is sent to a named location only as its class allows: once
+// it may have been executed, only if it is safe in both pools. It never gets more attempts than a request may have, nor more time
+// than its client waits.
+func (h *errorPageHandler) replace(r *response) *replacement {
+	if h.outcome.Status != 0 { // the call was itself for a page
+		return h.replacePageStatus(r)
+	}
+	out, ok := h.outcome.Recover(h.statuses(r)...)
 	if !ok {
 		return nil
 	}
 	if a := out.Answer; a != nil {
-		return &standIn{fixed: fixedAnswer(a.Status, a.Body, a.Location, out.Method), status: vhost.Own}
+		return &replacement{response: fixedResponse(a.Status, a.Body, a.Location, out.Method), status: vhost.Own}
 	}
-	k := r.body
-	if k.out.upload != nil || !out.Page && a.ran && (r.class != whinknot.Safe || r.door.effect(&out) != whinknot.Safe) {
+	if !h.mayForward(r, &out) {
 		return nil
 	}
-	left := mostAttempts - a.attempts
-	if left < 1 {
+	head, ok := h.remainingHead()
+	if !ok {
 		return nil
 	}
-	m := r.head
-	m.header = r.head.header.Clone()
-	if seconds, told, _ := deadline(m.header); told {
-		if seconds -= time.Since(r.came).Seconds(); seconds <= 0 {
-			return nil
-		}
-		m.header.Set("X-Deadline", strconv.FormatFloat(seconds, 'f', 3, 64))
-	}
 	if out.Page {
-		m.length = 0
+		head.length = 0
 	}
-	next := r.door.toSite(r.caller, &m, &out, r.host, r.most)
-	if next.call == nil {
+	next := h.router.callForSite(h.client, &head, &out, h.host, h.maxBody)
+	if next.call == nil || !h.limitAttempts(next.call, r) {
 		return nil
 	}
-	n := next.call
-	if tree := n.tree; tree != nil { // it draws on what the request has left in its tree, not on a new one
-		tree.budget = k.tree.budget
-		if a.attempts > 0 && !tree.budget.Spend() {
-			return nil
+	if !out.Page {
+		next.call.http.body = h.firstCall.http.body
+	}
+	return &replacement{next: &next, isPage: out.Page, status: out.Status}
+}
+
+// replacePageStatus returns the response of a page with the status that the site gives it.
+func (h *errorPageHandler) replacePageStatus(r *response) *replacement {
+	if h.outcome.Status == vhost.Own || r.isLocal {
+		return nil
+	}
+	page := *r
+	page.status = h.outcome.Status
+	return &replacement{response: &page, status: vhost.Own}
+}
+
+// mayForward reports whether the request may be sent to another location after a response.
+func (h *errorPageHandler) mayForward(r *response, out *vhost.Outcome) bool {
+	if h.firstCall.http.upload != nil || r.attempts >= maxTotalAttempts {
+		return false
+	}
+	isRepeat := !out.Page && r.mayHaveExecuted
+	return !isRepeat || h.effect == balancer.Safe && h.router.effectOf(out) == balancer.Safe
+}
+
+// remainingHead returns the head of the request with the remaining time of its client; false if there is none left.
+func (h *errorPageHandler) remainingHead() (message, bool) {
+	head := h.head
+	head.header = h.head.header.Clone()
+	if seconds, given, _ := parseDeadline(head.header); given {
+		if seconds -= time.Since(h.arrivedAt).Seconds(); seconds <= 0 {
+			return message{}, false
 		}
-		left = min(left, 1+tree.budget.Left())
+		head.header.Set("X-Deadline", strconv.FormatFloat(seconds, 'f', 3, 64))
 	}
-	if n.event.Attempts == 0 || n.event.Attempts > left {
-		n.event.Attempts = left
+	return head, true
+}
+
+// limitAttempts gives a call the attempts that the request has left, also in its tree of calls; false if there is none.
+func (h *errorPageHandler) limitAttempts(next *call, r *response) bool {
+	left := maxTotalAttempts - r.attempts
+	if tree := next.tree; tree != nil {
+		tree.budget = h.firstCall.tree.budget
+		if r.attempts > 0 && !tree.budget.Spend() {
+			return false
+		}
+		left = min(left, 1+tree.budget.Remaining())
 	}
-	if !out.Page {
-		n.out.body = k.out.body
+	if next.event.Attempts == 0 || next.event.Attempts > left {
+		next.event.Attempts = left
 	}
-	return &standIn{next: &next, page: out.Page, status: out.Status}
+	return true
 }
 
-// replace gives the final answer to a request whose call has ended with one that something may stand in for.
-func (f *front) replace(c *caller, t *taken, a answer) (answer, bool) {
-	s := t.instead(&a)
+// replaceResponse returns the final response to a request whose response may be replaced; false if the client leaves before.
+func (f *frontend) replaceResponse(c *clientConn, t *intakeResult, r response) (response, bool) {
+	s := t.replace(&r)
 	if s == nil {
-		return a, true
+		return r, true
 	}
-	if a.rest != nil { // its body is not wanted
-		t.loop.post(func() { t.loop.callOff(t.call) })
-		a.rest, a.body = nil, nil // and cannot be had any more if what stands in fails
+	if r.stream != nil { // its body is not used, and cannot be if the replacement fails
+		t.loop.post(func() { t.loop.abortAttempts(t.call) })
+		r.stream, r.body = nil, nil
 	}
-	if s.fixed != nil {
-		return a.as(*s.fixed, s.status), true
+	if s.response != nil {
+		return r.replacedBy(*s.response, s.status), true
 	}
-	b, ok := f.have(c, s.next)
+	next, ok := f.awaitResponse(c, s.next)
 	switch {
 	case !ok:
-		return b, false
-	case !b.made:
-		return a.as(b, s.status), true
-	case !s.page && b.ran && a.status == statusRefused: // the refusal's promise does not hold any more
-		return b, true
+		return next, false
+	case !next.isLocal:
+		return r.replacedBy(next, s.status), true
+	case !s.isPage && next.mayHaveExecuted && r.status == statusRefused: // it is not certain any more that nothing was executed
+		return next, true
 	}
-	return a, true
+	return r, true
 }
 
-// as gives what stands in for an error the status that it is to have. With that of a refusal goes when to come back.
-func (a *answer) as(b answer, status int) answer {
+// replacedBy returns the replacement of a response, with the status that it is to have. The status of a rejection comes with its
+// Retry-After.
+func (r *response) replacedBy(next response, status int) response {
 	switch status {
 	case vhost.Own:
-		return b
+		return next
 	case 0:
-		b.status, b.retryAfter, b.tier, b.notRun = a.status, a.retryAfter, a.tier, a.notRun
+		next.status, next.retryAfter, next.callOutcome, next.notExecuted = r.status, r.retryAfter, r.callOutcome, r.notExecuted
 	default:
-		b.status = status
+		next.status = status
 	}
-	if b.length == untold && b.rest == nil { // it had no body by its own status
-		b.bare = false
+	if next.length == lengthUnknown && next.stream == nil { // it had no body by its own status
+		next.noBody = false
 	}
-	return b
+	return next
 }
--- a/internal/sidecar/explain.go
+++ b/internal/sidecar/explain.go
@@ -4,15 +4,15 @@
 	"fmt"
 	"net/http"
 
-	"whinknot/internal/route"
-	"whinknot/internal/vhost"
+	"milletmast/internal/route"
+	"milletmast/internal/vhost"
 )
 
-// Explain tells in one line where a request would go by a table, and by sites (nil for none) if no route matches:
-// pool=NAME class=NAME route=NAME path=PATH, with site=NAME location=NAME in place of route where a site decides, or
-// status=CODE, with location=URL for a redirect. It reads the target just as a listener does.
+// Explain says in one line where a request is sent by a table of routes, and by sites (nil for none) if no route matches:
+// pool=NAME class=NAME route=NAME path=PATH, with site=NAME location=NAME in place of the route if a site decides, or
+// status=CODE, with location=URL for a redirect. It reads the target as a listener does.
 func Explain(t *route.Table, sites *vhost.Table, method, target string, h http.Header) string {
-	req, own, status, _ := readTarget(&message{first: method + " " + target + " " + versionFor(h), header: h})
+	req, own, status, _ := readTarget(&message{startLine: method + " " + target + " " + versionFor(h), header: h})
 	if status != 0 {
 		return fmt.Sprintf("status=%d", status)
 	}
@@ -22,7 +22,7 @@
 	return explain(t, req)
 }
 
-// versionFor is a version of HTTP that allows for a head without a Host where there is none.
+// versionFor returns a version of HTTP that allows the head to have no Host if it has none.
 func versionFor(h http.Header) string {
 	if h.Get("Host") == "" {
 		return "HTTP/1.0"
@@ -30,8 +30,8 @@
 	return "HTTP/1.1"
 }
 
-// ExplainCall does so for a gRPC call of a method, as /package.Service/Method, by a table of calls.
-func ExplainCall(t *route.Table, method string, h http.Header) string {
+// ExplainGRPC does the same for a gRPC call of a method, as /package.Service/Method, by a table of gRPC routes.
+func ExplainGRPC(t *route.Table, method string, h http.Header) string {
 	req, why := routeRequest(http.MethodPost, method, h.Get("Host"), h)
 	if why != "" {
 		return fmt.Sprintf("status=%d", http.StatusBadRequest)
