--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"maps"
@@ -28,16 +29,17 @@
 	if change != nil {
 		change(s)
 	}
-	go s.Run(t.Context())
+	go func() { _ = s.Run(t.Context()) }()
 	return s, came
 }
 
 // ends waits for the sidecar to close a connection and returns all that it wrote.
 func (c *client) ends(t *testing.T) string {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(long))
 	text, err := io.ReadAll(c.reader)
-	if e, ok := err.(net.Error); ok && e.Timeout() {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		t.Fatalf("the connection stays open, after %q", text)
 	}
 	return string(text)
@@ -61,12 +63,12 @@
 		"long length":         {pay + "Content-Length: 60000000\r\n\r\n" + hidden, 413},
 		"chunks that are not": {pay + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + hidden, 400},
 		"noise":               {"\x16\x03\x01\x00\xa5\r\n\r\n" + hidden, 400},
-		"head without end":    {pay + strings.Repeat("X-Pad: p\r\n", maxHead/10+1), 413},
+		"head without end":    {pay + strings.Repeat("X-Pad: p\r\n", maxHeadBytes/10+1), 413},
 		"another protocol":    {"GET /read/x HTTP/2.0\r\nHost: b\r\nX-Class: read\r\nX-Request-Id: 1\r\n\r\n" + hidden, 400},
 		"no class":            {"GET /nothing HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\n\r\n" + hidden, 404},
 	} {
 		k := dial(t, s)
-		io.WriteString(k, c.text)
+		_, _ = io.WriteString(k, c.text)
 		if got := k.ends(t); !strings.HasPrefix(got, fmt.Sprint("HTTP/1.1 ", c.want)) || strings.Count(got, "HTTP/1.1") != 1 {
 			t.Errorf("%s: answer %q, want one of status %d", name, got, c.want)
 		}
@@ -88,7 +90,7 @@
 			}
 		}
 	}()
-	c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(long))
 	if res, err := http.ReadResponse(c.reader, nil); err != nil || res.StatusCode != 413 {
 		t.Errorf("answer %v, error %v", res, err)
 	}
@@ -96,14 +98,14 @@
 
 // Callers that say nothing, send half a request, or keep a connection for good must not hold it.
 func TestQuietConnectionsEnd(t *testing.T) {
-	s, came := serving(t, func(s *Sidecar) { s.front.quiet = 20 * time.Millisecond })
+	s, came := serving(t, func(s *Sidecar) { s.frontend.idleTimeout = 20 * time.Millisecond })
 	for name, text := range map[string]string{
 		"silent":    "",
 		"half head": "POST /pay/x HTTP/1.1\r\nHost:",
 		"half body": "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: 1\r\nContent-Length: 9\r\n\r\nhalf",
 	} {
 		c := dial(t, s)
-		io.WriteString(c, text)
+		_, _ = io.WriteString(c, text)
 		if got := c.ends(t); got != "" {
 			t.Errorf("%s: answer %q", name, got)
 		}
@@ -117,10 +119,10 @@
 		t.Errorf("status %d", res.StatusCode)
 	}
 	c.ends(t)
-	s.front.callers.mu.Lock()
-	defer s.front.callers.mu.Unlock()
-	if n := s.front.callers.quiet.Len(); n > s.front.callers.open {
-		t.Errorf("%d connections are held quiet of %d open", n, s.front.callers.open)
+	s.frontend.clients.mu.Lock()
+	defer s.frontend.clients.mu.Unlock()
+	if n := s.frontend.clients.idleUsed.Len(); n > s.frontend.clients.open {
+		t.Errorf("%d connections are held quiet of %d open", n, s.frontend.clients.open)
 	}
 }
 
@@ -155,7 +157,7 @@
 	came := make(chan struct{}, 10)
 	unusable := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		came <- struct{}{}
-		io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
 	s := start(t, config(t, unusable.Addr().String()))
@@ -180,9 +182,9 @@
 		c.answer(t)
 	}
 	for left, end := 1, time.Now().Add(long); left > 0; {
-		s.loop.ask(func() {
-			left = len(s.loop.calls) + len(s.loop.ids)
-			for _, d := range s.loop.agenda {
+		s.loop.do(func() {
+			left = len(s.loop.calls) + len(s.loop.openIDs)
+			for _, d := range s.loop.timers {
 				if d.call != nil {
 					left++
 				}
@@ -199,12 +201,12 @@
 	s, _ := serving(t, nil)
 	c := dial(t, s)
 	fmt.Fprint(c, "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: 1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-	c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(long))
 	if line, _ := c.reader.ReadString('\n'); !strings.HasPrefix(line, "HTTP/1.1 100") {
 		t.Fatalf("%q", line)
 	}
-	c.reader.ReadString('\n')
-	io.WriteString(c, "hi")
+	_, _ = c.reader.ReadString('\n')
+	_, _ = io.WriteString(c, "hi")
 	if res, _ := c.answer(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
@@ -223,14 +225,14 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r := bufio.NewReader(strings.NewReader(string(text)))
 		m, err := readMessage(r)
-		if err != nil || !strings.HasSuffix(m.first, " HTTP/1.1") || !strings.HasPrefix(m.first, "POST / ") {
+		if err != nil || !strings.HasSuffix(m.startLine, " HTTP/1.1") || !strings.HasPrefix(m.startLine, "POST / ") {
 			return
 		}
-		if m.length == untold {
+		if m.length == lengthUnknown {
 			m.length = 0
 		}
 		body, err := readBody(r, m.length)
-		if len(body) > maxBody+1 {
+		if len(body) > maxBufferedBody+1 {
 			t.Errorf("body of %d bytes", len(body))
 		}
 		if err != nil {
@@ -261,11 +263,11 @@
 		if err != nil {
 			return
 		}
-		first, header, ok := plainHead(lines)
+		first, header, ok := parseCommonHead(lines)
 		if !ok {
 			return
 		}
-		slowFirst, slow, err := anyHead(lines)
+		slowFirst, slow, err := parseHead(lines)
 		if err != nil || first != slowFirst || !maps.EqualFunc(header, slow, slices.Equal) {
 			t.Fatalf("%q: %q %q, want %q %q, %v", lines, first, header, slowFirst, slow, err)
 		}
@@ -273,7 +275,7 @@
 		again.WriteString(first + "\r\n")
 		writeHeader(&again, header, "")
 		again.WriteString("\r\n")
-		if f2, h2, err := anyHead(again.Bytes()); err != nil || f2 != first || !maps.EqualFunc(h2, header, slices.Equal) {
+		if f2, h2, err := parseHead(again.Bytes()); err != nil || f2 != first || !maps.EqualFunc(h2, header, slices.Equal) {
 			t.Fatalf("%q is read again as %q %q, %v", again.Bytes(), f2, h2, err)
 		}
 	})
@@ -303,11 +305,11 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		status, m, body, _, err := readAnswer(bufio.NewReader(strings.NewReader(string(text))))
+		status, m, body, _, err := readResponse(bufio.NewReader(strings.NewReader(string(text))))
 		if err != nil {
 			return
 		}
-		if len(body) > maxBody || status < 200 || status > 999 || m.length == untold && len(body) > 0 && m.lasts() {
+		if len(body) > maxBufferedBody || status < 200 || status > 999 || m.length == lengthUnknown && len(body) > 0 && m.keepsAlive() {
 			t.Errorf("status %d, %d bytes, head %v", status, len(body), m)
 		}
 	})
--- a/internal/sidecar/rpc_bench_test.go
+++ b/internal/sidecar/grpc_bench_test.go
@@ -3,13 +3,13 @@
 import (
 	"testing"
 
-	"whinknot/internal/standin"
+	"milletmast/internal/fakeserver"
 )
 
 // BenchmarkRPCUnary makes unary calls through an instance. Callers and servers are in the process too; for the sidecar's own
-// part use go run ./internal/measure grpc.
+// part use go run ./internal/bench grpc.
 func BenchmarkRPCUnary(b *testing.B) {
-	s, err := standin.NewServer("a")
+	s, err := fakeserver.NewServer("a")
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/sidecar/rpc_test.go
+++ b/internal/sidecar/grpc_test.go
@@ -26,13 +26,14 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"whinknot/internal/operator"
-	"whinknot/internal/pki"
-	"whinknot/internal/standin"
+	"milletmast/internal/fakeserver"
+	"milletmast/internal/freeport"
+	"milletmast/internal/operator"
+	"milletmast/internal/pki"
 )
 
 // rpcPool is the text of a gRPC pool with the classes of poolText and one of streams.
-func rpcPool(name, more string, servers ...*standin.Server) string {
+func rpcPool(name, more string, servers ...*fakeserver.Server) string {
 	text := poolText(name, "protocol = \"grpc\"\n"+more, servers...)
 	return text + "\n[[pool.class]]\nname = \"stream\"\naim = \"1s\"\ngive_up = \"2s\"\neffect = \"unsafe\"\nstream = true\n"
 }
@@ -85,20 +86,20 @@
 type rpcScript struct {
 	ln    net.Listener
 	early bool
-	play  func(p *standin.Frames, id uint32, n int)
+	play  func(p *fakeserver.FrameConn, id uint32, n int)
 
 	writing sync.Mutex // of what a connection is sent; held while play runs
 
 	mu     sync.Mutex
 	calls  int
-	heads  []standin.Frame
-	frames []standin.Frame
+	heads  []fakeserver.Frame
+	frames []fakeserver.Frame
 	conns  []net.Conn
 	opened int
 	wake   chan struct{}
 }
 
-func newScript(t testing.TB, early bool, play func(p *standin.Frames, id uint32, n int), settings ...http2.Setting) *rpcScript {
+func newScript(t testing.TB, early bool, play func(p *fakeserver.FrameConn, id uint32, n int), settings ...http2.Setting) *rpcScript {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -132,24 +133,24 @@
 }
 
 func (s *rpcScript) serve(c net.Conn, settings []http2.Setting) {
-	p := standin.NewFrames(c)
-	if p.Greet(settings...) != nil {
+	p := fakeserver.NewFrameConn(c)
+	if p.ServerHandshake(settings...) != nil {
 		return
 	}
 	for {
-		f, err := p.Next()
+		f, err := p.ReadNext()
 		if err != nil {
 			return
 		}
 		if f.Type == http2.FrameSettings && !f.Ack {
-			s.write(func() { p.WriteSettingsAck() })
+			s.write(func() { _ = p.WriteSettingsAck() })
 		}
 		s.mu.Lock()
 		s.frames = append(s.frames, f)
 		if f.Type == http2.FrameHeaders && len(f.Fields) > 0 && f.Fields[0].Name == ":method" {
 			s.heads = append(s.heads, f)
 		}
-		due := s.early && f.Type == http2.FrameHeaders || !s.early && f.Ended
+		due := s.early && f.Type == http2.FrameHeaders || !s.early && f.EndStream
 		if due {
 			s.calls++
 		}
@@ -173,7 +174,7 @@
 }
 
 // until waits for a frame that fits.
-func (s *rpcScript) until(t testing.TB, what string, fits func(standin.Frame) bool) {
+func (s *rpcScript) until(t testing.TB, what string, fits func(fakeserver.Frame) bool) {
 	t.Helper()
 	for end := time.After(patience); ; {
 		s.mu.Lock()
@@ -201,15 +202,15 @@
 }
 
 // well answers a call with one message.
-func well(p *standin.Frames, id uint32) {
-	p.Headers(id, false, ":status", "200", "content-type", "application/grpc")
-	p.WriteData(id, false, standin.Message("well"))
-	p.Headers(id, true, "grpc-status", "0")
+func well(p *fakeserver.FrameConn, id uint32) {
+	_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
+	_ = p.WriteData(id, false, fakeserver.GRPCMessage("well"))
+	_ = p.SendHeaders(id, true, "grpc-status", "0")
 }
 
 // trailersOnly answers a call with a status and nothing more.
-func trailersOnly(p *standin.Frames, id uint32, pairs ...string) {
-	p.Headers(id, true, append([]string{":status", "200", "content-type", "application/grpc"}, pairs...)...)
+func trailersOnly(p *fakeserver.FrameConn, id uint32, pairs ...string) {
+	_ = p.SendHeaders(id, true, append([]string{":status", "200", "content-type", "application/grpc"}, pairs...)...)
 }
 
 // TestRPCOutcomes plays each way in which an attempt can end, for an unsafe and for a safe call, and counts the attempts that
@@ -220,51 +221,53 @@
 	for _, c := range []struct {
 		name     string
 		settings []http2.Setting
-		play     func(p *standin.Frames, id uint32)
+		play     func(p *fakeserver.FrameConn, id uint32)
 		ran      bool       // never: the protocol proves that it has not
 		code     codes.Code // of an unsafe call that may have run
 	}{
-		{"refused stream", nil, func(p *standin.Frames, id uint32) { p.WriteRSTStream(id, http2.ErrCodeRefusedStream) }, never, 0},
-		{"GOAWAY below", nil, func(p *standin.Frames, id uint32) { p.WriteGoAway(id-1, http2.ErrCodeNo, nil) }, never, 0},
-		{"GOAWAY between HEADERS and DATA", noWindow, func(p *standin.Frames, id uint32) { p.WriteGoAway(id-1, http2.ErrCodeNo, nil) }, never, 0},
-		{"closed before it was written whole", noWindow, func(p *standin.Frames, id uint32) { p.Close() }, never, 0},
-		{"reset NO_ERROR before it was written whole", noWindow, func(p *standin.Frames, id uint32) { p.WriteRSTStream(id, http2.ErrCodeNo) }, never, 0},
-		{"marked not run", nil, func(p *standin.Frames, id uint32) { trailersOnly(p, id, "grpc-status", "14", "x-not-run", "1") }, never, 0},
-		{"marked, with another code", nil, func(p *standin.Frames, id uint32) { trailersOnly(p, id, "grpc-status", "13", "x-not-run", "1") }, may, codes.Internal},
-		{"marked in trailers", nil, func(p *standin.Frames, id uint32) {
-			p.Headers(id, false, ":status", "200", "content-type", "application/grpc")
-			p.Headers(id, true, "grpc-status", "14", "x-not-run", "1")
+		{"refused stream", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteRSTStream(id, http2.ErrCodeRefusedStream) }, never, 0},
+		{"GOAWAY below", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteGoAway(id-1, http2.ErrCodeNo, nil) }, never, 0},
+		{"GOAWAY between HEADERS and DATA", noWindow, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteGoAway(id-1, http2.ErrCodeNo, nil) }, never, 0},
+		{"closed before it was written whole", noWindow, func(p *fakeserver.FrameConn, id uint32) { p.Close() }, never, 0},
+		{"reset NO_ERROR before it was written whole", noWindow, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteRSTStream(id, http2.ErrCodeNo) }, never, 0},
+		{"marked not run", nil, func(p *fakeserver.FrameConn, id uint32) { trailersOnly(p, id, "grpc-status", "14", "x-not-run", "1") }, never, 0},
+		{"marked, with another code", nil, func(p *fakeserver.FrameConn, id uint32) { trailersOnly(p, id, "grpc-status", "13", "x-not-run", "1") }, may, codes.Internal},
+		{"marked in trailers", nil, func(p *fakeserver.FrameConn, id uint32) {
+			_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
+			_ = p.SendHeaders(id, true, "grpc-status", "14", "x-not-run", "1")
 		}, may, codes.Unknown},
-		{"UNAVAILABLE", nil, func(p *standin.Frames, id uint32) { trailersOnly(p, id, "grpc-status", "14", "grpc-message", "busy") }, may, codes.Unknown},
-		{"reset INTERNAL", nil, func(p *standin.Frames, id uint32) { p.WriteRSTStream(id, http2.ErrCodeInternal) }, may, codes.Unknown},
-		{"reset CANCEL", nil, func(p *standin.Frames, id uint32) { p.WriteRSTStream(id, http2.ErrCodeCancel) }, may, codes.Unknown},
-		{"refused behind a head", nil, func(p *standin.Frames, id uint32) {
-			p.Headers(id, false, ":status", "200", "content-type", "application/grpc")
-			p.WriteRSTStream(id, http2.ErrCodeRefusedStream)
+		{"UNAVAILABLE", nil, func(p *fakeserver.FrameConn, id uint32) {
+			trailersOnly(p, id, "grpc-status", "14", "grpc-message", "busy")
 		}, may, codes.Unknown},
-		{"closed", nil, func(p *standin.Frames, id uint32) { p.Close() }, may, codes.Unknown},
-		{"GOAWAY that took it, then closed", nil, func(p *standin.Frames, id uint32) { p.WriteGoAway(id, http2.ErrCodeNo, nil); p.Close() }, may, codes.Unknown},
-		{"no status", nil, func(p *standin.Frames, id uint32) { trailersOnly(p, id) }, may, codes.Unknown},
-		{"ends behind its message", nil, func(p *standin.Frames, id uint32) {
-			p.Headers(id, false, ":status", "200", "content-type", "application/grpc")
-			p.WriteData(id, true, standin.Message("well"))
+		{"reset INTERNAL", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteRSTStream(id, http2.ErrCodeInternal) }, may, codes.Unknown},
+		{"reset CANCEL", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteRSTStream(id, http2.ErrCodeCancel) }, may, codes.Unknown},
+		{"refused behind a head", nil, func(p *fakeserver.FrameConn, id uint32) {
+			_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
+			_ = p.WriteRSTStream(id, http2.ErrCodeRefusedStream)
 		}, may, codes.Unknown},
-		{"an empty HTTP status", nil, func(p *standin.Frames, id uint32) { p.Headers(id, true, ":status", "") }, may, codes.Unknown},
-		{"half an HTTP status", nil, func(p *standin.Frames, id uint32) { p.Headers(id, false, ":status", "1") }, may, codes.Unknown},
-		{"HTTP 503", nil, func(p *standin.Frames, id uint32) { p.Headers(id, true, ":status", "503") }, may, codes.Unknown},
-		{"HTTP 500", nil, func(p *standin.Frames, id uint32) { p.Headers(id, true, ":status", "500") }, may, codes.Internal},
-		{"INTERNAL", nil, func(p *standin.Frames, id uint32) { trailersOnly(p, id, "grpc-status", "13") }, may, codes.Internal},
-		{"INTERNAL behind a head", nil, func(p *standin.Frames, id uint32) {
-			p.Headers(id, false, ":status", "200", "content-type", "application/grpc")
-			p.Headers(id, true, "grpc-status", "13", "x-more", "1")
+		{"closed", nil, func(p *fakeserver.FrameConn, id uint32) { p.Close() }, may, codes.Unknown},
+		{"GOAWAY that took it, then closed", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteGoAway(id, http2.ErrCodeNo, nil); _ = p.Close() }, may, codes.Unknown},
+		{"no status", nil, func(p *fakeserver.FrameConn, id uint32) { trailersOnly(p, id) }, may, codes.Unknown},
+		{"ends behind its message", nil, func(p *fakeserver.FrameConn, id uint32) {
+			_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
+			_ = p.WriteData(id, true, fakeserver.GRPCMessage("well"))
+		}, may, codes.Unknown},
+		{"an empty HTTP status", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.SendHeaders(id, true, ":status", "") }, may, codes.Unknown},
+		{"half an HTTP status", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.SendHeaders(id, false, ":status", "1") }, may, codes.Unknown},
+		{"HTTP 503", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.SendHeaders(id, true, ":status", "503") }, may, codes.Unknown},
+		{"HTTP 500", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.SendHeaders(id, true, ":status", "500") }, may, codes.Internal},
+		{"INTERNAL", nil, func(p *fakeserver.FrameConn, id uint32) { trailersOnly(p, id, "grpc-status", "13") }, may, codes.Internal},
+		{"INTERNAL behind a head", nil, func(p *fakeserver.FrameConn, id uint32) {
+			_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
+			_ = p.SendHeaders(id, true, "grpc-status", "13", "x-more", "1")
 		}, may, codes.Internal},
-		{"DATA_LOSS", nil, func(p *standin.Frames, id uint32) { trailersOnly(p, id, "grpc-status", "15") }, may, codes.DataLoss},
-		{"RESOURCE_EXHAUSTED", nil, func(p *standin.Frames, id uint32) { trailersOnly(p, id, "grpc-status", "8") }, may, codes.ResourceExhausted},
-		{"an unknown code", nil, func(p *standin.Frames, id uint32) { trailersOnly(p, id, "grpc-status", "99") }, may, codes.Code(99)},
+		{"DATA_LOSS", nil, func(p *fakeserver.FrameConn, id uint32) { trailersOnly(p, id, "grpc-status", "15") }, may, codes.DataLoss},
+		{"RESOURCE_EXHAUSTED", nil, func(p *fakeserver.FrameConn, id uint32) { trailersOnly(p, id, "grpc-status", "8") }, may, codes.ResourceExhausted},
+		{"an unknown code", nil, func(p *fakeserver.FrameConn, id uint32) { trailersOnly(p, id, "grpc-status", "99") }, may, codes.Code(99)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, class := range []string{"pay", "read"} {
-				s := newScript(t, c.settings != nil, func(p *standin.Frames, id uint32, n int) { c.play(p, id) }, c.settings...)
+				s := newScript(t, c.settings != nil, func(p *fakeserver.FrameConn, id uint32, n int) { c.play(p, id) }, c.settings...)
 				i, stop := run(t, parse(t, rpcText, rpcPool("p", "attempts = 3\nnot_run = \"x-not-run\"\n"), s.server(), rpcRoutes("p")))
 				cc := dialRPC(t, i.Addresses()["in"])
 				var trailer metadata.MD
@@ -287,7 +290,7 @@
 // TestRPCServersWord passes the statuses of a server on that tell of the caller's own doing: at once, as they came.
 func TestRPCServersWord(t *testing.T) {
 	var code int
-	s := newScript(t, false, func(p *standin.Frames, id uint32, n int) {
+	s := newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) {
 		trailersOnly(p, id, "grpc-status", strconv.Itoa(code), "grpc-message", "a%20word", "x-bin", "AAEC")
 	})
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", ""), s.server(), rpcRoutes("p")))
@@ -307,7 +310,7 @@
 
 // TestRPCSilentServer waits for a server that never answers: the call fails in its time, and not earlier than it must.
 func TestRPCSilentServer(t *testing.T) {
-	s := newScript(t, false, func(p *standin.Frames, id uint32, n int) {})
+	s := newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) {})
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", ""), s.server(), rpcRoutes("p")))
 	cc := dialRPC(t, i.Addresses()["in"])
 	for _, c := range []struct {
@@ -326,12 +329,12 @@
 		s.mu.Lock()
 		head := s.heads[len(s.heads)-1]
 		s.mu.Unlock()
-		left := standin.Field([]standin.Frame{head}, head.Stream, "grpc-timeout")
+		left := fakeserver.FieldValue([]fakeserver.Frame{head}, head.Stream, "grpc-timeout")
 		if d := rpcTimeout(t, left); d > c.told || d < c.told*8/10 {
 			t.Errorf("the server was told %q", left)
 		}
 	}
-	s.until(t, "the reset of a call that was given up", func(f standin.Frame) bool {
+	s.until(t, "the reset of a call that was given up", func(f fakeserver.Frame) bool {
 		return f.Type == http2.FrameRSTStream && f.Code == http2.ErrCodeCancel
 	})
 }
@@ -349,10 +352,10 @@
 
 // TestRPCCancel has either side leave a stream: the other hears of it at once.
 func TestRPCCancel(t *testing.T) {
-	s := newScript(t, true, func(p *standin.Frames, id uint32, n int) {
-		p.Headers(id, false, ":status", "200", "content-type", "application/grpc")
+	s := newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {
+		_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
 		if n == 2 {
-			p.WriteRSTStream(id, http2.ErrCodeCancel)
+			_ = p.WriteRSTStream(id, http2.ErrCodeCancel)
 		}
 	})
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", ""), s.server(), rpcRoutes("p")))
@@ -367,7 +370,7 @@
 		t.Fatal(err)
 	}
 	cancel()
-	s.until(t, "the caller's reset", func(f standin.Frame) bool { return f.Type == http2.FrameRSTStream && f.Code == http2.ErrCodeCancel })
+	s.until(t, "the caller's reset", func(f fakeserver.Frame) bool { return f.Type == http2.FrameRSTStream && f.Code == http2.ErrCodeCancel })
 
 	ctx, cancel = context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -390,22 +393,22 @@
 func TestRPCHalfClosedWhenItsServerDrains(t *testing.T) {
 	drained := make(chan struct{})
 	var a *rpcScript
-	a = newScript(t, false, func(p *standin.Frames, id uint32, n int) {
+	a = newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) {
 		if n > 1 {
 			well(p, id)
 			return
 		}
-		p.Headers(id, false, ":status", "200", "content-type", "application/grpc")
-		p.WriteData(id, false, standin.Message("first"))
+		_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
+		_ = p.WriteData(id, false, fakeserver.GRPCMessage("first"))
 		go func() {
 			<-drained
 			a.write(func() {
-				p.WriteData(id, false, standin.Message("last"))
-				p.Headers(id, true, "grpc-status", "0", "x-end", "yes")
+				_ = p.WriteData(id, false, fakeserver.GRPCMessage("last"))
+				_ = p.SendHeaders(id, true, "grpc-status", "0", "x-end", "yes")
 			})
 		}()
 	})
-	b := newScript(t, false, func(p *standin.Frames, id uint32, n int) { well(p, id) })
+	b := newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) { well(p, id) })
 	file := filepath.Join(t.TempDir(), "servers.toml")
 	list := func(state string) {
 		writeFile(t, file, fmt.Sprintf("[[server]]\nid = \"a\"\naddress = %q\nstate = %q\n", a.ln.Addr(), state)+
@@ -424,7 +427,7 @@
 	if err := stream.SendMsg(&m); err != nil {
 		t.Fatal(err)
 	}
-	stream.CloseSend()
+	_ = stream.CloseSend()
 	if err := stream.RecvMsg(&m); err != nil || string(m) != "first" {
 		t.Fatal(string(m), err)
 	}
@@ -447,7 +450,7 @@
 	if err := stream.RecvMsg(&m); err != nil || string(m) != "last" {
 		t.Error(string(m), err)
 	}
-	if err := stream.RecvMsg(&m); err != io.EOF || stream.Trailer().Get("x-end") == nil {
+	if err := stream.RecvMsg(&m); !errors.Is(err, io.EOF) || stream.Trailer().Get("x-end") == nil {
 		t.Error(err, stream.Trailer())
 	}
 }
@@ -457,19 +460,19 @@
 func TestRPCDrain(t *testing.T) {
 	finish := make(chan struct{})
 	var s *rpcScript
-	s = newScript(t, true, func(p *standin.Frames, id uint32, n int) {
-		p.Headers(id, false, ":status", "200", "content-type", "application/grpc")
-		p.WriteData(id, false, standin.Message("first"))
+	s = newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {
+		_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
+		_ = p.WriteData(id, false, fakeserver.GRPCMessage("first"))
 		if n == 1 {
 			go func() {
 				<-finish
-				s.write(func() { p.Headers(id, true, "grpc-status", "0") })
+				s.write(func() { _ = p.SendHeaders(id, true, "grpc-status", "0") })
 			}()
 		}
 	})
 	cfg := parse(t, "[limits]\ndrain = \"3s\"\n", rpcText, rpcPool("p", ""), s.server(), rpcRoutes("p"))
 	i, stop := run(t, cfg)
-	peer, err := standin.DialFrames(i.Addresses()["in"])
+	peer, err := fakeserver.DialFrameConn(i.Addresses()["in"])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -479,10 +482,10 @@
 		if id == 5 {
 			path = "/pay.S/M" // held until its message has come, which it never does
 		}
-		peer.Call(id, path, false)
+		_ = peer.SendCall(id, path, false)
 	}
 	first := 0
-	if _, err := peer.Until(patience, func(f standin.Frame) bool {
+	if _, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool {
 		if len(f.Data) > 0 {
 			first++
 		}
@@ -492,28 +495,28 @@
 	}
 	begun := time.Now()
 	go stop()
-	goAway := func(f standin.Frame) bool { return f.Type == http2.FrameGoAway }
-	all, err := peer.Until(patience, goAway)
-	if err != nil || all[len(all)-1].Last != 1<<31-1 {
+	goAway := func(f fakeserver.Frame) bool { return f.Type == http2.FrameGoAway }
+	all, err := peer.ReadUntil(patience, goAway)
+	if err != nil || all[len(all)-1].LastStream != 1<<31-1 {
 		t.Fatal(all, err)
 	}
-	all, err = peer.Until(patience, func(f standin.Frame) bool { return f.Type == http2.FramePing })
+	all, err = peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Type == http2.FramePing })
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer.WritePing(true, [8]byte(all[len(all)-1].Data))
-	if all, err = peer.Until(patience, goAway); err != nil || all[len(all)-1].Last != 5 {
+	_ = peer.WritePing(true, [8]byte(all[len(all)-1].Data))
+	if all, err = peer.ReadUntil(patience, goAway); err != nil || all[len(all)-1].LastStream != 5 {
 		t.Fatal(all, err)
 	}
 	close(finish)
 	ended := map[uint32]string{}
-	if _, err = peer.Until(patience, func(f standin.Frame) bool {
-		if f.Ended || f.Type == http2.FrameRSTStream {
-			if _, ok := ended[f.Stream]; ok && f.Ended {
+	if _, err = peer.ReadUntil(patience, func(f fakeserver.Frame) bool {
+		if f.EndStream || f.Type == http2.FrameRSTStream {
+			if _, ok := ended[f.Stream]; ok && f.EndStream {
 				t.Errorf("stream %d ended twice", f.Stream)
 			}
-			if f.Ended {
-				ended[f.Stream] = standin.Field([]standin.Frame{f}, f.Stream, "grpc-status")
+			if f.EndStream {
+				ended[f.Stream] = fakeserver.FieldValue([]fakeserver.Frame{f}, f.Stream, "grpc-status")
 			}
 		}
 		return len(ended) == 3
@@ -568,8 +571,8 @@
 
 // TestRPCManyStreams opens streams that stay, beyond what the module's room for calls would let out.
 func TestRPCManyStreams(t *testing.T) {
-	a := newScript(t, true, func(p *standin.Frames, id uint32, n int) {
-		p.Headers(id, false, ":status", "200", "content-type", "application/grpc")
+	a := newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {
+		_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
 	}, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 1000})
 	b := newScript(t, true, a.play, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 1000})
 	const most = 400
@@ -590,13 +593,13 @@
 		t.Errorf("%d and %d streams", a.count(), b.count())
 	}
 	// One more is over the limit of the process: refused, as a stream that never ran.
-	peer, err := standin.DialFrames(i.Addresses()["in"])
+	peer, err := fakeserver.DialFrameConn(i.Addresses()["in"])
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	peer.Call(1, "/stream.S/M", false)
-	if all, err := peer.Until(patience, func(f standin.Frame) bool { return f.Stream == 1 }); err != nil || all[len(all)-1].Code != http2.ErrCodeRefusedStream {
+	_ = peer.SendCall(1, "/stream.S/M", false)
+	if all, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Stream == 1 }); err != nil || all[len(all)-1].Code != http2.ErrCodeRefusedStream {
 		t.Error(all, err)
 	}
 }
@@ -604,22 +607,22 @@
 // TestRPCUploadIsSentOnce streams a request: whatever becomes of it, it reaches one server once, and its message framing is
 // looked after.
 func TestRPCUploadIsSentOnce(t *testing.T) {
-	s := newScript(t, true, func(p *standin.Frames, id uint32, n int) {})
+	s := newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {})
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", ""), s.server(), rpcRoutes("p")))
-	peer, err := standin.DialFrames(i.Addresses()["in"])
+	peer, err := fakeserver.DialFrameConn(i.Addresses()["in"])
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	peer.Call(1, "/read.S/M", false, "x-a-bin", "AAEC", "x-a-bin", "AwQF")
-	peer.WriteData(1, false, standin.Message("first"))
-	s.until(t, "the first message", func(f standin.Frame) bool { return strings.Contains(string(f.Data), "first") })
-	peer.WriteData(1, false, append(standin.Message("second"), 9, 0, 0, 0, 1))
-	all, err := peer.Until(patience, func(f standin.Frame) bool { return f.Stream == 1 && f.Ended })
-	if code := standin.Field(all, 1, "grpc-status"); err != nil || code != "3" {
+	_ = peer.SendCall(1, "/read.S/M", false, "x-a-bin", "AAEC", "x-a-bin", "AwQF")
+	_ = peer.WriteData(1, false, fakeserver.GRPCMessage("first"))
+	s.until(t, "the first message", func(f fakeserver.Frame) bool { return strings.Contains(string(f.Data), "first") })
+	_ = peer.WriteData(1, false, append(fakeserver.GRPCMessage("second"), 9, 0, 0, 0, 1))
+	all, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Stream == 1 && f.EndStream })
+	if code := fakeserver.FieldValue(all, 1, "grpc-status"); err != nil || code != "3" {
 		t.Error(code, err)
 	}
-	s.until(t, "the reset of what cannot be read", func(f standin.Frame) bool { return f.Type == http2.FrameRSTStream })
+	s.until(t, "the reset of what cannot be read", func(f fakeserver.Frame) bool { return f.Type == http2.FrameRSTStream })
 	if s.count() != 1 {
 		t.Errorf("%d attempts", s.count())
 	}
@@ -639,11 +642,11 @@
 func TestRPCErrorBehindAHead(t *testing.T) {
 	later := make(chan struct{})
 	var s *rpcScript
-	s = newScript(t, false, func(p *standin.Frames, id uint32, n int) {
-		p.Headers(id, false, ":status", "200", "content-type", "application/grpc", "x-head", "1")
+	s = newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) {
+		_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc", "x-head", "1")
 		go func() {
 			<-later
-			s.write(func() { p.Headers(id, true, "grpc-status", "14", "grpc-message", "later", "x-last", "1") })
+			s.write(func() { _ = p.SendHeaders(id, true, "grpc-status", "14", "grpc-message", "later", "x-last", "1") })
 		}()
 	})
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", ""), s.server(), rpcRoutes("p")))
@@ -658,7 +661,7 @@
 	if err := stream.SendMsg(&m); err != nil {
 		t.Fatal(err)
 	}
-	stream.CloseSend()
+	_ = stream.CloseSend()
 	if head, err := stream.Header(); err != nil || head.Get("x-head") == nil {
 		t.Fatal(head, err)
 	}
@@ -671,22 +674,22 @@
 
 // TestRPCInterimAndEarlyAnswers passes interim heads on, and an answer that is whole before its request is.
 func TestRPCInterimAndEarlyAnswers(t *testing.T) {
-	s := newScript(t, true, func(p *standin.Frames, id uint32, n int) {
-		p.Headers(id, false, ":status", "103", "link", "</a>")
+	s := newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {
+		_ = p.SendHeaders(id, false, ":status", "103", "link", "</a>")
 		well(p, id)
-		p.WriteRSTStream(id, http2.ErrCodeNo) // it wants no more of the request
+		_ = p.WriteRSTStream(id, http2.ErrCodeNo) // it wants no more of the request
 	})
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", ""), s.server(), rpcRoutes("p")))
-	peer, err := standin.DialFrames(i.Addresses()["in"])
+	peer, err := fakeserver.DialFrameConn(i.Addresses()["in"])
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
 	id := uint32(1)
 	for _, class := range []string{"stream", "pay"} {
-		peer.Call(id, "/"+class+".S/M", false)
-		peer.WriteData(id, class == "pay", standin.Message("x"))
-		all, err := peer.Until(patience, func(f standin.Frame) bool { return f.Stream == id && f.Ended })
+		_ = peer.SendCall(id, "/"+class+".S/M", false)
+		_ = peer.WriteData(id, class == "pay", fakeserver.GRPCMessage("x"))
+		all, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Stream == id && f.EndStream })
 		if err != nil {
 			t.Fatal(class, all, err)
 		}
@@ -701,11 +704,11 @@
 				heads = append(heads, f.Fields[0].Value)
 			}
 		}
-		if !slices.Equal(heads, []string{"103", "200", "0"}) || text != string(standin.Message("well")) {
+		if !slices.Equal(heads, []string{"103", "200", "0"}) || text != string(fakeserver.GRPCMessage("well")) {
 			t.Errorf("%s: heads %v, text %q", class, heads, text)
 		}
 		if class == "stream" { // and the caller is told so too (RFC 9113, 8.1)
-			if all, err = peer.Until(patience, func(f standin.Frame) bool { return f.Stream == id }); err != nil || all[len(all)-1].Code != http2.ErrCodeNo {
+			if all, err = peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Stream == id }); err != nil || all[len(all)-1].Code != http2.ErrCodeNo {
 				t.Error(all, err)
 			}
 		}
@@ -716,27 +719,27 @@
 // TestRPCSlowCallersHoldUpNobody has a caller open calls with long answers and read none, and one send long requests that its
 // server does not take: other calls on the same connections are served.
 func TestRPCSlowCallersHoldUpNobody(t *testing.T) {
-	s := newScript(t, true, func(p *standin.Frames, id uint32, n int) {
+	s := newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {
 		if n > 40 {
-			p.Headers(id, false, ":status", "200", "content-type", "application/grpc")
-			p.WriteData(id, false, standin.Message("well"))
-			p.Headers(id, true, "grpc-status", "0")
+			_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
+			_ = p.WriteData(id, false, fakeserver.GRPCMessage("well"))
+			_ = p.SendHeaders(id, true, "grpc-status", "0")
 			return
 		}
-		p.Headers(id, false, ":status", "200", "content-type", "application/grpc")
+		_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
 		for range 4 { // all that the window of a call allows
-			p.WriteData(id, false, make([]byte, 16<<10-1))
+			_ = p.WriteData(id, false, make([]byte, 16<<10-1))
 		}
 	}, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", ""), s.server(), rpcRoutes("p")))
-	peer, err := standin.DialFrames(i.Addresses()["in"], http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
+	peer, err := fakeserver.DialFrameConn(i.Addresses()["in"], http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
 	for n := range uint32(40) {
-		peer.Call(2*n+1, "/stream.S/M", false)
-		peer.WriteData(2*n+1, false, standin.Message("nobody takes this"))
+		_ = peer.SendCall(2*n+1, "/stream.S/M", false)
+		_ = peer.WriteData(2*n+1, false, fakeserver.GRPCMessage("nobody takes this"))
 		for end := time.Now().Add(patience); s.count() <= int(n); time.Sleep(time.Millisecond) { // a burst would be refused in part
 			if time.Now().After(end) {
 				t.Fatal(s.count())
@@ -762,7 +765,7 @@
 
 // TestRPCKeys wants the metadata that a class names for its key.
 func TestRPCKeys(t *testing.T) {
-	s := newScript(t, false, func(p *standin.Frames, id uint32, n int) { well(p, id) })
+	s := newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) { well(p, id) })
 	pool := strings.Replace(rpcPool("p", ""), "effect = \"keyed\"", "effect = \"keyed\"\nkey = \"x-key\"", 1)
 	i, _ := run(t, parse(t, rpcText, pool, s.server(), rpcRoutes("p")))
 	cc := dialRPC(t, i.Addresses()["in"])
@@ -787,14 +790,14 @@
 func TestBothFramingsShareOneFate(t *testing.T) {
 	const calls = 300
 	list := servers(t, "a", "b", "c", "d", "e", "f")
-	faults := []standin.Fault{standin.None, standin.None, standin.None, standin.None, standin.None, standin.None, standin.NotRun, standin.NotRun, standin.Error500, standin.ResetAfter, standin.Garbage, standin.HalfAnswer}
+	faults := []fakeserver.Fault{fakeserver.NoFault, fakeserver.NoFault, fakeserver.NoFault, fakeserver.NoFault, fakeserver.NoFault, fakeserver.NoFault, fakeserver.NotExecuted, fakeserver.NotExecuted, fakeserver.Error500, fakeserver.ResetAfterRequest, fakeserver.GarbageResponse, fakeserver.HalfResponse}
 	var mu sync.Mutex
 	tries := map[string]int{}
 	for _, s := range list {
-		s.Work(40 * time.Millisecond) // what a busy machine adds is little against it: none looks silent
-		s.FaultBy(func(r *http.Request) standin.Fault {
+		s.SetWork(40 * time.Millisecond) // what a busy machine adds is little against it: none looks silent
+		s.SetFaultFunc(func(r *http.Request) fakeserver.Fault {
 			if r == nil {
-				return standin.None
+				return fakeserver.NoFault
 			}
 			id := r.Header.Get("X-Call")
 			mu.Lock()
@@ -885,26 +888,26 @@
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", "", list[0]), rpcRoutes("p"), rpcPool("q", "", list[1]), routeText("q", "/bad.S", "q", "read", "")))
 	addr := i.Addresses()["in"]
 	cc := dialRPC(t, addr)
-	for name, attack := range map[string]func(p *standin.Frames, n uint32) error{
-		"rapid reset": func(p *standin.Frames, n uint32) error {
-			p.Call(2*n+1, "/bad.S/M", false)
-			p.WriteData(2*n+1, true, standin.Message("x"))
+	for name, attack := range map[string]func(p *fakeserver.FrameConn, n uint32) error{
+		"rapid reset": func(p *fakeserver.FrameConn, n uint32) error {
+			_ = p.SendCall(2*n+1, "/bad.S/M", false)
+			_ = p.WriteData(2*n+1, true, fakeserver.GRPCMessage("x"))
 			return p.WriteRSTStream(2*n+1, http2.ErrCodeCancel)
 		},
-		"streams that nobody reads": func(p *standin.Frames, n uint32) error {
-			p.Call(2*n+1, "/bad.S/M", false)
-			return p.WriteData(2*n+1, true, standin.Message("x"))
+		"streams that nobody reads": func(p *fakeserver.FrameConn, n uint32) error {
+			_ = p.SendCall(2*n+1, "/bad.S/M", false)
+			return p.WriteData(2*n+1, true, fakeserver.GRPCMessage("x"))
 		},
-		"CONTINUATION": func(p *standin.Frames, n uint32) error {
+		"CONTINUATION": func(p *fakeserver.FrameConn, n uint32) error {
 			if n == 0 {
-				return p.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: p.Block(":method", "POST")})
+				return p.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: p.EncodeHeaders(":method", "POST")})
 			}
-			return p.WriteContinuation(1, false, p.Block("x", strings.Repeat("y", 1000)))
+			return p.WriteContinuation(1, false, p.EncodeHeaders("x", strings.Repeat("y", 1000)))
 		},
-		"PING": func(p *standin.Frames, n uint32) error { return p.WritePing(false, [8]byte{}) },
+		"PING": func(p *fakeserver.FrameConn, n uint32) error { return p.WritePing(false, [8]byte{}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			peer, err := standin.DialFrames(addr)
+			peer, err := fakeserver.DialFrameConn(addr)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -921,7 +924,7 @@
 			}()
 			go func() { // its own side reads, but for what it was sent
 				if name != "streams that nobody reads" {
-					io.Copy(io.Discard, peer.Conn)
+					_, _ = io.Copy(io.Discard, peer.Conn)
 				}
 			}()
 			var times []time.Duration
@@ -950,7 +953,7 @@
 
 func TestRPCReload(t *testing.T) {
 	list := servers(t, "a", "b")
-	old := parse(t, strings.Replace(rpcText, "127.0.0.1:0", freeAddr(t), 1), rpcPool("p", "", list[0]), rpcRoutes("p"))
+	old := parse(t, strings.Replace(rpcText, "127.0.0.1:0", freeport.AddressForTest(t), 1), rpcPool("p", "", list[0]), rpcRoutes("p"))
 	i, _ := run(t, old)
 	cc := dialRPC(t, i.Addresses()["in"])
 	if text, err := unary(cc, "/read.S/M", "x"); err != nil || !strings.Contains(text, "server=a") {
@@ -965,12 +968,12 @@
 			t.Fatal(text, err)
 		}
 	}
-	peer, err := standin.DialFrames(i.Addresses()["in"])
+	peer, err := fakeserver.DialFrameConn(i.Addresses()["in"])
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	if all, err := peer.Until(patience, func(f standin.Frame) bool { return f.Type == http2.FrameSettings && !f.Ack }); err != nil || all[len(all)-1].Values[http2.SettingMaxConcurrentStreams] != 7 {
+	if all, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Type == http2.FrameSettings && !f.Ack }); err != nil || all[len(all)-1].Values[http2.SettingMaxConcurrentStreams] != 7 {
 		t.Error(all, err)
 	}
 	gone := parse(t, inText, poolText("h", "", list...), routeText("r", "/", "h", "read", ""))
@@ -1023,14 +1026,3 @@
 		t.Fatal(err)
 	}
 }
-
-// freeAddr is an address that nothing listens on just now.
-func freeAddr(t testing.TB) string {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	return ln.Addr().String()
-}
--- a/internal/sidecar/instance_test.go
+++ b/internal/sidecar/instance_test.go
@@ -21,12 +21,12 @@
 
 	"go.uber.org/goleak"
 
-	"whinknot/internal/operator"
-	"whinknot/internal/standin"
+	"milletmast/internal/fakeserver"
+	"milletmast/internal/operator"
 )
 
 // poolText is a pool of an operator file with a class of each effect.
-func poolText(name, more string, servers ...*standin.Server) string {
+func poolText(name, more string, servers ...*fakeserver.Server) string {
 	text := fmt.Sprintf(`
 [[pool]]
 name = %q
@@ -75,11 +75,11 @@
 	return cfg
 }
 
-func servers(t testing.TB, names ...string) []*standin.Server {
+func servers(t testing.TB, names ...string) []*fakeserver.Server {
 	t.Helper()
-	var list []*standin.Server
+	var list []*fakeserver.Server
 	for _, n := range names {
-		s, err := standin.NewServer(n)
+		s, err := fakeserver.NewServer(n)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -96,9 +96,9 @@
 	i, end := launch(t, cfg)
 	stop = sync.OnceFunc(func() {
 		end()
-		if err := goleak.Find(before, goleak.IgnoreAnyFunction("whinknot/internal/standin.(*Server).serve"),
-			goleak.IgnoreAnyFunction("whinknot/internal/standin.(*Server).accept"),
-			goleak.IgnoreAnyFunction("whinknot/internal/standin.(*two).call"), goleak.IgnoreAnyFunction("whinknot/internal/sidecar.(*rpcScript).serve"),
+		if err := goleak.Find(before, goleak.IgnoreAnyFunction("milletmast/internal/fakeserver.(*Server).serve"),
+			goleak.IgnoreAnyFunction("milletmast/internal/fakeserver.(*Server).accept"),
+			goleak.IgnoreAnyFunction("milletmast/internal/fakeserver.(*two).call"), goleak.IgnoreAnyFunction("milletmast/internal/sidecar.(*rpcScript).serve"),
 			goleak.IgnoreAnyFunction("net/http.(*persistConn).readLoop"), goleak.IgnoreAnyFunction("net/http.(*persistConn).writeLoop")); err != nil {
 			t.Error(err)
 		}
@@ -116,7 +116,7 @@
 	}
 	i.mu.Lock()
 	for _, l := range i.listeners {
-		l.front.accept = 0
+		l.frontend.acceptTime = 0
 	}
 	i.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -130,11 +130,11 @@
 	stop = sync.OnceFunc(func() {
 		cancel()
 		<-ended
-		if n := i.ledger.used.Load(); n != 0 {
+		if n := i.serverConns.used.Load(); n != 0 {
 			t.Errorf("%d connections to servers are counted after the end", n)
 		}
-		if i.callers.open != 0 || len(i.pools) != 0 {
-			t.Errorf("%d callers and %d pools are left", i.callers.open, len(i.pools))
+		if i.clients.open != 0 || len(i.pools) != 0 {
+			t.Errorf("%d callers and %d pools are left", i.clients.open, len(i.pools))
 		}
 	})
 	t.Cleanup(stop)
@@ -159,7 +159,7 @@
 
 // ask sends a request as it stands and reads the answer whole.
 func (p *peer) ask(method, text string) (*http.Response, string, error) {
-	p.SetDeadline(time.Now().Add(long))
+	_ = p.SetDeadline(time.Now().Add(long))
 	if _, err := io.WriteString(p, text); err != nil {
 		return nil, "", err
 	}
@@ -241,7 +241,7 @@
 		}
 	}
 	for _, r := range s[0].Records() {
-		if r.ID == "" || r.Header.Get("X-Forwarded-For") != "127.0.0.1" || r.Header.Get("X-Deadline") == "" {
+		if r.RequestID == "" || r.Header.Get("X-Forwarded-For") != "127.0.0.1" || r.Header.Get("X-Deadline") == "" {
 			t.Errorf("%s %s came with %v", r.Method, r.URI, r.Header)
 		}
 	}
@@ -276,26 +276,26 @@
 func TestFatesOfOperatorCalls(t *testing.T) {
 	for _, k := range []struct {
 		name     string
-		fault    standin.Fault
+		fault    fakeserver.Fault
 		route    string
 		query    string
 		status   int
 		attempts int
 	}{
-		{"not run is refused", standin.NotRun, "/pay", "", 503, 3},
-		{"an unsafe reset has failed", standin.ResetAfter, "/pay", "", 502, 1},
-		{"a keyed reset outside the group has failed", standin.ResetAfter, "/add", "", 502, 3},
-		{"a server's 500 is passed on", standin.Error500, "/pay", "", 500, 1},
-		{"a 503 that promises nothing is no refusal", standin.None, "/pay", "?status=503", 502, 1},
-		{"nor is a 429", standin.None, "/pay", "?status=429", 502, 1},
-		{"garbage has failed", standin.Garbage, "/pay", "", 502, 1},
-		{"refused connections", standin.RefuseConn, "/pay", "", 503, 0},
+		{"not run is refused", fakeserver.NotExecuted, "/pay", "", 503, 3},
+		{"an unsafe reset has failed", fakeserver.ResetAfterRequest, "/pay", "", 502, 1},
+		{"a keyed reset outside the group has failed", fakeserver.ResetAfterRequest, "/add", "", 502, 3},
+		{"a server's 500 is passed on", fakeserver.Error500, "/pay", "", 500, 1},
+		{"a 503 that promises nothing is no refusal", fakeserver.NoFault, "/pay", "?status=503", 502, 1},
+		{"nor is a 429", fakeserver.NoFault, "/pay", "?status=429", 502, 1},
+		{"garbage has failed", fakeserver.GarbageResponse, "/pay", "", 502, 1},
+		{"refused connections", fakeserver.ResetConnection, "/pay", "", 503, 0},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			s := servers(t, "a", "b", "c")
 			i, _ := run(t, parse(t, inText, poolText("p", "", s...), routeText("pay", "/pay", "p", "pay", ""), routeText("add", "/add", "p", "add", "")))
 			for _, one := range s {
-				if one.Fault(k.fault); k.fault == standin.RefuseConn {
+				if one.SetFault(k.fault); k.fault == fakeserver.ResetConnection {
 					one.Close()
 				}
 			}
@@ -311,7 +311,7 @@
 			if (res.Header.Get("Retry-After") != "") != (k.status == 503) {
 				t.Errorf("status %d with Retry-After %q", k.status, res.Header.Get("Retry-After"))
 			}
-			if k.fault == standin.Error500 && body != "fault\n" {
+			if k.fault == fakeserver.Error500 && body != "fault\n" {
 				t.Errorf("body %q, want the server's", body)
 			}
 		})
@@ -324,7 +324,7 @@
 		routeText("pay", "/pay", "p", "pay", ""), routeText("read", "/read", "p", "read", "")))
 	in := i.Addresses()["in"]
 	c := connect(t, in)
-	body := string(standin.Body(3 << 20))
+	body := string(fakeserver.Body(3 << 20))
 	want := fmt.Sprintf("bytes=%d", len(body))
 	_, got := c.must(t, "POST", fmt.Sprintf("POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body), 200)
 	if !strings.Contains(got, want) {
@@ -344,14 +344,14 @@
 		t.Errorf("chunked: answer %q, %v, want %s", got, err, want)
 	}
 	records := s[0].Records()
-	if records[0].Sum != records[1].Sum || records[0].Sum == 0 || len(records) != 2 {
+	if records[0].BodyHash != records[1].BodyHash || records[0].BodyHash == 0 || len(records) != 2 {
 		t.Errorf("records %+v, want two of one body", records)
 	}
 	for _, query := range []string{"?bytes=5000000", "?bytes=5000000&chunked=1", "?bytes=70000&chunked=1", "?bytes=60000&chunked=1", "?bytes=65536", "?bytes=65537"} {
 		_, got := c.must(t, "GET", "GET /read"+query+" HTTP/1.1\r\nHost: h\r\n\r\n", 200)
 		n := 0
-		fmt.Sscanf(query, "?bytes=%d", &n)
-		if got != string(standin.Body(n)) {
+		_, _ = fmt.Sscanf(query, "?bytes=%d", &n)
+		if got != string(fakeserver.Body(n)) {
 			t.Errorf("%s: %d bytes that are not the server's", query, len(got))
 		}
 	}
@@ -360,21 +360,21 @@
 	}
 	// A caller of HTTP/1.0 knows no chunks.
 	old := connect(t, in)
-	if res, got := old.must(t, "GET", "GET /read?bytes=200000&chunked=1 HTTP/1.0\r\n\r\n", 200); got != string(standin.Body(200_000)) || len(res.TransferEncoding) > 0 {
+	if res, got := old.must(t, "GET", "GET /read?bytes=200000&chunked=1 HTTP/1.0\r\n\r\n", 200); got != string(fakeserver.Body(200_000)) || len(res.TransferEncoding) > 0 {
 		t.Errorf("HTTP/1.0: %d bytes, %v", len(got), res.TransferEncoding)
 	}
-	s[0].Fault(standin.HalfAnswer)
+	s[0].SetFault(fakeserver.HalfResponse)
 	if _, got, err := connect(t, in).ask("GET", "GET /read?bytes=400000&chunked=1 HTTP/1.0\r\n\r\n"); err == nil {
 		t.Errorf("HTTP/1.0: %d bytes of an answer that broke off, and no error", len(got))
 	}
-	s[0].Fault(standin.None)
+	s[0].SetFault(fakeserver.NoFault)
 	ran := len(s[0].Records())
 	// Too long, told beforehand or not.
 	connect(t, in).must(t, "POST", "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 5000000\r\n\r\n", 413)
 	endless := connect(t, in)
-	endless.SetDeadline(time.Now().Add(long))
+	_ = endless.SetDeadline(time.Now().Add(long))
 	go func() {
-		io.WriteString(endless, "POST /pay HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
+		_, _ = io.WriteString(endless, "POST /pay HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for range 500 {
 			if _, err := fmt.Fprintf(endless, "4000\r\n%s\r\n", body[:0x4000]); err != nil {
 				return
@@ -386,7 +386,7 @@
 	}
 	// A caller that breaks off in its body leaves nothing behind.
 	half := connect(t, in)
-	io.WriteString(half, "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 1000000\r\n\r\n"+body[:200_000])
+	_, _ = io.WriteString(half, "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 1000000\r\n\r\n"+body[:200_000])
 	until(t, "the upload is on its way", func() bool { return i.Status().Pools[0].Open > 0 })
 	half.Close()
 	until(t, "it is forgotten", func() bool { return i.Status().Pools[0].Open == 0 })
@@ -397,26 +397,26 @@
 
 // A streamed request is sent once. What is certain of it decides whether it is refused or has failed.
 func TestStreamedRequestIsSentOnce(t *testing.T) {
-	body := string(standin.Body(300_000))
+	body := string(fakeserver.Body(300_000))
 	text := func(class string) string {
 		return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", class, len(body), body)
 	}
 	for _, k := range []struct {
-		fault    standin.Fault
+		fault    fakeserver.Fault
 		class    string
 		status   int
 		attempts int
 	}{
-		{standin.NotRun, "pay", 503, 1},
-		{standin.ResetAfter, "pay", 502, 1},
-		{standin.ResetAfter, "read", 503, 1},
-		{standin.RefuseConn, "pay", 503, 0},
+		{fakeserver.NotExecuted, "pay", 503, 1},
+		{fakeserver.ResetAfterRequest, "pay", 502, 1},
+		{fakeserver.ResetAfterRequest, "read", 503, 1},
+		{fakeserver.ResetConnection, "pay", 503, 0},
 	} {
 		t.Run(string(k.fault)+" "+k.class, func(t *testing.T) {
 			s := servers(t, "a", "b")
 			i, _ := run(t, parse(t, inText, poolText("p", "", s...), routeText("pay", "/pay", "p", "pay", ""), routeText("read", "/read", "p", "read", "")))
 			for _, one := range s {
-				if one.Fault(k.fault); k.fault == standin.RefuseConn {
+				if one.SetFault(k.fault); k.fault == fakeserver.ResetConnection {
 					one.Close()
 				}
 			}
@@ -430,7 +430,11 @@
 	s := servers(t, "a", "b")
 	i, _ := run(t, parse(t, inText, poolText("p", "", s...), routeText("pay", "/pay", "p", "pay", "")))
 	s[0].Close()
-	defer s[0].Restart()
+	defer func() {
+		if err := s[0].Restart(); err != nil {
+			t.Error(err)
+		}
+	}()
 	for range 4 {
 		_, got := connect(t, i.Addresses()["in"]).must(t, "POST", text("pay"), 200)
 		if !strings.Contains(got, "server=b") {
@@ -443,7 +447,7 @@
 func TestBrokenStreamShows(t *testing.T) {
 	s := servers(t, "a")
 	i, _ := run(t, parse(t, inText, poolText("p", "stream_idle = \"100ms\"", s[0]), routeText("read", "/", "p", "read", "")))
-	s[0].Fault(standin.HalfAnswer)
+	s[0].SetFault(fakeserver.HalfResponse)
 	for _, query := range []string{"?bytes=400000", "?bytes=400000&chunked=1"} {
 		res, body, err := connect(t, i.Addresses()["in"]).ask("GET", "GET /"+query+" HTTP/1.1\r\nHost: h\r\n\r\n")
 		if err == nil || res == nil {
@@ -452,9 +456,9 @@
 	}
 	until(t, "its calls are forgotten", func() bool { return i.Status().Pools[0].Open == 0 })
 	// A caller that reads nothing is left after a while, and its server's connection with it.
-	s[0].Fault(standin.None)
+	s[0].SetFault(fakeserver.NoFault)
 	deaf := connect(t, i.Addresses()["in"])
-	io.WriteString(deaf, "GET /?bytes=100000000 HTTP/1.1\r\nHost: h\r\n\r\n")
+	_, _ = io.WriteString(deaf, "GET /?bytes=100000000 HTTP/1.1\r\nHost: h\r\n\r\n")
 	until(t, "the stream has begun", func() bool { return i.Status().Pools[0].Open > 0 })
 	until(t, "it is given up", func() bool { return i.Status().Pools[0].Open == 0 })
 }
@@ -539,7 +543,7 @@
 		if err != nil || number != uint64(k+1) {
 			t.Errorf("reload %d: generation %d, %v", k, number, err)
 		}
-		if used, most := i.ledger.used.Load(), i.ledger.limit.Load(); used > most {
+		if used, most := i.serverConns.used.Load(), i.serverConns.limit.Load(); used > most {
 			t.Errorf("%d connections to servers, over the %d allowed", used, most)
 		}
 		from := total()
@@ -553,12 +557,12 @@
 			if r.Method != "POST" {
 				continue
 			}
-			if at, twice := ran[r.ID]; twice {
-				t.Errorf("%s ran at %s and %s", r.ID, at, r.Server)
+			if at, twice := ran[r.RequestID]; twice {
+				t.Errorf("%s ran at %s and %s", r.RequestID, at, r.Server)
 			}
-			ran[r.ID] = r.Server
+			ran[r.RequestID] = r.Server
 			if want := fmt.Sprintf("/gen%d/y", j); r.URI != want {
-				t.Errorf("%s reached %s with %s: the route of one generation and the pool of another", r.ID, r.Server, r.URI)
+				t.Errorf("%s reached %s with %s: the route of one generation and the pool of another", r.RequestID, r.Server, r.URI)
 			}
 		}
 	}
@@ -602,11 +606,11 @@
 	release := sync.OnceFunc(func() { close(held) })
 	t.Cleanup(release)
 	for _, one := range s[1:] {
-		one.FaultBy(func(r *http.Request) standin.Fault {
+		one.SetFaultFunc(func(r *http.Request) fakeserver.Fault {
 			if r != nil {
 				<-held
 			}
-			return standin.None
+			return fakeserver.NoFault
 		})
 	}
 	pools := poolText("gone", "connections = { weight = 9 }\n", s[1:]...)
@@ -616,8 +620,8 @@
 	peers := make([]*peer, open)
 	for n := range peers {
 		peers[n] = connect(t, in)
-		peers[n].SetDeadline(time.Now().Add(long))
-		io.WriteString(peers[n], "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
+		_ = peers[n].SetDeadline(time.Now().Add(long))
+		_, _ = io.WriteString(peers[n], "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
 		until(t, "it is open", func() bool { return i.Status().Pools[0].Open == n+1 })
 	}
 	if _, err := i.Reload(parse(t, inText, stays, "[limits]\nsockets = 4096\n")); err != nil {
@@ -663,7 +667,7 @@
 // A pool that a reload leaves as it is keeps its module and connections; one whose servers alone change keeps them too.
 func TestReloadKeepsPools(t *testing.T) {
 	s := servers(t, "a", "b")
-	file := func(prefix string, more ...*standin.Server) *operator.Config {
+	file := func(prefix string, more ...*fakeserver.Server) *operator.Config {
 		return parse(t, inText, poolText("p", "", more...), routeText("r", prefix, "p", "read", ""))
 	}
 	i, _ := run(t, file("/", s[0]))
@@ -679,8 +683,8 @@
 			t.Error("the pool was made anew")
 		}
 	}
-	if s[0].Opened() != 1 {
-		t.Errorf("%d connections to the server that stayed, want one", s[0].Opened())
+	if s[0].ConnsOpened() != 1 {
+		t.Errorf("%d connections to the server that stayed, want one", s[0].ConnsOpened())
 	}
 	until(t, "connections to the removed server are closed", func() bool { _, _, _, n := s[0].Counts(); return n == 0 })
 	from, _, _, _ := s[0].Counts()
@@ -708,20 +712,20 @@
 	t.Cleanup(freed)
 	var first atomic.Bool
 	for _, one := range s[:2] {
-		one.FaultBy(func(r *http.Request) standin.Fault {
+		one.SetFaultFunc(func(r *http.Request) fakeserver.Fault {
 			if r != nil && first.CompareAndSwap(false, true) {
 				held <- struct{}{}
 				<-release
-				return standin.NotRun
+				return fakeserver.NotExecuted
 			}
-			return standin.None
+			return fakeserver.NoFault
 		})
 	}
 	a, b := poolText("a", "", s[0], s[1]), poolText("b", "", s[2])
 	i, _ := run(t, parse(t, inText, a, b, routeText("r", "/", "a", "pay", "")))
 	c := connect(t, i.Addresses()["in"])
-	c.SetDeadline(time.Now().Add(long))
-	io.WriteString(c, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
+	_ = c.SetDeadline(time.Now().Add(long))
+	_, _ = io.WriteString(c, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
 	<-held
 	if _, err := i.Reload(parse(t, inText, b, routeText("r", "/", "b", "pay", ""))); err != nil {
 		t.Fatal(err)
@@ -747,7 +751,7 @@
 	i, _ := run(t, parse(t, base, more))
 	used, silent := connect(t, addr), connect(t, addr)
 	used.must(t, "GET", "GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 200)
-	until(t, "both are accepted", func() bool { return i.Status().Callers == 2 })
+	until(t, "both are accepted", func() bool { return i.Status().ClientConns == 2 })
 	if _, err := i.Reload(parse(t, base)); err != nil {
 		t.Fatal(err)
 	}
@@ -801,7 +805,7 @@
 			if k == 25 {
 				close(begun)
 			}
-			if _, err := i.Reload(cfg); err != nil && !errors.Is(err, errDraining) {
+			if _, err := i.Reload(cfg); err != nil && !errors.Is(err, errShuttingDown) {
 				t.Error(err)
 			}
 		})
@@ -809,7 +813,7 @@
 	<-begun
 	stop()
 	all.Wait()
-	if _, err := i.Reload(file(99)); !errors.Is(err, errDraining) {
+	if _, err := i.Reload(file(99)); !errors.Is(err, errShuttingDown) {
 		t.Errorf("a reload after the end: %v", err)
 	}
 }
@@ -821,16 +825,16 @@
 	i, stop := run(t, parse(t, inText, poolText("p", "", s[0]), routeText("r", "/", "p", "pay", ""), routeText("s", "/s", "p", "read", ""),
 		"\n[limits]\ndrain = \"300ms\"\n"))
 	stream := connect(t, i.Addresses()["in"])
-	stream.SetDeadline(time.Now().Add(long))
-	io.WriteString(stream, "GET /s?bytes=50000000 HTTP/1.1\r\nHost: h\r\n\r\n")
+	_ = stream.SetDeadline(time.Now().Add(long))
+	_, _ = io.WriteString(stream, "GET /s?bytes=50000000 HTTP/1.1\r\nHost: h\r\n\r\n")
 	begun, err := http.ReadResponse(stream.reader, nil)
 	if err != nil || begun.StatusCode != 200 {
 		t.Fatalf("the stream does not begin: %v, %v", begun, err)
 	}
-	s[0].Fault(standin.Stall)
+	s[0].SetFault(fakeserver.NoResponse)
 	c := connect(t, i.Addresses()["in"])
-	c.SetDeadline(time.Now().Add(long))
-	io.WriteString(c, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nX-Deadline: 60\r\n\r\n")
+	_ = c.SetDeadline(time.Now().Add(long))
+	_, _ = io.WriteString(c, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nX-Deadline: 60\r\n\r\n")
 	until(t, "it has reached the server", func() bool { n, _, _, _ := s[0].Counts(); return n == 2 })
 	ended := make(chan struct{})
 	go func() { stop(); close(ended) }()
@@ -847,7 +851,7 @@
 // were.
 func TestOutageStaysInItsPool(t *testing.T) {
 	s := servers(t, "sick1", "sick2", "well")
-	s[2].Work(2 * time.Millisecond)
+	s[2].SetWork(2 * time.Millisecond)
 	i, _ := run(t, parse(t, inText, poolText("sick", "", s[0], s[1]), poolText("well", "", s[2]),
 		routeText("sick", "/sick", "sick", "read", ""), routeText("well", "/well", "well", "read", ""), "[limits]\nsockets = 256\n"))
 	in := i.Addresses()["in"]
@@ -880,7 +884,7 @@
 	}
 	before := measure()
 	for _, one := range s[:2] {
-		one.Fault(standin.Stall)
+		one.SetFault(fakeserver.NoResponse)
 	}
 	stop := make(chan struct{})
 	var sick sync.WaitGroup
@@ -913,8 +917,8 @@
 	}
 	t.Logf("p99 %v before, %v during the outage", before, during)
 	st := i.Status()
-	if sum := st.Pools[0].Most + st.Pools[1].Most; int64(sum) != i.ledger.limit.Load() {
-		t.Errorf("shares sum to %d of %d", sum, i.ledger.limit.Load())
+	if sum := st.Pools[0].MaxConnections + st.Pools[1].MaxConnections; int64(sum) != i.serverConns.limit.Load() {
+		t.Errorf("shares sum to %d of %d", sum, i.serverConns.limit.Load())
 	}
 }
 
@@ -932,7 +936,7 @@
 			t.Fatal(err)
 		}
 	}
-	line := func(s *standin.Server, state string) string {
+	line := func(s *fakeserver.Server, state string) string {
 		return fmt.Sprintf("[[server]]\naddress = %q\nstate = %q\n", s.Addr(), state)
 	}
 	write(line(s[0], "ready"))
@@ -974,7 +978,7 @@
 	i, _ := run(t, parse(t, inText, poolText("p", fmt.Sprintf("source = { type = \"discovery\", address = %q }", addr)), routeText("r", "/", "p", "read", "")))
 	c := connect(t, i.Addresses()["in"])
 	c.must(t, "GET", "GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 503)
-	tell <- List{Rev: 1, All: true, Targets: []Target{{UID: "s-1", Endpoint: s[0].Addr(), State: "Ready"}}}
+	tell <- List{Rev: 1, Full: true, Targets: []Target{{UID: "s-1", Endpoint: s[0].Addr(), State: "Ready"}}}
 	until(t, "the list has come", func() bool { return i.Status().Pools[0].Usable == 1 })
 	c.must(t, "GET", "GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 200)
 	tell <- List{Rev: 2, Targets: []Target{{UID: "s-1", Endpoint: s[0].Addr(), State: "Gone"}}}
@@ -985,7 +989,7 @@
 
 // The bodies that the stand-in makes are told apart by their length, so a mix-up shows.
 func TestStandinBodies(t *testing.T) {
-	if bytes.Equal(standin.Body(100)[:50], standin.Body(101)[:50]) {
+	if bytes.Equal(fakeserver.Body(100)[:50], fakeserver.Body(101)[:50]) {
 		t.Error("bodies of two lengths begin alike")
 	}
 }
--- a/internal/sidecar/interop_test.go
+++ b/internal/sidecar/interop_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -49,7 +50,7 @@
 	}
 	for { // the head goes out long before all else
 		in, err := stream.Recv()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
@@ -75,7 +76,7 @@
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		srv.Serve(ln)
+		_ = srv.Serve(ln)
 	}()
 	t.Cleanup(func() {
 		srv.Stop()
@@ -184,8 +185,8 @@
 					t.Fatal(n, err)
 				}
 			}
-			half.CloseSend()
-			if _, err := half.Recv(); err != io.EOF {
+			_ = half.CloseSend()
+			if _, err := half.Recv(); !errors.Is(err, io.EOF) {
 				t.Error(err)
 			}
 
@@ -200,13 +201,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			info.Send(&reflectionpb.ServerReflectionRequest{MessageRequest: &reflectionpb.ServerReflectionRequest_ListServices{}})
+			_ = info.Send(&reflectionpb.ServerReflectionRequest{MessageRequest: &reflectionpb.ServerReflectionRequest_ListServices{}})
 			got, err := info.Recv()
 			if err != nil || !strings.Contains(got.String(), "grpc.testing.TestService") {
 				t.Errorf("reflection: %v, %v", got, err)
 			}
-			info.CloseSend()
-			if _, err := info.Recv(); err != io.EOF {
+			_ = info.CloseSend()
+			if _, err := info.Recv(); !errors.Is(err, io.EOF) {
 				t.Error(err)
 			}
 
--- a/internal/sidecar/levels.go
+++ b/internal/sidecar/levels.go
@@ -10,66 +10,69 @@
 	"net/http"
 	"time"
 
-	"whinknot"
-	"whinknot/internal/level"
-	"whinknot/internal/operator"
-	"whinknot/internal/state"
+	"milletmast/balancer"
+	"milletmast/internal/degradation"
+	"milletmast/internal/operator"
+	"milletmast/internal/state"
 )
 
-const levelTick = 100 * time.Millisecond // between two looks at a pool's signals
+const (
+	levelInterval = 100 * time.Millisecond // between two updates of a pool's level
+	maxPinTime    = 24 * time.Hour
+)
 
-// levels is a pool's reduced service (package level). The loop owns it; it is nil where the file has no levels.
-type levels struct {
-	pool    string
-	machine *level.Machine
-	meter   *level.Meter
-	waiting *list.List // calls that have had no server yet, the oldest first
-	young   []float64  // when those of the ready servers started that may be cold
+// levelState is the level of reduced service of a pool (package degradation). The loop owns it.
+type levelState struct {
+	pool       string
+	controller *degradation.Controller
+	meter      *degradation.Meter
+	waiting    *list.List // calls that have not been sent yet, the oldest first
+	coldStarts []float64  // start times of the ready servers that may be cold
 }
 
-// setLevels puts a pool's ladder in force, in the loop. Where there was none, before is the machine of the pool in whose place
-// this one is; nil for none.
-func (l *loop) setLevels(p *operator.Pool, before *level.Machine) {
+// setLevels applies the levels of a pool. If there were none, before is the controller of the pool that this one replaces; nil
+// for none.
+func (l *eventLoop) setLevels(p *operator.Pool, before *degradation.Controller) {
 	ladder, now := p.Ladder(), time.Now()
 	if len(ladder) == 0 {
 		if s := l.levels; s != nil {
 			for e := s.waiting.Front(); e != nil; e = e.Next() {
-				e.Value.(*call).waits = nil
+				e.Value.(*call).queueElement = nil
 			}
 		}
 		l.levels = nil
-		l.nameCallers(p)
+		l.setCallerHeader(p)
 		return
 	}
-	l.nameCallers(p)
+	l.setCallerHeader(p)
 	window := time.Duration(p.LevelWindow)
 	if s := l.levels; s != nil {
-		s.machine.Reload(ladder, now)
-		s.meter = level.NewMeter(window, len(p.Classes), now)
+		s.controller.SetLadder(ladder, now)
+		s.meter = degradation.NewMeter(window, len(p.Classes), now)
 		return
 	}
-	s := &levels{pool: p.Name, meter: level.NewMeter(window, len(p.Classes), now), waiting: list.New()}
+	s := &levelState{pool: p.Name, meter: degradation.NewMeter(window, len(p.Classes), now), waiting: list.New()}
 	if before != nil {
-		s.machine = before
-		s.machine.Reload(ladder, now)
+		s.controller = before
+		s.controller.SetLadder(ladder, now)
 	} else {
-		s.machine = level.New(ladder, now)
+		s.controller = degradation.NewController(ladder, now)
 	}
 	l.levels = s
-	l.remember()
-	l.tick()
+	l.recordColdServers()
+	l.updateLevels()
 }
 
-// nameCallers has callers told apart where something decides by them: levels by their address if by nothing else.
-func (l *loop) nameCallers(p *operator.Pool) {
-	l.callerBy.Store(nil)
+// setCallerHeader has callers told apart if something decides by caller: levels do, by address if no header is set.
+func (l *eventLoop) setCallerHeader(p *operator.Pool) {
+	l.callerHeader.Store(nil)
 	if len(p.Levels) > 0 || p.Allot && p.LevelCaller != "" {
-		l.callerBy.Store(&p.LevelCaller)
+		l.callerHeader.Store(&p.LevelCaller)
 	}
 }
 
-// tick has the machine look at the signals, and asks to be called again.
-func (l *loop) tick() {
+// updateLevels updates the level by the signals, and schedules itself.
+func (l *eventLoop) updateLevels() {
 	s := l.levels
 	if s == nil {
 		return
@@ -78,153 +81,127 @@
 	r := s.meter.Read(now, l.longestWait())
 	usable := float64(max(l.usable-l.balancer.Cuts(), 0))
 	if len(l.listed) > 0 {
-		r[level.Usable] = usable / float64(len(l.listed))
+		r[degradation.UsableRatio] = usable / float64(len(l.listed))
 	}
 	if usable > 0 {
-		r[level.Warm] = max(0, usable-l.coldness()) / usable
+		r[degradation.WarmRatio] = max(0, usable-l.coldness()) / usable
 	}
-	if s.machine.Step(now, r, s.meter.Worths(now)) {
-		st := s.machine.Status(0)
+	if s.controller.Update(now, r, s.meter.Demand(now)) {
+		st := s.controller.Status(0)
 		c := st.Changes[len(st.Changes)-1]
-		slog.Warn("level of service", "pool", s.pool, "from", c.From, "to", c.To, "by", c.By, "why", c.Why)
+		slog.Warn("level of service", "pool", s.pool, "from", c.From, "to", c.To, "by", c.By, "why", c.Reason)
 	}
-	heap.Push(&l.agenda, &due{at: l.now() + inMillis(levelTick), then: l.tick, of: s})
+	heap.Push(&l.timers, &timedTask{at: l.now() + inMillis(levelInterval), run: l.updateLevels, onlyFor: s})
 }
 
-// longestWait is for how long the call that waits longest for its first server has done so.
-func (l *loop) longestWait() time.Duration {
+// longestWait returns for how long the oldest call that has not been sent has waited.
+func (l *eventLoop) longestWait() time.Duration {
 	if e := l.levels.waiting.Front(); e != nil {
-		return millis(l.now() - e.Value.(*call).came)
+		return millis(l.now() - e.Value.(*call).arrivedAt)
 	}
 	return 0
 }
 
-// remember keeps the start times of the servers that may be cold.
-func (l *loop) remember() {
+// recordColdServers records the start times of the servers that may be cold.
+func (l *eventLoop) recordColdServers() {
 	s := l.levels
 	if s == nil {
 		return
 	}
-	s.young = s.young[:0]
+	s.coldStarts = s.coldStarts[:0]
 	ramp := l.settings.Safety.Ramp
-	for _, t := range l.told {
-		t = l.overridden(t)
-		if states[t.State] == whinknot.Ready && l.now()-t.BootMS < ramp {
-			s.young = append(s.young, t.BootMS)
+	for _, t := range l.targets {
+		t = l.withOverride(t)
+		if serverStates[t.State] == balancer.Ready && l.now()-t.BootMS < ramp {
+			s.coldStarts = append(s.coldStarts, t.BootMS)
 		}
 	}
 }
 
-// coldness is how many servers' worth of the capacity is cold. A cold server warms evenly, as the module takes it.
-func (l *loop) coldness() float64 {
+// coldness returns the missing capacity of cold servers, in servers. Like the decision module, it takes a server to warm up
+// linearly.
+func (l *eventLoop) coldness() float64 {
 	s, f := l.levels, &l.settings.Safety
-	cold, kept := 0.0, s.young[:0]
-	for _, began := range s.young {
+	cold, kept := 0.0, s.coldStarts[:0]
+	for _, began := range s.coldStarts {
 		if age := l.now() - began; age < f.Ramp {
 			cold += (1 - f.ColdFrom) * (1 - max(age, 0)/f.Ramp)
 			kept = append(kept, began)
 		}
 	}
-	s.young = kept
+	s.coldStarts = kept
 	return cold
 }
 
-// admit has the level in force decide on a call that has come: the module hears that it is shed, or what is left to it.
-func (l *loop) admit(c *call) {
+// admitByLevel applies the current level to a new call: it is shed, or its attempts and its deadline are reduced.
+func (l *eventLoop) admitByLevel(c *call) {
 	s := l.levels
 	now := time.Now()
-	c.came = l.now()
-	s.meter.Asked(now, int(c.event.Class), l.worth(c))
-	v := s.machine.Admit(int(c.event.Class), c.who)
+	c.arrivedAt = l.now()
+	s.meter.CountArrival(now, int(c.event.Class), l.weightOf(c))
+	v := s.controller.Admit(int(c.event.Class), c.callerHash)
 	if v.Shed != nil {
-		c.shed, c.event.Shed = v.Shed, true
+		c.shedRule, c.event.Shed = v.Shed, true
 		return
 	}
-	if v.Attempts > 0 && (c.event.Attempts == 0 || c.event.Attempts > v.Attempts) {
-		c.event.Attempts = v.Attempts
+	if v.MaxAttempts > 0 && (c.event.Attempts == 0 || c.event.Attempts > v.MaxAttempts) {
+		c.event.Attempts = v.MaxAttempts
 	}
-	if v.Deadline < 1 && !c.carrier().endless() {
-		cut := c.wait * (1 - v.Deadline)
-		c.wait -= cut
+	if v.DeadlineShare < 1 && !c.sender().isUnbounded() {
+		cut := c.timeout * (1 - v.DeadlineShare)
+		c.timeout -= cut
 		c.event.Due -= cut
-		c.out.within = min(c.out.within, millis(c.wait))
+		c.http.responseTimeout = min(c.http.responseTimeout, millis(c.timeout))
 	}
-	c.waits = s.waiting.PushBack(c)
+	c.queueElement = s.waiting.PushBack(c)
 }
 
-// worth is what a call is worth: by itself, where an upper tier said so, or by its class.
-func (l *loop) worth(c *call) float64 {
+// weightOf returns the worth of a call: that of its call context, or of its class.
+func (l *eventLoop) weightOf(c *call) float64 {
 	if c.event.Worth > 0 {
 		return c.event.Worth
 	}
 	return l.settings.Classes[c.event.Class].Worth
 }
 
-// leaves notes that a call waits no more for its first server.
-func (s *levels) leaves(c *call) {
-	if c.waits != nil {
-		s.waiting.Remove(c.waits)
-		c.waits = nil
+// dequeue removes a call from those that have not been sent.
+func (s *levelState) dequeue(c *call) {
+	if c.queueElement != nil {
+		s.waiting.Remove(c.queueElement)
+		c.queueElement = nil
 	}
 }
 
-// sentFirst notes that a call has got its first server.
-func (l *loop) sentFirst(c *call) {
-	if s := l.levels; s != nil && c.waits != nil {
-		s.leaves(c)
-		s.meter.Sent(time.Now(), millis(l.now()-c.came))
+// recordFirstSend records that a call is being sent for the first time.
+func (l *eventLoop) recordFirstSend(c *call) {
+	if s := l.levels; s != nil && c.queueElement != nil {
+		s.dequeue(c)
+		s.meter.RecordQueueTime(time.Now(), millis(l.now()-c.arrivedAt))
 	}
 }
 
-// measure notes how a call has ended.
-func (l *loop) measure(c *call, status int) {
+// recordLevelResult records the end of a call for the signals of the levels.
+func (l *eventLoop) recordLevelResult(c *call, status int) {
 	s := l.levels
-	if s == nil || c.shed != nil || c.came == 0 {
+	if s == nil || c.shedRule != nil || c.arrivedAt == 0 {
 		return
 	}
-	s.leaves(c)
-	took, r := math.NaN(), level.Served
+	s.dequeue(c)
+	took, r := math.NaN(), degradation.Served
 	switch {
-	case status == statusRefused || status == http.StatusTooManyRequests:
-		r = level.Refusal
+	case isRejection(status):
+		r = degradation.Rejected
 	case status >= 500:
-		r = level.Failure
-	case !c.carrier().endless() && c.out.upload == nil:
-		took = (l.now() - c.came) / l.settings.Classes[c.event.Class].Aim
-	}
-	s.meter.Ended(time.Now(), r, l.worth(c), took)
-}
-
-// refused is the answer to a call that the module refuses. Of one that a level sheds it is what the level says.
-func (c *call) refused(after float64) answer {
-	a := answer{status: statusRefused, retryAfter: millis(after), made: true}
-	if c.shed == nil {
-		return a
-	}
-	r := &c.shed.Reply
-	if r.After > 0 {
-		a.retryAfter = r.After
+		r = degradation.Failed
+	case !c.sender().isUnbounded() && c.http.upload == nil:
+		took = (l.now() - c.arrivedAt) / l.settings.Classes[c.event.Class].Aim
 	}
-	a.header = http.Header{}
-	if r.Warning != "" {
-		a.header.Set("Warning", r.Warning)
-	}
-	if r.Type != "" {
-		a.header.Set("Content-Type", r.Type)
-	}
-	if r.Status != 0 || r.Body != "" {
-		a.made = false // no error page stands in for it
-		a.body = []byte(r.Body)
-		if r.Status != 0 {
-			a.status = r.Status
-		}
-	}
-	return a
+	s.meter.CountResult(time.Now(), r, l.weightOf(c), took)
 }
 
-// callerOf is a caller as levels know it: by the header that the pool names, or its address.
+// callerOf returns the hash of a caller: of the header that the pool names, or of its address.
 func (p *pool) callerOf(h http.Header, remote func() string) uint64 {
-	by := p.loop.callerBy.Load()
+	by := p.loop.callerHeader.Load()
 	if by == nil {
 		return 0
 	}
@@ -235,32 +212,29 @@
 	if name == "" {
 		name = remote()
 	}
-	return level.Caller(name)
+	return degradation.HashCaller(name)
 }
 
-// Errors of commands.
+// Errors of commands on levels.
 var (
-	ErrNoPool   = errors.New("there is no such pool")
-	ErrNoLevels = errors.New("the pool has no levels")
+	ErrUnknownPool = errors.New("there is no such pool")
+	ErrNoLevels    = errors.New("the pool has no levels")
 )
 
-// mostPin is how long a level may be pinned.
-const mostPin = 24 * time.Hour
-
-// Pin keeps a level of a pool in force for a time, whatever its signals say. The reason of an error is level.ErrUnknown,
-// ErrNoPool or ErrNoLevels, or the time.
+// Pin keeps a pool at a level for a time, whatever its signals say. The error is degradation.ErrUnknownLevel, ErrUnknownPool,
+// ErrNoLevels, or that of an invalid time.
 func (i *Instance) Pin(pool, name string, ttl time.Duration) error {
 	if err := i.pin(pool, name, ttl); err != nil {
 		return err
 	}
-	return i.keepPin(pool, &state.Pin{Level: name, Until: time.Now().Add(ttl)})
+	return i.savePin(pool, &state.DegradationPin{Level: name, Until: time.Now().Add(ttl)})
 }
 
 func (i *Instance) pin(pool, name string, ttl time.Duration) error {
-	if ttl <= 0 || ttl > mostPin {
-		return fmt.Errorf("a level is pinned for up to %v, not %v", mostPin, ttl)
+	if ttl <= 0 || ttl > maxPinTime {
+		return fmt.Errorf("a level is pinned for up to %v, not %v", maxPinTime, ttl)
 	}
-	return i.command(pool, func(m *level.Machine) error {
+	return i.withLevels(pool, func(m *degradation.Controller) error {
 		now := time.Now()
 		if err := m.Pin(name, now, now.Add(ttl)); err != nil {
 			return err
@@ -270,51 +244,51 @@
 	})
 }
 
-// Release ends a pin: the pool's signals decide again.
-func (i *Instance) Release(pool string) error {
-	if err := i.command(pool, func(m *level.Machine) error {
-		m.Release(time.Now())
+// Unpin ends a pin: the signals of the pool decide again.
+func (i *Instance) Unpin(pool string) error {
+	if err := i.withLevels(pool, func(m *degradation.Controller) error {
+		m.Unpin(time.Now())
 		slog.Warn("level of service released", "pool", pool)
 		return nil
 	}); err != nil {
 		return err
 	}
-	return i.keepPin(pool, nil)
+	return i.savePin(pool, nil)
 }
 
-// command does something to the levels of a pool of the generation in force.
-func (i *Instance) command(name string, do func(*level.Machine) error) error {
+// withLevels calls do with the controller of a pool of the current generation.
+func (i *Instance) withLevels(name string, do func(*degradation.Controller) error) error {
 	i.mu.Lock()
 	p := i.current.pools[name]
 	i.mu.Unlock()
 	if p == nil {
-		return fmt.Errorf("%w: %q", ErrNoPool, name)
+		return fmt.Errorf("%w: %q", ErrUnknownPool, name)
 	}
-	err := fmt.Errorf("%w: %q", ErrNoPool, name) // it has just ended
-	p.loop.ask(func() {
+	err := fmt.Errorf("%w: %q", ErrUnknownPool, name) // if it has just ended
+	p.loop.do(func() {
 		if p.loop.levels == nil {
 			err = fmt.Errorf("%w: %q", ErrNoLevels, name)
 		} else {
-			err = do(p.loop.levels.machine)
+			err = do(p.loop.levels.controller)
 		}
 	})
 	return err
 }
 
-// levelStatus is the status of a pool's levels; nil for none. The loop runs it.
-func (l *loop) levelStatus() *level.Status {
+// levelStatus returns the status of the levels; nil for none. It is called by the loop.
+func (l *eventLoop) levelStatus() *degradation.Status {
 	if l.levels == nil {
 		return nil
 	}
-	st := l.levels.machine.Status(len(l.settings.Classes))
+	st := l.levels.controller.Status(len(l.settings.Classes))
 	return &st
 }
 
-// levelState is the machine of a pool for the one that is made in its place; nil for none.
-func (p *pool) levelState() (m *level.Machine) {
-	p.loop.ask(func() {
+// cloneLevels returns a copy of the controller of a pool for the pool that replaces it; nil for none.
+func (p *pool) cloneLevels() (m *degradation.Controller) {
+	p.loop.do(func() {
 		if p.loop.levels != nil {
-			m = p.loop.levels.machine.Clone()
+			m = p.loop.levels.controller.Clone()
 		}
 	})
 	return m
--- a/internal/sidecar/levels_test.go
+++ b/internal/sidecar/levels_test.go
@@ -11,8 +11,8 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"whinknot/internal/level"
-	"whinknot/internal/standin"
+	"milletmast/internal/degradation"
+	"milletmast/internal/fakeserver"
 )
 
 // levelText is a ladder of two levels, the first of them with what is given.
@@ -48,7 +48,7 @@
 const halfOfReads = "[[pool.level.shed]]\nclass = \"read\"\nshare = 0.5\n"
 
 // levelOf is the status of a pool's levels.
-func levelOf(t testing.TB, i *Instance, pool string) *level.Status {
+func levelOf(t testing.TB, i *Instance, pool string) *degradation.Status {
 	t.Helper()
 	for _, p := range i.Status().Pools {
 		if p.Name == pool && !p.Ending {
@@ -59,9 +59,10 @@
 	return nil
 }
 
-func pin(t testing.TB, i *Instance, pool, name string) {
+// pin pins a level of the pool p.
+func pin(t testing.TB, i *Instance, name string) {
 	t.Helper()
-	if err := i.Pin(pool, name, time.Hour); err != nil {
+	if err := i.Pin("p", name, time.Hour); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -81,7 +82,7 @@
 		}
 		return res.StatusCode
 	}
-	pin(t, i, "p", "lean")
+	pin(t, i, "lean")
 	shed := map[int]bool{}
 	for round := range 3 {
 		before := reached()
@@ -109,7 +110,7 @@
 			t.Errorf("%d of 60 callers are served, %d requests reached servers", served, n)
 		}
 	}
-	pin(t, i, "p", "essential")
+	pin(t, i, "essential")
 	before := reached()
 	began := time.Now()
 	res, body, err := c.ask("GET", "GET /read HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -125,15 +126,15 @@
 	}
 	c.must(t, "POST", "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", 200)
 	// One attempt, and a fifth of two seconds.
-	s[0].Fault(standin.NotRun)
-	s[1].Fault(standin.NotRun)
+	s[0].SetFault(fakeserver.NotExecuted)
+	s[1].SetFault(fakeserver.NotExecuted)
 	before = reached()
 	c.must(t, "POST", "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", 503)
 	if n := reached() - before; n != 1 {
 		t.Errorf("%d attempts", n)
 	}
-	s[0].Fault(standin.Stall)
-	s[1].Fault(standin.Stall)
+	s[0].SetFault(fakeserver.NoResponse)
+	s[1].SetFault(fakeserver.NoResponse)
 	began = time.Now()
 	c.must(t, "POST", "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", 502)
 	if took := time.Since(began); took > time.Second {
@@ -145,13 +146,13 @@
 	}
 	for _, r := range list {
 		left := 0.0
-		if r.Fault == standin.Stall {
-			if fmt.Sscan(r.Header.Get("X-Deadline"), &left); left <= 0 || left > 0.4 {
+		if r.Fault == fakeserver.NoResponse {
+			if _, _ = fmt.Sscan(r.Header.Get("X-Deadline"), &left); left <= 0 || left > 0.4 {
 				t.Errorf("the server was told %q", r.Header.Get("X-Deadline"))
 			}
 		}
 	}
-	if err := i.Release("p"); err != nil {
+	if err := i.Unpin("p"); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -159,8 +160,8 @@
 // A level is entered by itself when requests wait, shown with its reason, and left when they do not; of two pools each has its own.
 func TestLevelsBySignals(t *testing.T) {
 	s := servers(t, "a", "b")
-	s[0].Cores(1)
-	s[0].Work(100 * time.Millisecond)
+	s[0].SetCores(1)
+	s[0].SetWork(100 * time.Millisecond)
 	i, _ := run(t, parse(t, inText, poolText("p", "level_window = \"300ms\"", s[0]), levelText(""), poolText("q", "", s[1]), levelText(""),
 		routeText("p", "/p", "p", "read", ""), routeText("q", "/q", "q", "read", "")))
 	addr := i.Addresses()["in"]
@@ -191,19 +192,21 @@
 			}()
 		}
 	}()
-	until(t, "pool p is at a level", func() bool { return levelOf(t, i, "p").Level != level.Normal })
+	until(t, "pool p is at a level", func() bool { return levelOf(t, i, "p").Level != degradation.Normal })
 	st := levelOf(t, i, "p")
-	if last := st.Changes[len(st.Changes)-1]; !strings.Contains(st.Why, "wait >") && !strings.Contains(st.Why, "failed >") || st.By != level.BySignals || last.To != st.Level {
+	if last := st.Changes[len(st.Changes)-1]; !strings.Contains(st.Reason, "wait >") && !strings.Contains(st.Reason, "failed >") ||
+		st.By != degradation.BySignals ||
+		last.To != st.Level {
 		t.Errorf("%+v", st)
 	}
-	if st := levelOf(t, i, "q"); st.Level != level.Normal || st.Count != 0 {
+	if st := levelOf(t, i, "q"); st.Level != degradation.Normal || st.ChangeCount != 0 {
 		t.Errorf("the other pool: %+v", st)
 	}
 	close(stop)
 	<-done
 	http.DefaultClient.CloseIdleConnections()
-	until(t, "pool p is back", func() bool { return levelOf(t, i, "p").Level == level.Normal })
-	if st := levelOf(t, i, "p"); st.Count < 2 || !st.Earliest.IsZero() {
+	until(t, "pool p is back", func() bool { return levelOf(t, i, "p").Level == degradation.Normal })
+	if st := levelOf(t, i, "p"); st.ChangeCount < 2 || !st.EarliestLeave.IsZero() {
 		t.Errorf("%+v", st)
 	}
 }
@@ -215,7 +218,7 @@
 		return poolText("p", more, s...) + levels + routeText("read", "/", "p", "read", "")
 	}
 	i, _ := run(t, parse(t, inText, file("", levelText(""))))
-	pin(t, i, "p", "essential")
+	pin(t, i, "essential")
 	load := func(text string) {
 		t.Helper()
 		if _, err := i.Reload(parse(t, inText, text)); err != nil {
@@ -231,13 +234,13 @@
 	}
 	load(file("", strings.ReplaceAll(levelText(""), "essential", "only-paid")))
 	is("only-paid")
-	if st := levelOf(t, i, "p"); st.By != level.ByReload || !st.Pinned.IsZero() {
+	if st := levelOf(t, i, "p"); st.By != degradation.ByReload || !st.PinnedUntil.IsZero() {
 		t.Errorf("%+v", st)
 	}
-	pin(t, i, "p", "only-paid")
+	pin(t, i, "only-paid")
 	load(file("attempts = 2", strings.ReplaceAll(levelText(""), "essential", "only-paid"))) // another module
 	is("only-paid")
-	if st := levelOf(t, i, "p"); st.Pinned.IsZero() {
+	if st := levelOf(t, i, "p"); st.PinnedUntil.IsZero() {
 		t.Errorf("the pin is lost: %+v", st)
 	}
 	only, _, _ := strings.Cut(levelText(""), "\n[[pool.level]]\nname = \"essential\"")
@@ -249,9 +252,9 @@
 		t.Errorf("%v", err)
 	}
 	load(file("attempts = 2", levelText("")))
-	is(level.Normal)
+	is(degradation.Normal)
 	for want, err := range map[error]error{
-		level.ErrUnknown: i.Pin("p", "none", time.Minute), ErrNoPool: i.Release("none"),
+		degradation.ErrUnknownLevel: i.Pin("p", "none", time.Minute), ErrUnknownPool: i.Unpin("none"),
 	} {
 		if !errors.Is(err, want) {
 			t.Errorf("%v, want %v", err, want)
@@ -271,7 +274,8 @@
 	i, _ := run(t, parse(t, inText, text, levelText(""), routeText("read", "/", "p", "read", "")))
 	until(t, "the signals are told", func() bool {
 		st := levelOf(t, i, "p")
-		return st.Signals[level.Usable] == 0.75 && st.Signals[level.Warm] > 2.2/3-0.01 && st.Signals[level.Warm] < 2.2/3+0.01
+		return st.Signals[degradation.UsableRatio] == 0.75 && st.Signals[degradation.WarmRatio] > 2.2/3-0.01 &&
+			st.Signals[degradation.WarmRatio] < 2.2/3+0.01
 	})
 }
 
@@ -284,7 +288,7 @@
 	if _, err := unary(cc, "/read.S/Get", "hi"); err != nil {
 		t.Fatal(err)
 	}
-	pin(t, i, "p", "lean")
+	pin(t, i, "lean")
 	before, _, _, _ := s[0].Counts()
 	_, err := unary(cc, "/read.S/Get", "hi")
 	if status.Code(err) != codes.Unavailable {
--- a/internal/sidecar/lies_test.go
+++ b/internal/sidecar/lies_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"whinknot/internal/rules"
-	"whinknot/internal/standin"
+	"milletmast/internal/fakeserver"
+	"milletmast/internal/rules"
 )
 
 // A measurement is `go test ./internal/sidecar -run TestNoLieIsBelieved -exchanges 100000 -lies 7`.
@@ -25,23 +25,23 @@
 // nothing that was said not to have run has or does.
 func TestNoLieIsBelieved(t *testing.T) {
 	facts := &rules.Answers{}
-	liar := &standin.Liar{Answers: facts, Trick: func(n int) standin.Trick {
-		return standin.Tricks(rand.New(rand.NewPCG(*lies, uint64(n))))
+	liar := &fakeserver.MisbehavingServer{Answers: facts, Choose: func(n int) fakeserver.Misbehavior {
+		return fakeserver.RandomMisbehavior(rand.New(rand.NewPCG(*lies, uint64(n))))
 	}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	liar.Serve(ln)
-	w := NewWharf(64, time.Minute)
-	w.Moor(ln.Addr().String(), 1)
+	w := NewSingleServerPool(64, time.Minute)
+	w.SetServer(ln.Addr().String(), 1)
 	var calls sync.WaitGroup
 	var served, asked atomic.Int64
 	var first atomic.Int64
 	for who := range 8 {
 		calls.Go(func() {
 			r := rand.New(rand.NewPCG(*lies, uint64(1_000_000+who)))
-			for n := 0; liar.Seen() < *exchanges; n++ {
+			for n := 0; liar.RequestCount() < *exchanges; n++ {
 				ctx, cancel := context.WithCancel(t.Context())
 				if r.IntN(40) == 0 {
 					time.AfterFunc(time.Duration(r.IntN(2000))*time.Microsecond, cancel)
@@ -52,8 +52,8 @@
 					served.Add(1)
 				}
 				cancel()
-				if _, wrong := facts.Wrong(); wrong > 0 {
-					first.CompareAndSwap(0, int64(liar.Seen()))
+				if _, wrong := facts.Violations(); wrong > 0 {
+					first.CompareAndSwap(0, int64(liar.RequestCount()))
 				}
 			}
 		})
@@ -61,12 +61,12 @@
 	calls.Wait()
 	w.Close()
 	liar.Close()
-	wrong, count := facts.Wrong()
+	wrong, count := facts.Violations()
 	for _, text := range wrong[:min(len(wrong), 20)] {
 		t.Error(text)
 	}
-	if t.Logf("%d exchanges, %d of %d requests answered", liar.Seen(), served.Load(), asked.Load()); count > 0 {
-		t.Errorf("seed %d: %d wrong in %d exchanges, the first by the %dth", *lies, count, liar.Seen(), first.Load())
+	if t.Logf("%d exchanges, %d of %d requests answered", liar.RequestCount(), served.Load(), asked.Load()); count > 0 {
+		t.Errorf("seed %d: %d wrong in %d exchanges, the first by the %dth", *lies, count, liar.RequestCount(), first.Load())
 	}
 	if served.Load() < asked.Load()/4 {
 		t.Errorf("seed %d: hardly anything is answered", *lies)
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"testing/synctest"
 
-	"whinknot"
+	"milletmast/balancer"
 )
 
 // idle is a loop with nothing to do that runs in its own goroutine.
-func idle(t *testing.T) *loop {
+func idle(t *testing.T) *eventLoop {
 	t.Helper()
 	cfg := config(t)
-	l, err := newLoop(&cfg, newUpstream(whinknot.Limits{}, 0, 4))
+	l, err := newEventLoop(&cfg, newUpstream(balancer.Limits{}, 0, 4))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 		var returned atomic.Bool
 		n, ran := 0, false
 		go func() {
-			ran = l.ask(func() {
+			ran = l.do(func() {
 				close(taken)
 				<-release
 				n = 1
@@ -36,7 +36,7 @@
 			returned.Store(true)
 		}()
 		<-taken
-		close(l.ended)
+		close(l.stop)
 		synctest.Wait() // all that can go on without release has
 		if returned.Load() {
 			t.Error("returned while it runs")
@@ -58,15 +58,15 @@
 			l.post(func() { <-release })
 			var wrote atomic.Bool
 			said := make(chan bool, 1)
-			go func() { said <- l.ask(func() { wrote.Store(true) }) }()
+			go func() { said <- l.do(func() { wrote.Store(true) }) }()
 			synctest.Wait()
-			close(l.ended)
+			close(l.stop)
 			close(release)
 			synctest.Wait()
 			if s := <-said; s != wrote.Load() {
 				t.Errorf("said %v, wrote %v", s, wrote.Load())
 			}
-			if l.ask(func() {}) {
+			if l.do(func() {}) {
 				t.Error("a loop that is over did what it was asked")
 			}
 		})
@@ -78,23 +78,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := idle(t)
 		taken, release := make(chan struct{}), make(chan struct{})
-		answered := make(chan answer, 1)
+		answered := make(chan response, 1)
 		l.post(func() {
 			close(taken)
 			<-release
-			answered <- answer{status: 200}
+			answered <- response{status: 200}
 		})
 		<-taken
-		close(l.ended)
+		close(l.stop)
 		synctest.Wait()
 		select {
-		case <-l.over:
+		case <-l.stopped:
 			t.Fatal("over while it still gives an answer")
 		default:
 		}
 		close(release)
-		<-l.over
-		if a, ok := lastWord(answered); !ok || a.status != 200 {
+		<-l.stopped
+		if a, ok := pollResponse(answered); !ok || a.status != 200 {
 			t.Errorf("%v, %v", a, ok)
 		}
 	})
--- a/internal/sidecar/mux.go
+++ b/internal/sidecar/mux.go
@@ -8,65 +8,66 @@
 	"slices"
 	"time"
 
-	"whinknot/internal/h2"
+	"milletmast/internal/h2"
 )
 
-// To servers of a gRPC pool calls go as streams of HTTP/2 (RFC 9113), many on one connection. Each stream is an attempt that
-// the module has decided on; a connection neither opens nor repeats one by itself.
+// Calls are sent to the servers of a gRPC pool as streams of HTTP/2 (RFC 9113), many on one connection. Each stream is an attempt
+// that the decision module has decided on; a connection never opens or retries one by itself.
 
-// muxes are the figures of a pool whose connections carry many calls.
-type muxes struct {
-	streams   int           // calls on one connection at most, and no more than the server allows
-	pingAfter time.Duration // see h2.Config
+// muxConfig configures the connections of a gRPC pool.
+type muxConfig struct {
+	maxStreams int           // on one connection, and no more than the server allows
+	pingAfter  time.Duration // see h2.Config
 }
 
-// muxDial is a dial under way that calls wait for, so that a burst does not open a connection for each.
-type muxDial struct {
+// pendingDial is a connection that is being dialed. Calls wait for it, so that a burst does not open a connection for each.
+type pendingDial struct {
 	done    chan struct{}
 	waiting int
 	err     error
 }
 
-// stream is what an attempt needs to begin.
-type stream struct {
-	head     []h2.Field
-	body     [][]byte
-	end      bool
-	notAfter time.Time
-	claim    func() bool // the last word on whether it may be sent
+// streamRequest is a stream that an attempt opens.
+type streamRequest struct {
+	header  []h2.Field
+	body    [][]byte
+	end     bool
+	startBy time.Time
+	claim   func() bool // called last; false if it must not be sent any more
 }
 
-// begin opens a stream to a server on a connection with room, or on a new one.
-func (u *upstream) begin(ctx context.Context, e *endpoint, until time.Time, st *stream) (*h2.Stream, *conn, error) {
-	s, c, err := u.tryBegin(ctx, e, until, st)
+// openStream opens a stream to a server, on a connection that can carry one more or on a new one.
+func (u *upstream) openStream(ctx context.Context, e *endpoint, until time.Time, st *streamRequest) (*h2.Stream, *conn, error) {
+	s, c, err := u.tryOpenStream(ctx, e, until, st)
 	if err != nil {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		if !e.ready { // a connection made meanwhile is of no use
+		if !e.ready { // a connection that was dialed meanwhile is not needed
 			u.retireMuxes(e)
 		}
 	}
 	return s, c, err
 }
 
-func (u *upstream) tryBegin(ctx context.Context, e *endpoint, until time.Time, st *stream) (*h2.Stream, *conn, error) {
+// tryOpenStream is openStream, but may leave a connection to a server that is not ready any more.
+func (u *upstream) tryOpenStream(ctx context.Context, e *endpoint, until time.Time, st *streamRequest) (*h2.Stream, *conn, error) {
 	for {
 		u.mu.Lock()
 		for _, c := range e.muxes {
-			if c.mux.Room() == 0 {
+			if c.mux.AvailableStreams() == 0 {
 				continue
 			}
-			if s, err := u.beginOn(c, st); !errors.Is(err, h2.ErrNoStream) && !errors.Is(err, h2.ErrClosed) {
+			if s, err := u.openStreamOn(c, st); !errors.Is(err, h2.ErrNoCapacity) && !errors.Is(err, h2.ErrClosed) {
 				u.mu.Unlock()
 				return s, c, err
 			}
 		}
 		d := e.dialling
-		if d == nil || d.waiting >= u.muxes.streams {
-			d = &muxDial{done: make(chan struct{})}
+		if d == nil || d.waiting >= u.muxes.maxStreams {
+			d = &pendingDial{done: make(chan struct{})}
 			e.dialling = d
 			u.mu.Unlock()
-			return u.dialFor(ctx, e, until, st, d)
+			return u.dialAndOpen(ctx, e, until, st, d)
 		}
 		d.waiting++
 		u.mu.Unlock()
@@ -75,24 +76,26 @@
 		case <-ctx.Done():
 			return nil, nil, context.Cause(ctx)
 		}
-		if d.err != nil && !errors.Is(d.err, context.Canceled) { // that of another call tells of that call alone
+		if d.err != nil && !errors.Is(d.err, context.Canceled) { // the other call was canceled, which does not concern this one
 			return nil, nil, d.err
 		}
 	}
 }
 
-// dialFor opens a connection, begins the first stream on it and lets those in that have waited for it.
-func (u *upstream) dialFor(ctx context.Context, e *endpoint, until time.Time, st *stream, d *muxDial) (s *h2.Stream, c *conn, err error) {
+// dialAndOpen dials a connection, opens the first stream on it, and wakes up the calls that wait for it.
+func (u *upstream) dialAndOpen(
+	ctx context.Context, e *endpoint, until time.Time, st *streamRequest, d *pendingDial,
+) (s *h2.Stream, c *conn, err error) {
 	c, d.err = u.dialMux(ctx, e, until)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if d.err == nil {
-		if s, err = u.beginOn(c, st); errors.Is(err, h2.ErrNoStream) {
-			d.err = errNoStream // though it is the first
+		if s, err = u.openStreamOn(c, st); errors.Is(err, h2.ErrNoCapacity) {
+			d.err = errNoStream // although it is the first
 		}
-		if c.since = time.Now(); c.counted { // else it has ended already
+		if c.idleSince = time.Now(); c.counted { // otherwise it has ended already
 			e.muxes = append(e.muxes, c)
-			u.sweepLater()
+			u.scheduleSweep()
 		}
 	}
 	if e.dialling == d {
@@ -105,111 +108,116 @@
 	return s, c, err
 }
 
-// beginOn begins a stream on a connection, if the attempt may still be sent. The mutex is held.
-func (u *upstream) beginOn(c *conn, st *stream) (*h2.Stream, error) {
-	if c.mux.Room() == 0 {
-		return nil, h2.ErrNoStream // before the claim, which is for one connection
+// openStreamOn opens a stream on a connection, if the attempt may still be sent. The mutex is held.
+func (u *upstream) openStreamOn(c *conn, st *streamRequest) (*h2.Stream, error) {
+	if c.mux.AvailableStreams() == 0 {
+		return nil, h2.ErrNoCapacity // checked before the claim, which holds for one connection
 	}
 	if !st.claim() {
-		return nil, errNotClaimed
+		return nil, errAttemptCanceled
 	}
-	s, err := c.mux.Begin(st.head, st.body, st.end, st.notAfter)
+	s, err := c.mux.OpenStream(st.header, st.body, st.end, st.startBy)
 	if err == nil {
-		c.using++
+		c.inUse++
 	}
 	return s, err
 }
 
 var (
-	errNotClaimed = errors.New("the attempt was called off")
-	errNoStream   = errors.New("the server allows no stream")
+	errAttemptCanceled = errors.New("the attempt was called off")
+	errNoStream        = errors.New("the server allows no stream")
 )
 
-// dialMux opens a connection and waits until the server has told its settings: from then on the number of streams that it
-// allows is known. A server that does not speak HTTP/2 is one that cannot be reached.
+// dialMux dials a connection and waits for the settings of the server, which say how many streams it allows. A server that does
+// not speak HTTP/2 is one that cannot be reached.
 func (u *upstream) dialMux(ctx context.Context, e *endpoint, until time.Time) (*conn, error) {
-	by := time.Now().Add(u.dialTimeout) // for both together
-	if until.Before(by) {
-		by = until
+	deadline := time.Now().Add(u.dialTimeout) // of both together
+	if until.Before(deadline) {
+		deadline = until
 	}
-	limited, cancel := context.WithDeadline(ctx, by)
+	limited, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	raw, err := u.dial(limited, e, by)
+	raw, err := u.dial(limited, e, deadline)
 	if err != nil {
-		return nil, notOurs(ctx, err)
+		return nil, dialError(ctx, err)
 	}
-	c := &conn{Conn: raw, home: e, counted: true}
+	c := &conn{Conn: raw, endpoint: e, counted: true}
 	c.mux = h2.New(raw, nil, h2.Config{
-		Client: true, Streams: uint32(u.muxes.streams), Quiet: u.dialTimeout, PingAfter: u.muxes.pingAfter,
-		Closed: func() { u.drop(c) },
+		Client:               true,
+		MaxConcurrentStreams: uint32(u.muxes.maxStreams),
+		HandshakeTimeout:     u.dialTimeout,
+		ReadIdleTimeout:      u.muxes.pingAfter,
+		OnClose:              func() { u.dropMux(c) },
 	})
-	u.running.Go(func() {
+	u.goroutines.Go(func() {
 		if err := c.mux.Run(); err != nil {
 			slog.Debug("connection to a server ended", "server", e.addr, "cause", err)
 		}
 	})
-	if err := c.mux.Ready(limited); err != nil {
+	if err := c.mux.WaitSettings(limited); err != nil {
 		c.mux.Close()
-		u.drop(c)
-		return nil, notOurs(ctx, fmt.Errorf("dial: %w", err))
+		u.dropMux(c)
+		return nil, dialError(ctx, fmt.Errorf("dial: %w", err))
 	}
 	return c, nil
 }
 
-// notOurs tells a dial that was called off from one that failed: others who wait for it go on.
-func notOurs(ctx context.Context, err error) error {
+// dialError returns context.Canceled for a dial that was canceled, so that calls that wait for it do not fail with it.
+func dialError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Canceled
 	}
 	return err
 }
 
-// drop counts a connection no more.
-func (u *upstream) drop(c *conn) {
+// dropMux removes a connection from the open ones.
+func (u *upstream) dropMux(c *conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.dropLocked(c)
+	u.dropMuxLocked(c)
 }
 
-func (u *upstream) dropLocked(c *conn) {
+// dropMuxLocked is dropMux under the mutex.
+func (u *upstream) dropMuxLocked(c *conn) {
 	if !c.counted {
 		return
 	}
 	c.counted = false
-	if n := slices.Index(c.home.muxes, c); n >= 0 {
-		c.home.muxes = slices.Delete(c.home.muxes, n, n+1)
+	if n := slices.Index(c.endpoint.muxes, c); n >= 0 {
+		c.endpoint.muxes = slices.Delete(c.endpoint.muxes, n, n+1)
 	}
-	u.closed()
+	u.releaseConn()
 }
 
-// streamEnded is told of each stream that begin gave, when it is over.
+// streamEnded records the end of a stream that openStream has returned.
 func (u *upstream) streamEnded(c *conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if c.using--; c.using > 0 {
+	if c.inUse--; c.inUse > 0 {
 		return
 	}
-	c.since = time.Now()
-	if !c.home.ready {
+	c.idleSince = time.Now()
+	if !c.endpoint.ready {
 		c.mux.Drain()
 		return
 	}
-	u.sweepLater()
+	u.scheduleSweep()
 }
 
-// sweepLater has idle connections looked after.
-func (u *upstream) sweepLater() {
-	if !u.sweeping {
-		u.sweeping = true
-		time.AfterFunc(u.idleLimit, u.sweep)
+// scheduleSweep schedules closeExpired, if it is not. The mutex is held.
+func (u *upstream) scheduleSweep() {
+	if !u.sweepScheduled {
+		u.sweepScheduled = true
+		time.AfterFunc(u.idleLimit, u.closeExpired)
 	}
 }
 
-// retireMuxes lets the connections to an endpoint carry no new call; each closes when its last one has ended.
+// retireMuxes ends the connections to an endpoint: no new call is sent on them, and each closes after its last one. The mutex is
+// held.
 func (u *upstream) retireMuxes(e *endpoint) {
 	for _, c := range slices.Clone(e.muxes) {
-		if c.using == 0 {
-			u.dropLocked(c)
+		if c.inUse == 0 {
+			u.dropMuxLocked(c)
 			c.mux.Close()
 			continue
 		}
@@ -217,12 +225,12 @@
 	}
 }
 
-// idleMux finds the connection that has carried nothing for longest; nil for none.
+// idleMux returns the connection that was idle longest; nil for none. The mutex is held.
 func (u *upstream) idleMux() *conn {
 	var oldest *conn
 	for _, e := range u.endpoints {
 		for _, c := range e.muxes {
-			if c.using == 0 && (oldest == nil || c.since.Before(oldest.since)) {
+			if c.inUse == 0 && (oldest == nil || c.idleSince.Before(oldest.idleSince)) {
 				oldest = c
 			}
 		}
--- a/internal/sidecar/held_test.go
+++ b/internal/sidecar/overrides_test.go
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
-	"whinknot/internal/admin"
+	"milletmast/internal/admin"
 )
 
 // operated is a configuration with an address for operators.
 func operated(t *testing.T, addrs ...string) Config {
 	cfg := config(t, addrs...)
-	cfg.Operators, cfg.Folder = "127.0.0.1:0", t.TempDir()
+	cfg.AdminAddr, cfg.SharedFolder = "127.0.0.1:0", t.TempDir()
 	return cfg
 }
 
@@ -64,7 +64,7 @@
 	if ones.Load() == 0 || twos.Load() == 0 {
 		t.Fatalf("%d and %d requests: both are to be used", ones.Load(), twos.Load())
 	}
-	if err := s.Hold(t.Context(), "s-9"); !errors.Is(err, admin.ErrUnknown) {
+	if err := s.Hold(t.Context(), "s-9"); !errors.Is(err, admin.ErrUnknownEndpoint) {
 		t.Errorf("an unknown one: %v", err)
 	}
 	for range 2 {
@@ -74,29 +74,29 @@
 	}
 	before := ones.Load()
 	reads(t, s, 40)
-	again := cfg.Known // discovery goes on to say that it is ready
-	again.All = true
-	s.loop.ask(func() { s.loop.list(again, 3) })
-	s.loop.ask(func() { s.loop.list(List{Targets: again.Targets[:1]}, 2) })
+	again := cfg.InitialList // discovery goes on to say that it is ready
+	again.Full = true
+	s.loop.do(func() { s.loop.applyList(again, 3) })
+	s.loop.do(func() { s.loop.applyList(List{Targets: again.Targets[:1]}, 2) })
 	reads(t, s, 40)
 	if n := ones.Load(); n != before {
 		t.Errorf("%d requests went to one that is held out", n-before)
 	}
-	f := s.Figures()
-	if f.Members != 2 || f.Unavailable != 1 || f.Held != 1 {
-		t.Errorf("members %d, unavailable %d, held %d", f.Members, f.Unavailable, f.Held)
+	f := s.Stats()
+	if f.Endpoints != 2 || f.Unavailable != 1 || f.Held != 1 {
+		t.Errorf("members %d, unavailable %d, held %d", f.Endpoints, f.Unavailable, f.Held)
 	}
 	given := float64(time.Now().UnixMilli())
 	if err := s.Release(t.Context(), "s-0"); err != nil {
 		t.Fatal(err)
 	}
 	var started float64
-	s.loop.ask(func() { started = s.loop.overridden(s.loop.told["s-0"]).BootMS })
+	s.loop.do(func() { started = s.loop.withOverride(s.loop.targets["s-0"]).BootMS })
 	if started < given {
 		t.Errorf("given back, it counts as started at %v, want %v at least", started, given)
 	}
 	eventually(t, "used again", func() bool { reads(t, s, 5); return ones.Load() > before })
-	if f := s.Figures(); f.Unavailable != 0 || f.Held != 0 {
+	if f := s.Stats(); f.Unavailable != 0 || f.Held != 0 {
 		t.Errorf("unavailable %d, held %d", f.Unavailable, f.Held)
 	}
 }
@@ -117,19 +117,19 @@
 	if err := s.Hold(t.Context(), "s-0"); err != nil {
 		t.Fatal(err)
 	}
-	s.loop.ask(func() { s.loop.list(List{All: true, Targets: cfg.Known.Targets[1:]}, 3) })
+	s.loop.do(func() { s.loop.applyList(List{Full: true, Targets: cfg.InitialList.Targets[1:]}, 3) })
 	if err := s.Hold(t.Context(), "s-0"); err != nil {
 		t.Errorf("held out and not listed: %v", err)
 	}
-	s.loop.ask(func() { s.loop.list(cfg.Known, 3) })
+	s.loop.do(func() { s.loop.applyList(cfg.InitialList, 3) })
 	reads(t, s, 20)
-	s.front.accept = 0
+	s.frontend.acceptTime = 0
 	cancel()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 	s = start(t, cfg)
-	eventually(t, "ready and told", func() bool { return s.Ready() && s.Figures().Held == 1 })
+	eventually(t, "ready and told", func() bool { return s.Ready() && s.Stats().Held == 1 })
 	reads(t, s, 20)
 	if n := ones.Load(); n != 0 {
 		t.Errorf("%d requests went to one that is held out", n)
@@ -163,7 +163,7 @@
 	if told["pay"][502] == 0 || told["read"][200] != 30 {
 		t.Fatalf("told %v: some are to fail", told)
 	}
-	f := s.Figures()
+	f := s.Stats()
 	for _, class := range f.Classes[:2] {
 		got := told[class.Name]
 		if class.Completed != uint64(got[200]) || class.Rejected != uint64(got[503]) || class.Failed != uint64(got[502]) {
@@ -183,8 +183,8 @@
 	release := make(chan struct{})
 	s.loop.post(func() { <-release })
 	defer close(release)
-	if f := s.Figures(); f.Members != 1 || !s.Ready() {
-		t.Errorf("members %d, ready %v", f.Members, s.Ready())
+	if f := s.Stats(); f.Endpoints != 1 || !s.Ready() {
+		t.Errorf("members %d, ready %v", f.Endpoints, s.Ready())
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
--- /dev/null
+++ b/internal/sidecar/persistence.go
@@ -0,0 +1,173 @@
+package sidecar
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"milletmast/balancer"
+	"milletmast/internal/operator"
+	"milletmast/internal/state"
+	"milletmast/internal/warmstart"
+)
+
+// Persistence is where an instance keeps its state over restarts. The instance closes the store when it ends.
+type Persistence struct {
+	Store    *state.Store
+	Loaded   *state.Contents // what the store held at the start; nil for nothing
+	Interval time.Duration   // between two snapshots
+}
+
+// How an instance has started.
+const (
+	StartCold = "cold"
+	StartWarm = "warm" // with what an earlier process had learned
+)
+
+// settingsHash returns a hash of the settings that measurements depend on: latencies are relative to the aims of the classes,
+// loads to the number of replicas. It is "" if they cannot be encoded.
+func settingsHash(set *balancer.Settings) string {
+	text, err := json.Marshal(struct {
+		Copies  int
+		Classes []balancer.Class
+	}{max(set.Copies, 1), set.Classes})
+	if err != nil { // an infinite number
+		return ""
+	}
+	sum := sha256.Sum256(text)
+	return hex.EncodeToString(sum[:settingsHashBytes])
+}
+
+// settingsHashBytes is the length of a settings hash, in bytes.
+const settingsHashBytes = 8
+
+// exportLearned returns what the module of a pool has learned, with the uids of its servers; nothing once the pool has ended.
+func (p *pool) exportLearned() (s state.PoolState) {
+	p.loop.do(func() {
+		l := p.loop
+		s = state.PoolState{ModuleSettings: settingsHash(&p.settings), Memory: l.balancer.Export()}
+		for _, k := range s.Memory.Servers {
+			s.Servers = append(s.Servers, l.serverIDs.uids[k.Server])
+		}
+	})
+	return s
+}
+
+// importLearned gives a pool that has not started what was learned before, decayed by its age. It returns the age, and whether
+// anything of it is used.
+func (p *pool) importLearned(s state.PoolState) (age time.Duration, used bool) {
+	if s.ModuleSettings != settingsHash(&p.settings) || len(s.Servers) != len(s.Memory.Servers) {
+		return 0, false
+	}
+	l := p.loop
+	m, age := warmstart.Decay(s.Memory, l.now())
+	for i := range m.Servers {
+		m.Servers[i].Server = l.serverIDs.id(s.Servers[i])
+	}
+	l.balancer.Import(m)
+	return age, len(m.Servers) > 0 || m.Room > 0
+}
+
+// restoreLearned gives a pool that has not started what the pool that it replaces has learned, or an earlier process.
+func (i *Instance) restoreLearned(p, replaced *pool) {
+	if replaced != nil {
+		p.importLearned(replaced.exportLearned())
+		return
+	}
+	if i.persistence == nil || i.persistence.Loaded == nil {
+		return
+	}
+	s, ok := i.persistence.Loaded.Pools[p.name]
+	if !ok {
+		return
+	}
+	if age, used := p.importLearned(s); used {
+		i.learnedAge.Store(max(i.learnedAge.Load(), int64(age))) // under the reload mutex
+		i.startedWarm.Store(true)
+		slog.Info("pool starts warm", "pool", p.name, "age", age.Round(time.Millisecond), "servers", len(s.Servers))
+	}
+}
+
+// startPersisting restores the pins of an earlier process, and starts to write snapshots.
+func (i *Instance) startPersisting() {
+	k := i.persistence
+	if k.Loaded != nil {
+		for name, pin := range k.Loaded.Pins {
+			if left := time.Until(pin.Until); left > 0 {
+				if err := i.pin(name, pin.Level, left); err != nil {
+					slog.Warn("pin of before is not in force", "pool", name, "level", pin.Level, "err", err)
+				}
+			}
+		}
+	}
+	w := state.NewWriter(k.Store)
+	i.stateWriter = w
+	i.background.Go(func() {
+		defer func() {
+			w.Close()
+			if err := k.Store.Close(); err != nil {
+				slog.Error("state", "err", err)
+			}
+		}()
+		tick := time.NewTicker(k.Interval)
+		defer tick.Stop()
+		for {
+			select {
+			case <-tick.C:
+				w.Enqueue(i.snapshot())
+			case <-i.drained:
+				return
+			}
+		}
+	})
+}
+
+// saveFinalSnapshot has a last snapshot written.
+func (i *Instance) saveFinalSnapshot() {
+	if i.stateWriter != nil {
+		i.stateWriter.Enqueue(i.snapshot())
+	}
+}
+
+// snapshot returns what the pools of the current generation have learned, by name.
+func (i *Instance) snapshot() map[string]state.PoolState {
+	i.mu.Lock()
+	var pools []*pool
+	for _, p := range i.current.pools {
+		pools = append(pools, p)
+	}
+	i.mu.Unlock()
+	out := map[string]state.PoolState{}
+	for _, p := range pools {
+		if s := p.exportLearned(); s.ModuleSettings != "" {
+			out[p.name] = s
+		}
+	}
+	return out
+}
+
+// saveLastGood saves a file that has been loaded, for a restart with a file that is not valid.
+func (i *Instance) saveLastGood(cfg *operator.Config) error {
+	if i.persistence == nil {
+		return nil
+	}
+	err := i.persistence.Store.SaveLastGood(&state.OperatorFile{Path: cfg.Path, Hash: cfg.Hash, Text: cfg.Text, AppliedAt: time.Now()})
+	if err != nil {
+		return fmt.Errorf("in force, but not kept for a restart: %w", err)
+	}
+	return nil
+}
+
+// savePin saves a pin; nil for none.
+func (i *Instance) savePin(pool string, p *state.DegradationPin) error {
+	if i.persistence == nil {
+		return nil
+	}
+	if err := i.persistence.Store.SavePin(pool, p); err != nil {
+		return fmt.Errorf("in force, but not kept for a restart: %w", err)
+	}
+	return nil
+}
--- a/internal/sidecar/kept_test.go
+++ b/internal/sidecar/persistence_test.go
@@ -8,17 +8,17 @@
 	"testing"
 	"time"
 
-	"whinknot/internal/operator"
-	"whinknot/internal/standin"
-	"whinknot/internal/state"
+	"milletmast/internal/fakeserver"
+	"milletmast/internal/operator"
+	"milletmast/internal/state"
 )
 
-// cuts is how many servers of a pool the module has cut.
-func cuts(i *Instance, pool string) (n int) {
+// cuts is how many servers of the pool p the module has cut.
+func cuts(i *Instance) (n int) {
 	i.mu.Lock()
-	p := i.current.pools[pool]
+	p := i.current.pools["p"]
 	i.mu.Unlock()
-	p.loop.ask(func() { n = p.loop.balancer.Cuts() })
+	p.loop.do(func() { n = p.loop.balancer.Cuts() })
 	return n
 }
 
@@ -27,19 +27,19 @@
 	t.Helper()
 	c := connect(t, i.Addresses()["in"])
 	until(t, "the failing server is cut", func() bool {
-		c.ask("GET", "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-		return cuts(i, "p") == 1
+		_, _, _ = c.ask("GET", "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+		return cuts(i) == 1
 	})
 }
 
 // withFailing are servers of which the first resets each connection.
-func withFailing(t *testing.T) []*standin.Server {
+func withFailing(t *testing.T) []*fakeserver.Server {
 	s := servers(t, "a", "b", "c", "d")
-	s[0].Fault(standin.RefuseConn)
+	s[0].SetFault(fakeserver.ResetConnection)
 	return s
 }
 
-func reading(more string, s []*standin.Server) string {
+func reading(more string, s []*fakeserver.Server) string {
 	return inText + poolText("p", more, s...) + routeText("r", "/", "p", "read", "")
 }
 
@@ -51,13 +51,13 @@
 	if _, err := i.Reload(parse(t, reading("attempts = 2", s))); err != nil {
 		t.Fatal(err)
 	}
-	if n := cuts(i, "p"); n != 1 {
+	if n := cuts(i); n != 1 {
 		t.Errorf("%d servers are cut after a reload", n)
 	}
 	if _, err := i.Reload(parse(t, reading("copies = 3", s))); err != nil {
 		t.Fatal(err)
 	}
-	if n := cuts(i, "p"); n != 0 {
+	if n := cuts(i); n != 0 {
 		t.Errorf("%d servers are cut for one of three copies, by what one alone has seen", n)
 	}
 }
@@ -69,12 +69,12 @@
 	if err != nil || aside != nil {
 		t.Fatal(err, aside)
 	}
-	if i, err = NewKeptInstance(cfg, nil, &Keeping{Store: store, Had: had, Every: time.Hour}); err != nil {
+	if i, err = NewPersistentInstance(cfg, nil, &Persistence{Store: store, Loaded: had, Interval: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); i.Run(ctx) }()
+	go func() { defer close(ended); _ = i.Run(ctx) }()
 	stop = sync.OnceFunc(func() { cancel(); <-ended })
 	t.Cleanup(stop)
 	return i, stop
@@ -87,29 +87,29 @@
 	dir := filepath.Join(t.TempDir(), "state")
 	leveled := reading("", s)[:len(inText)] + poolText("p", "", s...) + levelText("") + routeText("r", "/", "p", "read", "")
 	i, stop := keeping(t, dir, parse(t, leveled))
-	if st := i.Status(); st.Start != StartCold {
-		t.Errorf("the first start is %s", st.Start)
+	if st := i.Status(); st.StartKind != StartCold {
+		t.Errorf("the first start is %s", st.StartKind)
 	}
 	teach(t, i)
 	if err := i.Pin("p", "lean", time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	if c, _, err := state.Peek(dir); err != nil || c.Pins["p"].Level != "lean" || c.Good == nil || string(c.Good.Text) != leveled {
+	if c, _, err := state.Inspect(dir); err != nil || c.Pins["p"].Level != "lean" || c.LastGood == nil || string(c.LastGood.Text) != leveled {
 		t.Errorf("kept while it runs: %+v, %v", c, err)
 	}
 	stop()
 
 	i, stop = keeping(t, dir, parse(t, leveled))
-	if st := i.Status(); st.Start != StartWarm || st.Age <= 0 || st.Age > time.Minute {
-		t.Errorf("started %s, age %v", st.Start, st.Age)
+	if st := i.Status(); st.StartKind != StartWarm || st.LearnedAge <= 0 || st.LearnedAge > time.Minute {
+		t.Errorf("started %s, age %v", st.StartKind, st.LearnedAge)
 	}
-	if n := cuts(i, "p"); n != 1 {
+	if n := cuts(i); n != 1 {
 		t.Errorf("%d servers are cut after a restart", n)
 	}
 	if st := i.Status().Pools[0].Level; st == nil || st.Level != "lean" {
 		t.Errorf("level %+v", st)
 	}
-	if err := i.Release("p"); err != nil {
+	if err := i.Unpin("p"); err != nil {
 		t.Fatal(err)
 	}
 	stop()
@@ -120,7 +120,7 @@
 		text += fmt.Sprintf("[[pool.server]]\naddress = %q\n%s", v.Addr(), began)
 	}
 	i, _ = keeping(t, dir, parse(t, text+routeText("r", "/", "p", "read", "")))
-	if n := cuts(i, "p"); n != 0 {
+	if n := cuts(i); n != 0 {
 		t.Errorf("%d servers are cut that have started anew", n)
 	}
 }
@@ -139,23 +139,23 @@
 	}
 	had.Pools["q"] = had.Pools["p"] // of the same classes
 	delete(had.Pools, "p")
-	if i, err = NewKeptInstance(parse(t, reading("", s)), nil, &Keeping{Store: store, Had: had, Every: time.Hour}); err != nil {
+	if i, err = NewPersistentInstance(parse(t, reading("", s)), nil, &Persistence{Store: store, Loaded: had, Interval: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended, asked := make(chan struct{}), make(chan struct{})
-	go func() { defer close(ended); i.Run(ctx) }()
+	go func() { defer close(ended); _ = i.Run(ctx) }()
 	go func() {
 		defer close(asked)
-		for i.Status().Start == StartCold && ctx.Err() == nil {
+		for i.Status().StartKind == StartCold && ctx.Err() == nil {
 		}
 	}()
 	if _, err := i.Reload(parse(t, reading("", s), other)); err != nil {
 		t.Error(err)
 	}
 	<-asked
-	if st := i.Status(); st.Start != StartWarm || st.Age <= 0 {
-		t.Errorf("started %s, age %v", st.Start, st.Age)
+	if st := i.Status(); st.StartKind != StartWarm || st.LearnedAge <= 0 {
+		t.Errorf("started %s, age %v", st.StartKind, st.LearnedAge)
 	}
 	cancel()
 	<-ended
--- a/internal/sidecar/platform.go
+++ b/internal/sidecar/platform.go
@@ -6,35 +6,35 @@
 	"strings"
 	"time"
 
-	"whinknot"
+	"milletmast/balancer"
 )
 
-// platform takes a request of the platform's protocol: one pool, and each request names its class.
-func (f *front) platform(_ *caller, m *message) taken {
-	k, status, complaint := f.parse(*m)
+// intakePlatform is the intake of the platform's protocol: there is one pool, and each request names its class.
+func (f *frontend) intakePlatform(_ *clientConn, m *message) intakeResult {
+	k, status, reason := f.parsePlatform(*m)
 	if k != nil {
-		k.longer = k.wait + inMillis(f.uploads.total)
-		k.out.bounds, k.out.within = &platformAnswers, millis(k.wait)
-		k.out.old = strings.HasSuffix(m.first, "HTTP/1.0")
+		k.streamTimeout = k.timeout + inMillis(f.uploadBounds.totalTime)
+		k.http.streamBounds, k.http.responseTimeout = &platformResponseBounds, millis(k.timeout)
+		k.http.http10 = strings.HasSuffix(m.startLine, "HTTP/1.0")
 	}
-	return taken{call: k, loop: f.loop, status: status, complaint: complaint, streams: &f.uploads}
+	return intakeResult{call: k, loop: f.loop, status: status, reason: reason, streamBounds: &f.uploadBounds}
 }
 
-// platformBody is the longest body on the platform, either way. What says that it is longer is spoilt.
-const platformBody = 33 << 20
+// maxPlatformBody is the longest body of the platform's protocol, either way. A message that announces a longer one is corrupt.
+const maxPlatformBody = 33 << 20
 
-// platformAnswers are the bounds of an answer that streams: its endpoint and its client may take seconds between pieces.
-var platformAnswers = bodies{most: platformBody, idle: 8 * time.Second, total: 5 * time.Minute}
+// platformResponseBounds are the limits of a response that is streamed: its endpoint and its client may take seconds between parts.
+var platformResponseBounds = streamLimits{maxBytes: maxPlatformBody, idleTimeout: 8 * time.Second, totalTime: 5 * time.Minute}
 
-// single are the headers that a request is understood by; with two of one kind it could be read in two ways.
-var single = []string{"Host", "X-Request-Id", "X-Class", "X-Tenant", "X-Deadline", "Idempotency-Key", "Expect"}
+// platformSingleHeaders are the headers that must not be repeated, as the request would be ambiguous.
+var platformSingleHeaders = []string{"Host", "X-Request-Id", "X-Class", "X-Tenant", "X-Deadline", "Idempotency-Key", "Expect"}
 
-// parse checks the head of a request; of one that cannot be taken it tells why.
-func (f *front) parse(m message) (k *call, status int, complaint string) {
-	method, rest, _ := strings.Cut(m.first, " ")
+// parsePlatform makes a call of the head of a request, or returns the status and the reason of a rejection.
+func (f *frontend) parsePlatform(m message) (k *call, status int, reason string) {
+	method, rest, _ := strings.Cut(m.startLine, " ")
 	uri, version, _ := strings.Cut(rest, " ")
 	host := m.header.Get("Host")
-	if scheme, after, ok := strings.Cut(uri, "://"); ok && strings.EqualFold(scheme, "http") { // the absolute form (RFC 9112, 3.2.2)
+	if scheme, after, ok := strings.Cut(uri, "://"); ok && strings.EqualFold(scheme, "http") { // the absolute form (RFC 9112, section 3.2.2)
 		if slash := strings.IndexByte(after, '/'); slash > 0 {
 			host, uri = after[:slash], after[slash:]
 		}
@@ -45,7 +45,7 @@
 		return nil, http.StatusBadRequest, "the request line cannot be read"
 	}
 	h := m.header
-	for _, name := range single {
+	for _, name := range platformSingleHeaders {
 		if len(h[name]) > 1 {
 			return nil, http.StatusBadRequest, name + " comes twice"
 		}
@@ -55,30 +55,30 @@
 	if !ok || first != name {
 		return nil, http.StatusNotFound, "X-Class and the path name no class"
 	}
-	class := &f.set.Classes[index]
-	want := http.MethodPost
-	if class.Effect == whinknot.Safe {
-		want = http.MethodGet
+	class := &f.settings.Classes[index]
+	expected := http.MethodPost
+	if class.Effect == balancer.Safe {
+		expected = http.MethodGet
 	}
 	switch {
-	case method != want:
-		return nil, http.StatusMethodNotAllowed, "requests of this class are " + want
-	case class.Effect == whinknot.Keyed && h.Get("Idempotency-Key") == "":
+	case method != expected:
+		return nil, http.StatusMethodNotAllowed, "requests of this class are " + expected
+	case class.Effect == balancer.Keyed && h.Get("Idempotency-Key") == "":
 		return nil, http.StatusBadRequest, "Idempotency-Key is missing"
 	case h.Get("X-Request-Id") == "":
 		return nil, http.StatusBadRequest, "X-Request-Id is missing"
-	case m.length > f.uploads.most:
+	case m.length > f.uploadBounds.maxBytes:
 		return nil, http.StatusRequestEntityTooLarge, errTooLong.Error()
 	}
-	wait := class.GiveUp / 1000
-	left, told, ok := deadline(h)
+	timeout := class.GiveUp / 1000
+	left, given, ok := parseDeadline(h)
 	if !ok {
-		return nil, http.StatusBadRequest, badDeadline
-	} else if told {
-		wait = min(wait, left)
+		return nil, http.StatusBadRequest, badDeadlineMessage
+	} else if given {
+		timeout = min(timeout, left)
 	}
-	k = &call{event: describe(index, h, f.tenants), wait: lessMargin(wait), id: h.Get("X-Request-Id")}
-	k.out = outgoing{start: fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n", method, uri, host), header: endToEnd(h)}
+	k = &call{event: newRequestEvent(index, h, f.tenants), timeout: withoutMargin(timeout), id: h.Get("X-Request-Id")}
+	k.http = httpRequest{start: fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n", method, uri, host), header: endToEnd(h)}
 	h.Del("Host")
 	return k, 0, ""
 }
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -7,130 +7,137 @@
 	"reflect"
 	"time"
 
-	"whinknot"
-	"whinknot/internal/level"
-	"whinknot/internal/operator"
-	"whinknot/internal/wire"
+	"milletmast/balancer"
+	"milletmast/internal/degradation"
+	"milletmast/internal/operator"
+	"milletmast/internal/wire"
 )
 
-// pool is the servers of one pool of an operator file: a decision module with a loop, connections and a source of its
-// own, so that what happens in one pool does not reach another.
+// pool is one pool of an operator file: a decision module with a loop, connections and a source of servers of its own, so that
+// pools do not affect each other.
 type pool struct {
-	name    string
-	spec    operator.Pool // as last told
-	loop    *loop
-	up      *upstream
-	classes map[string]uint16
-	tenants map[string]uint16
-	set     whinknot.Settings
-	bounds  bodies // of what streams; the limit of a request's body is its listener's
-	source  *source
-	holders int // live generations that send to it; guarded by Instance.mu
+	name     string
+	spec     operator.Pool // of the latest file
+	loop     *eventLoop
+	upstream *upstream
+	classes  map[string]uint16
+	tenants  map[string]uint16
+	settings balancer.Settings
+	bounds   streamLimits // of streamed bodies; that of a request's length is its listener's
+	source   *serverSource
+	holders  int // generations that use it; guarded by Instance.mu
 }
 
-// newPool makes a pool that may hold so many connections. It does nothing before start.
-func newPool(spec *operator.Pool, most int, counted *ledger) (*pool, error) {
+// newPool returns a pool with at most maxConns connections, which conns counts. It does nothing before start.
+func newPool(spec *operator.Pool, maxConns int, conns *connBudget) (*pool, error) {
 	p := &pool{
-		name: spec.Name, spec: *spec, set: spec.Settings(),
-		bounds: bodies{idle: time.Duration(spec.StreamIdle), total: time.Duration(spec.StreamTime)},
+		name: spec.Name, spec: *spec, settings: spec.Settings(),
+		bounds: streamLimits{idleTimeout: time.Duration(spec.StreamIdle), totalTime: time.Duration(spec.StreamTime)},
 	}
-	p.up = newUpstream(p.set.Limits, p.set.Safety.DrainGrace, most)
-	p.up.ledger = counted
+	p.upstream = newUpstream(p.settings.Limits, p.settings.Safety.DrainGrace, maxConns)
+	p.upstream.budget = conns
 	if spec.Protocol == operator.GRPC {
-		p.up.muxes = muxes{streams: spec.Streams, pingAfter: time.Duration(spec.PingAfter)}
+		p.upstream.muxes = muxConfig{maxStreams: spec.Streams, pingAfter: time.Duration(spec.PingAfter)}
 	}
 	var err error
-	p.loop, err = newLoop(&Config{Seed: rand.Uint64(), Site: wire.Site{Settings: p.set, Zones: spec.Zones}}, p.up)
+	p.loop, err = newEventLoop(&Config{Seed: rand.Uint64(), Site: wire.Site{Settings: p.settings, Zones: spec.Zones}}, p.upstream)
 	if err != nil {
 		return nil, fmt.Errorf("pool %s: %w", spec.Name, err)
 	}
-	p.loop.portion = newPortion(spec)
-	p.classes, p.tenants = indexes(&p.set)
+	p.loop.subset = newServerSubset(spec)
+	p.classes, p.tenants = nameIndexes(&p.settings)
 	return p, nil
 }
 
-// start has the pool's loop run, and its servers told; those known already at once. Before is the state of the levels of the pool
-// in whose place it is; nil for none.
-func (p *pool) start(known []operator.Server, before *level.Machine) {
+// start starts the loop and the source. Servers are those that the file lists. Levels is the controller of the levels of the pool
+// that this one replaces; nil for none.
+func (p *pool) start(servers []operator.Server, levels *degradation.Controller) {
 	go p.loop.run()
-	spec := p.spec // a reload may change the pool's
+	spec := p.spec // a reload may change that of the pool
 	p.loop.post(func() {
-		p.loop.setLevels(&spec, before)
-		if p.loop.portion != nil {
-			p.loop.lookAtPortion()
+		p.loop.setLevels(&spec, levels)
+		if p.loop.subset != nil {
+			p.loop.updateSubset()
 		}
 	})
-	p.tell(known)
-	p.source = newSource(p, &p.spec)
+	p.setServers(servers)
+	p.source = newServerSource(p, &p.spec)
 }
 
-// setCopies tells the pool how many copies there are, if it goes by members.
-func (p *pool) setCopies(copies, rank int) {
+// setReplicas sets the number of replicas and the rank of this one, if the pool goes by members.
+func (p *pool) setReplicas(replicas, rank int) {
 	if p.spec.ByMembers {
-		p.loop.post(func() { p.loop.setCopies(copies, rank) })
+		p.loop.post(func() { p.loop.setReplicas(replicas, rank) })
 	}
 }
 
-// tell gives the loop a whole list of servers.
-func (p *pool) tell(servers []operator.Server) {
+// setServers replaces the list of servers.
+func (p *pool) setServers(servers []operator.Server) {
 	list := targets(servers)
-	p.loop.post(func() { p.loop.list(list, whinknot.ListFull) })
+	p.loop.post(func() { p.loop.applyList(list, balancer.ListFull) })
 }
 
-// update takes over a new spec whose module is the same: its servers, or where they are told, may be others.
-func (p *pool) update(spec *operator.Pool, known []operator.Server) {
+// update applies the spec of a new file, in which only servers, their source and levels may differ.
+func (p *pool) update(spec *operator.Pool, servers []operator.Server) {
 	old := p.spec
 	p.spec = *spec
 	if !reflect.DeepEqual(old.Source, spec.Source) {
 		p.source.stop()
-		p.source = newSource(p, &p.spec)
+		p.source = newServerSource(p, &p.spec)
 	}
 	if !old.SameLevels(spec) {
 		p.loop.post(func() { p.loop.setLevels(spec, nil) })
 	}
-	if spec.Source.Type != "discovery" {
-		p.tell(known)
+	if spec.Source.Type != operator.SourceDiscovery {
+		p.setServers(servers)
 	}
 }
 
-// resize gives the pool another share of the descriptors.
-func (p *pool) resize(most int) {
-	open := p.up.resize(most)
-	p.loop.post(func() { p.loop.handle(&whinknot.Event{Kind: whinknot.EvLimit, MaxOpen: open}) })
+// setMaxConns changes the limit of connections.
+func (p *pool) setMaxConns(maxConns int) {
+	open := p.upstream.setMaxConns(maxConns)
+	p.loop.post(func() { p.loop.handle(&balancer.Event{Kind: balancer.EvLimit, MaxOpen: open}) })
 }
 
-// open is the number of requests that the pool holds; none once it has ended.
-func (p *pool) open() int {
+// openRequests returns the number of open requests; 0 once the pool has ended.
+func (p *pool) openRequests() int {
 	n := 0
-	p.loop.ask(func() { n = len(p.loop.calls) })
+	p.loop.do(func() { n = len(p.loop.calls) })
 	return n
 }
 
-// stop ends a pool that has no request left, and returns once nothing of it runs.
+// stop ends a pool that has no request left, and returns once its goroutines have ended.
 func (p *pool) stop() {
 	p.source.stop()
-	p.loop.ask(func() {
+	p.loop.do(func() {
 		for _, c := range p.loop.calls {
-			p.loop.callOff(c)
+			p.loop.abortAttempts(c)
 		}
 	})
-	close(p.loop.ended)
-	<-p.loop.over
-	p.loop.sending.Wait()
-	p.up.shut()
+	close(p.loop.stop)
+	<-p.loop.stopped
+	p.loop.attempts.Wait()
+	p.upstream.close()
 	slog.Info("pool ended", "pool", p.name)
 }
 
-// targets turns servers of an operator file into the list that a loop takes.
+// targets converts servers of an operator file to a list for the loop.
 func targets(servers []operator.Server) List {
-	l := List{All: true, Targets: make([]Target, len(servers))}
+	l := List{Full: true, Targets: make([]Target, len(servers))}
 	for i, s := range servers {
-		state := "Ready"
-		if s.State == "draining" {
-			state = "Terminating"
+		state := stateReady
+		if s.State == operator.ServerDraining {
+			state = stateTerminating
 		}
 		l.Targets[i] = Target{
-			UID: s.ID, Endpoint: s.Address, Zone: s.Zone, Cell: uint16(s.Cell), State: state, Weight: s.Weight, BootMS: s.StartedMS(), Backup: s.Backup,
+			UID:      s.ID,
+			Endpoint: s.Address,
+			Zone:     s.Zone,
+			Cell:     uint16(s.Cell),
+			State:    state,
+			Weight:   s.Weight,
+			BootMS:   s.StartedMS(),
+			Backup:   s.Backup,
 		}
 	}
 	return l
--- a/internal/sidecar/port.go
+++ b/internal/sidecar/port.go
@@ -10,113 +10,116 @@
 	"time"
 )
 
-// server gives the answer to a request whose body has come whole. Its context ends when the caller leaves.
-type server func(ctx context.Context, body []byte) answer
+// bodyServer answers a request whose body was received in full. Its context ends when the caller closes the connection.
+type bodyServer func(ctx context.Context, body []byte) response
 
-// byServer deals with a request that a server answers, and tells whether its connection goes on.
-func (f *front) byServer(c *caller, m *message, t *taken, waits bool, lasts *bool) bool {
-	if waits {
-		c.invite() // one that fails shows in the body
+// serveBuffered receives the body of a request and has it responded. It reports whether the connection is kept.
+func (f *frontend) serveBuffered(c *clientConn, m *message, t *intakeResult, expectsContinue bool, keep *bool) bool {
+	if expectsContinue {
+		_ = c.writeContinue() // an error shows when the body is read
 	}
-	c.idle, c.by = f.quiet, time.Now().Add(f.quiet+time.Duration(max(m.length, 0))*time.Second/slowest)
-	body, err := readWhole(c.reader, m.length, t.most)
-	c.idle = 0
+	c.startBody(f.idleTimeout, m.length)
+	body, err := readWhole(c.reader, m.length, t.maxBody)
+	c.endBody()
 	if err != nil {
-		f.complain(c, err)
+		f.rejectUnreadable(c, err)
 		return false
 	}
 	ctx, leave := context.WithCancel(context.Background())
 	defer leave()
-	answered := make(chan answer, 1)
-	c.SetReadDeadline(time.Time{})
-	f.callers.begins(c)
+	responded := make(chan response, 1)
+	c.setReadDeadline(time.Time{})
+	f.clients.requestStarted(c)
 	f.conns.Go(func() {
 		a := t.serve(ctx, body)
-		c.SetReadDeadline(time.Unix(1, 0)) // ends the Peek; before the answer goes out, or it would end what is read behind it
-		answered <- a
+		c.setReadDeadline(interruptedAt) // ends Peek; before the response is written, or it would end the next read
+		responded <- a
 	})
-	_, err = c.reader.Peek(1) // its caller leaves, or sends a next request already
-	a, ok := lastWord(answered)
+	_, err = c.reader.Peek(1) // the caller closes the connection, or sends the next request already
+	a, ok := pollResponse(responded)
 	if !ok && err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		leave()
-		<-answered
-		f.callers.ends(c)
+		<-responded
+		f.clients.requestEnded(c)
 		return false
 	}
 	if !ok {
-		a = <-answered
+		a = <-responded
 	}
-	*lasts = *lasts && !f.ending.Load()
-	err = c.answer(&a, !*lasts)
-	f.callers.ends(c)
+	*keep = *keep && !f.closing.Load()
+	err = c.writeResponse(&a, !*keep)
+	f.clients.requestEnded(c)
 	return err == nil
 }
 
-// Errand is one request that a Port has read.
-type Errand struct {
+// IncomingRequest is a request that a Port has received.
+type IncomingRequest struct {
 	Method, URI, Host string
-	Header            http.Header // end to end, without Host
-	Length            int64       // of the body; -1 where it comes in chunks
+	Header            http.Header // end-to-end headers, without Host
+	Length            int64       // of the body; -1 if it is chunked
 	Body              []byte
-	Came              time.Time // its head had been read then
-	From              string    // the caller's address
-	Admitted          any       // what Open has noted of it, for Serve
-	Release           func()    // is called once the errand is over; nil for nothing
+	ReceivedAt        time.Time // when its head had been received
+	ClientAddr        string    // without the port
+	Admitted          any       // set by Open for Serve
+	Release           func()    // called once the request has been responded; nil for nothing
 }
 
-// Reply is the answer to an errand.
+// Reply is a response: to an IncomingRequest, or of a server to an Exchange.
 type Reply struct {
 	Status     int
 	Header     http.Header
 	Body       []byte
 	RetryAfter time.Duration // 0 for none
-	// Doubtful says of a server's answer that others came before it: its word that nothing has run is not to be believed.
-	Doubtful bool
-	// Unread says of an answer that Open gives to one that asked first that no body follows: its connection goes on.
-	Unread bool
+
+	// AfterOtherResponse says that responses to other requests were received before this one, so that its claim that the request
+	// was not executed proves nothing.
+	AfterOtherResponse bool
+	// BodyUnread says of a response of Open that the client waits for a 100 Continue and sends no body now: the connection is kept.
+	BodyUnread bool
 }
 
-// Desk decides what becomes of errands. Open sees the head alone and tells how many bytes of body are taken, or gives the
-// answer at once. Serve gives the answer; its context ends when the caller leaves, and it must return soon then.
-type Desk interface {
-	Open(e *Errand) (most int64, at *Reply)
-	Serve(ctx context.Context, e *Errand) Reply
+// RequestHandler handles the requests of a Port. Open gets the head and returns how many bytes of body are accepted, or a
+// response. Serve gets the complete request and returns the response. Its context ends when the client closes the connection;
+// it must return soon then.
+type RequestHandler interface {
+	Open(e *IncomingRequest) (maxBody int64, reply *Reply)
+	Serve(ctx context.Context, e *IncomingRequest) Reply
 }
 
-// Port takes requests of HTTP/1.1 on an address for a Desk.
+// Port serves HTTP/1.1 at an address by a RequestHandler.
 type Port struct {
 	listener net.Listener
-	front    *front
-	served   chan struct{}
+	frontend *frontend
+	done     chan struct{} // closed once nothing is accepted any more
 }
 
-// PortLimits are the bounds of a Port's callers. Quiet and Head are asked anew for each request.
+// PortLimits are the limits of the connections of a Port.
 type PortLimits struct {
-	Connections int           // at once
-	Quiet       time.Duration // between requests, and between two parts of one
-	Head        time.Duration // from the first byte of a head to its last
+	MaxConns    int           // open at once
+	IdleTimeout time.Duration // between two requests, and between two parts of one
+	HeadTimeout time.Duration // for the head of a request, from its first byte
 }
 
-// NewPort opens an address. It takes connections at once.
-func NewPort(addr string, limits PortLimits, desk Desk) (*Port, error) {
+// NewPort listens at an address and starts to serve.
+func NewPort(addr string, limits PortLimits, handler RequestHandler) (*Port, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	p := &Port{listener: ln, served: make(chan struct{})}
-	p.front = &front{quiet: limits.Quiet, head: limits.Head, callers: newCallers(limits.Connections)}
-	p.front.callers.all = map[*caller]bool{}
-	p.front.intake = func(c *caller, m *message) taken { return errand(desk, c, m) }
+	p := &Port{listener: ln, done: make(chan struct{})}
+	p.frontend = &frontend{idleTimeout: limits.IdleTimeout, headTimeout: limits.HeadTimeout, clients: newClientConns(limits.MaxConns)}
+	p.frontend.clients.all = map[*clientConn]bool{}
+	p.frontend.intake = func(c *clientConn, m *message) intakeResult { return readIncoming(handler, c, m) }
 	go func() {
-		defer close(p.served)
-		p.front.serve(ln)
+		defer close(p.done)
+		p.frontend.serve(ln)
 	}()
 	return p, nil
 }
 
-// errand turns a head into what a Desk decides on.
-func errand(desk Desk, c *caller, m *message) taken {
-	method, rest, _ := strings.Cut(m.first, " ")
+// readIncoming has the handler decide on the head of a request.
+func readIncoming(handler RequestHandler, c *clientConn, m *message) intakeResult {
+	method, rest, _ := strings.Cut(m.startLine, " ")
 	uri, version, _ := strings.Cut(rest, " ")
 	host := m.header.Get("Host")
 	if scheme, after, ok := strings.Cut(uri, "://"); ok && strings.EqualFold(scheme, "http") {
@@ -126,51 +129,53 @@
 	}
 	bad := version != "HTTP/1.1" && version != "HTTP/1.0" || !strings.HasPrefix(uri, "/") || hasControl(uri) || !isToken(method)
 	if bad || len(m.header["Host"]) > 1 {
-		return taken{status: http.StatusBadRequest, complaint: "the request line cannot be read"}
+		return intakeResult{status: http.StatusBadRequest, reason: "the request line cannot be read"}
 	}
-	e := &Errand{Method: method, URI: uri, Host: host, Length: m.length, Came: time.Now(), From: c.host()}
-	e.Header = endToEnd(m.header)
-	e.Header.Del("Host")
-	most, at := desk.Open(e)
-	if at != nil {
-		return taken{fixed: at.answer(), unread: at.Unread}
+	req := &IncomingRequest{Method: method, URI: uri, Host: host, Length: m.length, ReceivedAt: time.Now(), ClientAddr: c.host()}
+	req.Header = endToEnd(m.header)
+	req.Header.Del("Host")
+	maxBody, reply := handler.Open(req)
+	if reply != nil {
+		return intakeResult{response: reply.answer(), bodyUnread: reply.BodyUnread}
 	}
-	return taken{most: most, done: e.Release, serve: func(ctx context.Context, body []byte) answer {
-		e.Body = body
-		r := desk.Serve(ctx, e)
-		return *r.answer()
+	return intakeResult{maxBody: maxBody, release: req.Release, serve: func(ctx context.Context, body []byte) response {
+		req.Body = body
+		reply := handler.Serve(ctx, req)
+		return *reply.answer()
 	}}
 }
 
-func (r *Reply) answer() *answer {
-	a := &answer{status: r.Status, header: r.Header, body: r.Body, retryAfter: r.RetryAfter}
-	if bodiless(r.Status) {
-		a.bare, a.length, a.body = true, untold, nil
+// answer returns the reply as an answer of the front.
+func (r *Reply) answer() *response {
+	a := &response{status: r.Status, header: r.Header, body: r.Body, retryAfter: r.RetryAfter}
+	if hasNoBody(r.Status) {
+		a.noBody, a.length, a.body = true, lengthUnknown, nil
 	}
 	return a
 }
 
-// Addr is where the port listens.
+// Addr returns the address of the port.
 func (p *Port) Addr() net.Addr { return p.listener.Addr() }
 
-// Drain ends the port in order: connections are taken for a while, then each ends with its next answer, and those without
-// an open request at once; what is left at last is cut. It returns once nothing is open.
+// Drain ends the port in order. For a time new connections are accepted as before; then each connection is closed after its next
+// response, and those without an open request at once. What is left at the last time is closed. Both times count from the
+// call. It returns once no connection is open.
 func (p *Port) Drain(accept, last time.Duration) {
 	begun := time.Now()
-	p.front.draining.Store(true)
+	p.frontend.draining.Store(true)
 	time.Sleep(accept)
-	p.front.ending.Store(true)
+	p.frontend.closing.Store(true)
 	p.listener.Close()
-	<-p.served
-	p.front.callers.drain(begun.Add(last))
-	p.front.callers.closeAll()
-	p.front.conns.Wait()
+	<-p.done
+	p.frontend.clients.drain(begun.Add(last))
+	p.frontend.clients.closeAll()
+	p.frontend.conns.Wait()
 }
 
-// Close ends the port at once.
+// Close closes the port and all its connections at once.
 func (p *Port) Close() {
 	p.listener.Close()
-	<-p.served
-	p.front.callers.closeAll()
-	p.front.conns.Wait()
+	<-p.done
+	p.frontend.clients.closeAll()
+	p.frontend.conns.Wait()
 }
--- a/internal/sidecar/port_test.go
+++ b/internal/sidecar/port_test.go
@@ -18,8 +18,8 @@
 // parrot is a desk that answers each request with its path.
 type parrot struct{}
 
-func (parrot) Open(*Errand) (int64, *Reply) { return 1 << 20, nil }
-func (parrot) Serve(_ context.Context, e *Errand) Reply {
+func (parrot) Open(*IncomingRequest) (int64, *Reply) { return 1 << 20, nil }
+func (parrot) Serve(_ context.Context, e *IncomingRequest) Reply {
 	return Reply{Status: http.StatusOK, Body: []byte(e.URI)}
 }
 
@@ -64,7 +64,7 @@
 // Requests that a caller sends one behind the other are each answered, in their order, and the end of the look for its leaving never
 // falls into the next request.
 func TestRequestsBehindEachOther(t *testing.T) {
-	port, err := NewPort("127.0.0.1:0", PortLimits{Connections: 9, Quiet: time.Minute, Head: time.Minute}, parrot{})
+	port, err := NewPort("127.0.0.1:0", PortLimits{MaxConns: 9, IdleTimeout: time.Minute, HeadTimeout: time.Minute}, parrot{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 	}
 	var late atomic.Int64
 	var served sync.WaitGroup
-	served.Go(func() { port.front.serve(orderedConns{ln, &late}) })
+	served.Go(func() { port.frontend.serve(orderedConns{ln, &late}) })
 	defer served.Wait()
 	defer ln.Close()
 	const many = 200
@@ -89,7 +89,7 @@
 		for n := range many {
 			fmt.Fprintf(&text, "GET /%d HTTP/1.1\r\nHost: a\r\n\r\n", n)
 		}
-		served.Go(func() { io.WriteString(conn, text.String()) })
+		served.Go(func() { _, _ = io.WriteString(conn, text.String()) })
 		from := bufio.NewReader(conn)
 		for n := range many {
 			r, err := http.ReadResponse(from, nil)
@@ -108,7 +108,7 @@
 
 // A port answers nothing by itself: what asks a sidecar whether it is ready is a request like any other there.
 func TestAPortIsNoSidecar(t *testing.T) {
-	port, err := NewPort("127.0.0.1:0", PortLimits{Connections: 9, Quiet: time.Minute, Head: time.Minute}, parrot{})
+	port, err := NewPort("127.0.0.1:0", PortLimits{MaxConns: 9, IdleTimeout: time.Minute, HeadTimeout: time.Minute}, parrot{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/replay_test.go
+++ b/internal/sidecar/replay_test.go
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
-	"whinknot/internal/nginx"
-	"whinknot/internal/operator"
-	"whinknot/internal/standin"
+	"milletmast/internal/fakeserver"
+	"milletmast/internal/nginx"
+	"milletmast/internal/operator"
 )
 
 // The reference reads a configuration's tree and tells, as the documentation of server_name, location and proxy_pass does and
@@ -243,7 +243,7 @@
 func TestReplayOfImports(t *testing.T) {
 	list := servers(t, "a", "b", "c")
 	var addrs []string
-	byAddr := map[string]*standin.Server{}
+	byAddr := map[string]*fakeserver.Server{}
 	for _, s := range list {
 		addrs = append(addrs, s.Addr())
 		byAddr[s.Addr()] = s
@@ -262,7 +262,7 @@
 		out, report := nginx.Import(&nginx.File{Directives: tree})
 		if report.Totals[nginx.Dropped] > 0 {
 			var table strings.Builder
-			report.Table(&table)
+			_ = report.Table(&table)
 			t.Fatalf("%s of\n%s", table.String(), text)
 		}
 		out = strings.Replace(out, `address = ":8080"`, `address = "127.0.0.1:0"`, 1)
--- /dev/null
+++ b/internal/sidecar/roundtrip.go
@@ -0,0 +1,234 @@
+package sidecar
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"net/http"
+	"os"
+	"strconv"
+	"time"
+
+	"milletmast/internal/exchange"
+)
+
+// Exchange is one request to a server of the mesh and what is accepted as its response.
+type Exchange struct {
+	Head          func(left time.Duration) []byte // lines of the head, without a length and the empty line
+	Body          []byte
+	OmitLength    bool   // an empty body is sent without Content-Length
+	ID            string // which the response has to name in X-Attempt-Id; see exchange.ResponseMatches
+	PeerIsOurs    bool   // the server is a program of our own: it responds in order, and may leave the id out
+	MaxReplyBytes int64  // of the response's body
+
+	// AskTimeout is how long to wait for a 100 Continue, before which the body is not sent and nothing can have run. 0, or an
+	// empty body, sends head and body at once.
+	AskTimeout time.Duration
+}
+
+// asksFirst reports whether the body is sent only after a 100 Continue.
+func (ex *Exchange) asksFirst() bool { return ex.AskTimeout > 0 && len(ex.Body) > 0 }
+
+// interruptedAt is a deadline in the past: it ends reading and writing at once.
+var interruptedAt = time.Unix(1, 0)
+
+// roundTrip sends a request to a server over an idle or a new connection. It returns what is certain of it, and the response if
+// the exchange was completed.
+func (u *upstream) roundTrip(a *attempt, e *endpoint, ex *Exchange, deadline time.Time) (exchange.Outcome, *Reply) {
+	defer a.cancel()
+	c, err := u.connect(a.ctx, e, deadline)
+	for err == nil && !ex.PeerIsOurs && c.hasCarried(ex.ID) {
+		u.discard(c)
+		c, err = u.connect(a.ctx, e, deadline)
+	}
+	if err != nil {
+		return exchange.NotWritten, nil
+	}
+	idleFor := time.Duration(0)
+	if !c.idleSince.IsZero() {
+		idleFor = time.Since(c.idleSince)
+	}
+	stop := context.AfterFunc(a.ctx, func() { _ = c.SetDeadline(interruptedAt) })
+	reply := u.sendAndReceive(a, c, ex, deadline)
+	outcome := c.exchange.Outcome
+	u.learnIdleLimit(idleFor, outcome)
+	if !stop() || !c.exchange.Reusable() {
+		u.discard(c)
+	} else {
+		u.putIdle(c)
+	}
+	return outcome, reply
+}
+
+// sendAndReceive sends a request over a connection and returns the response of a completed exchange. What is certain is the
+// state of the connection's exchange then.
+func (u *upstream) sendAndReceive(a *attempt, c *conn, ex *Exchange, deadline time.Time) *Reply {
+	_ = c.SetDeadline(deadline) // fails on a closed connection only, which the write reports
+	head := ex.encodeHead(deadline)
+	if !a.mayWrite() {
+		c.apply(exchange.RequestCanceled)
+		return nil
+	}
+	c.apply(exchange.WriteStarted)
+	c.recordID(ex.ID)
+	if ex.asksFirst() {
+		if _, err := c.Write(head.Bytes()); err != nil {
+			c.applyError(a, err)
+			return nil
+		}
+		c.apply(exchange.ContinueRequested)
+		if by := time.Now().Add(ex.AskTimeout); by.Before(deadline) {
+			c.setReadDeadline(a, by)
+		}
+	} else if err := writeHeadAndBody(c, head, ex.Body); err == nil {
+		u.recordWritten(c)
+	} else if !mayHaveResponded(a, err) {
+		c.applyError(a, err)
+		return nil
+	}
+	reply, err := u.receive(a, c, ex, deadline)
+	if err != nil {
+		c.applyError(a, err)
+		return nil
+	}
+	return reply
+}
+
+// encodeHead returns the head of the request.
+func (ex *Exchange) encodeHead(deadline time.Time) *bytes.Buffer {
+	var head bytes.Buffer
+	head.Write(ex.Head(max(time.Until(deadline), 0)))
+	if len(ex.Body) > 0 || !ex.OmitLength {
+		writeContentLength(&head, int64(len(ex.Body)))
+	}
+	if ex.asksFirst() {
+		head.WriteString("Expect: 100-continue\r\n")
+	}
+	head.WriteString("\r\n")
+	return &head
+}
+
+// setReadDeadline sets the deadline for reading, unless the attempt was canceled.
+func (c *conn) setReadDeadline(a *attempt, deadline time.Time) {
+	_ = c.SetReadDeadline(deadline) // fails on a closed connection only, which the read reports
+	if a.ctx.Err() != nil {
+		_ = c.SetReadDeadline(interruptedAt)
+	}
+}
+
+// recordWritten records that a request was written in full.
+func (u *upstream) recordWritten(c *conn) {
+	c.apply(exchange.RequestWritten)
+	u.written.Add(1)
+}
+
+// mayHaveResponded reports whether a server may have responded before a write failed: its response is to be read then.
+func mayHaveResponded(a *attempt, err error) bool {
+	return a.ctx.Err() == nil && !errors.Is(err, os.ErrDeadlineExceeded)
+}
+
+// receive reads up to the request's own final response. If the body waits for a 100 Continue, it is written meanwhile. There
+// is no response if the exchange ends before.
+func (u *upstream) receive(a *attempt, c *conn, ex *Exchange, deadline time.Time) (*Reply, error) {
+	for interim := 0; c.exchange.State != exchange.Done; {
+		if _, err := c.reader.Peek(1); err != nil {
+			return nil, err
+		}
+		wasWriting := c.exchange.State == exchange.Writing
+		reply, err := u.receiveOne(a, c, ex, deadline)
+		switch {
+		case err != nil && wasWriting:
+			c.apply(exchange.GarbageReceived)
+			return nil, err
+		case err != nil || reply != nil && reply.Status >= http.StatusOK:
+			return reply, err
+		case reply == nil: // another request's response
+			continue
+		}
+		if interim++; interim > maxInterim {
+			return nil, errTooLong
+		}
+		if reply.Status == http.StatusContinue && c.exchange.State == exchange.AwaitingContinue {
+			c.setReadDeadline(a, deadline)
+			c.apply(exchange.ContinueReceived)
+			if _, err := c.Write(ex.Body); err != nil {
+				return nil, err
+			}
+			u.recordWritten(c)
+		}
+	}
+	return nil, nil
+}
+
+// receiveOne reads one response, interim or final; nil if it belongs to another request.
+func (u *upstream) receiveOne(a *attempt, c *conn, ex *Exchange, deadline time.Time) (*Reply, error) {
+	m, err := readMessage(c.reader)
+	if err != nil {
+		return nil, err
+	}
+	status, err := m.status()
+	if err != nil || status < http.StatusOK {
+		return &Reply{Status: status}, err
+	}
+	isOwn := exchange.ResponseMatches(ex.ID, m.header["X-Attempt-Id"], ex.PeerIsOurs)
+	if c.exchange.State == exchange.AwaitingContinue {
+		c.setReadDeadline(a, deadline)
+	}
+	if isOwn {
+		c.apply(exchange.ResponseStarted)
+	}
+	var body []byte
+	if !hasNoBody(status) {
+		if m.length == lengthUnknown { // its end could not be told from that of the connection
+			return nil, errBadLength
+		}
+		if body, err = readWhole(c.reader, m.length, ex.MaxReplyBytes); err != nil {
+			return nil, err
+		}
+	}
+	if !isOwn {
+		c.apply(exchange.OtherResponse)
+		return nil, nil
+	}
+	c.completeResponse(&m)
+	u.applyKeepAlive(m.header)
+	return &Reply{Status: status, Header: endToEnd(m.header), Body: body, AfterOtherResponse: c.exchange.SawOtherResponse()}, nil
+}
+
+// writeHeadAndBody writes a head and a body, in one write if the body is short.
+func writeHeadAndBody(c *conn, head *bytes.Buffer, body []byte) error {
+	if len(body) < maxBufferedBody {
+		head.Write(body)
+		body = nil
+	}
+	_, err := c.Write(head.Bytes())
+	if err == nil && len(body) > 0 {
+		_, err = c.Write(body)
+	}
+	return err
+}
+
+// WriteLine writes a header line. Line breaks in the value are replaced by spaces.
+func WriteLine(b *bytes.Buffer, name, value string) {
+	writeHeader(b, http.Header{name: {value}}, "")
+}
+
+// WriteLines writes headers, in any order.
+func WriteLines(b *bytes.Buffer, h http.Header) { writeHeader(b, h, "") }
+
+// maxDeadlineMS bounds a remaining time in a header, in ms.
+const maxDeadlineMS = 1e9
+
+// Deadline returns the remaining time that a header gives in milliseconds. It returns given = false if there is no such
+// header, and ok = false if its value is invalid.
+func Deadline(h http.Header, name string) (left time.Duration, given, ok bool) {
+	text := h.Get(name)
+	if text == "" {
+		return 0, false, true
+	}
+	ms, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(ms > 0) || ms > maxDeadlineMS { // also if it is NaN
+		return 0, true, false
+	}
+	return millis(ms), true, true
+}
--- a/internal/sidecar/target_test.go
+++ b/internal/sidecar/routing_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"whinknot/internal/route"
+	"milletmast/internal/route"
 )
 
 // FuzzTarget: what a listener makes of a request line is read by the standard library as the same request, whatever the
@@ -30,7 +30,7 @@
 		if strings.ContainsAny(line, "\r\n") {
 			return
 		}
-		req, to, status, _ := readTarget(&message{first: line, header: h})
+		req, to, status, _ := readTarget(&message{startLine: line, header: h})
 		if status != 0 {
 			return
 		}
@@ -46,7 +46,7 @@
 		if read.Method != req.Method || read.RequestURI != uri || read.URL.Path != "" && !strings.HasPrefix(read.URL.Path, "/") {
 			t.Fatalf("%q goes on as %q and is read as %s %s", line, sent, read.Method, read.RequestURI)
 		}
-		again, _, status, why := readTarget(&message{first: req.Method + " " + uri + " HTTP/1.1", header: http.Header{"Host": {to.host}}})
+		again, _, status, why := readTarget(&message{startLine: req.Method + " " + uri + " HTTP/1.1", header: http.Header{"Host": {to.host}}})
 		if status != 0 || *again.Path != *req.Path || again.Host != req.Host || again.Query != req.Query {
 			t.Fatalf("%q goes on as %q, and that is read as %+v (%d %s)", line, sent, again, status, why)
 		}
--- /dev/null
+++ b/internal/sidecar/servers.go
@@ -0,0 +1,70 @@
+package sidecar
+
+import (
+	"milletmast/balancer"
+)
+
+// applyList applies a list of servers, or changes of it.
+func (l *eventLoop) applyList(list List, kind balancer.ListKind) {
+	ev := balancer.Event{Kind: balancer.EvList, List: kind}
+	full := kind != balancer.ListDelta
+	if l.subset != nil {
+		list = l.subset.selectTargets(list, full)
+		ev.Copies, ev.Rank = l.subset.sendersPerServer(), l.subset.sizer.Rank+1
+	} else if l.replicas > 0 {
+		ev.Copies, ev.Rank = l.replicas, l.rank+1
+	}
+	before := l.listed
+	if full {
+		l.listed = make(map[uint32]bool, len(list.Targets))
+		l.targets = make(map[string]Target, len(list.Targets))
+	}
+	for _, received := range list.Targets {
+		if l.targets[received.UID] = received; serverStates[received.State] == balancer.Gone {
+			delete(l.targets, received.UID)
+		}
+		t := l.withOverride(received)
+		e := l.serverIDs.serverEntry(&t)
+		ev.Servers = append(ev.Servers, e)
+		l.upstream.setEndpoint(e.Server, t.Endpoint, e.Started, e.State)
+		l.upstream.setEndpointID(e.Server, t.UID)
+		if e.State == balancer.Gone {
+			delete(l.listed, e.Server)
+		} else {
+			l.listed[e.Server] = e.State == balancer.Ready
+		}
+	}
+	if full {
+		for id := range before {
+			if _, ok := l.listed[id]; !ok {
+				l.upstream.setEndpoint(id, "", 0, balancer.Gone)
+			}
+		}
+	}
+	l.serverIDs.forget(func(id uint32) bool { _, ok := l.listed[id]; return ok })
+	l.usable = 0
+	for _, ready := range l.listed {
+		if ready {
+			l.usable++
+		}
+	}
+	l.recordColdServers()
+	l.counts.listed.Store(int64(len(l.listed)))
+	l.counts.usable.Store(int64(l.usable))
+	l.handle(&ev)
+}
+
+// setReplicas changes the number of replicas that send to the servers, and the rank of this one. Its subset, the servers of its
+// own, its initial capacity and its share of cold servers follow.
+func (l *eventLoop) setReplicas(replicas, rank int) {
+	l.replicas, l.rank = replicas, rank
+	if l.subset != nil {
+		l.subset.sizer.Replicas, l.subset.sizer.Rank = replicas, rank
+	}
+	l.applyList(List{}, balancer.ListDelta)
+}
+
+// listFailed handles a call to discovery that failed, or a watch that broke.
+func (l *eventLoop) listFailed() {
+	l.handle(&balancer.Event{Kind: balancer.EvList, List: balancer.ListFailed})
+}
--- /dev/null
+++ b/internal/sidecar/service.go
@@ -0,0 +1,203 @@
+package sidecar
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"milletmast/balancer"
+	"milletmast/internal/exchange"
+	"milletmast/internal/wire"
+)
+
+// AttemptResult is the result of an attempt at a server of a service.
+type AttemptResult struct {
+	Outcome       balancer.Outcome // for the decision module
+	Reply         *Reply           // for the client; nil for none
+	ServerFailure bool             // Reply is a failure of the server, used if no later attempt succeeds
+	Final         bool             // the request must not be retried
+}
+
+// ServiceRequest is a request for a service. The service decides which server it is sent to, and when.
+type ServiceRequest struct {
+	Class            uint16
+	Deadline         time.Time // of the final response
+	MaxAttempts      int       // 0 for the limit of the settings
+	Worth            float64   // priority weight; 0 for that of the class
+	PreferredServers []string  // names of the servers to try first, in this order
+
+	// Attempt makes one attempt. It runs in a goroutine of its own; attempts of a request do not overlap.
+	Attempt func(a *ServiceAttempt) AttemptResult
+}
+
+// ServiceAttempt is one attempt of a request.
+type ServiceAttempt struct {
+	Ctx      context.Context
+	Server   string // name of the server
+	Addr     string
+	Number   int // of attempts before
+	Deadline time.Time
+	upstream *upstream
+	attempt  *attempt
+	endpoint *endpoint
+}
+
+// RoundTrip sends a request to the server and returns what is certain of it, and the response of a completed exchange.
+func (s *ServiceAttempt) RoundTrip(ex *Exchange) (exchange.Outcome, *Reply) {
+	return s.upstream.roundTrip(s.attempt, s.endpoint, ex, s.Deadline)
+}
+
+// forwardedRequest is a ServiceRequest as a sender of the loop.
+type forwardedRequest struct {
+	request  *ServiceRequest
+	attempts int  // made
+	final    bool // the request must not be retried
+}
+
+func (p *forwardedRequest) send(u *upstream, a *attempt, e *endpoint, deadline time.Time) (balancer.Outcome, *response) {
+	defer a.cancel()
+	u.mu.Lock()
+	uid := e.uid
+	u.mu.Unlock()
+	number := p.attempts
+	p.attempts++
+	result := p.request.Attempt(&ServiceAttempt{
+		Ctx: a.ctx, Server: uid, Addr: e.addr, Number: number, Deadline: deadline, upstream: u, attempt: a, endpoint: e,
+	})
+	p.final = p.final || result.Final
+	if result.Reply == nil {
+		return result.Outcome, nil
+	}
+	reply := result.Reply.answer()
+	reply.isServerFailure = result.ServerFailure
+	return result.Outcome, reply
+}
+
+func (p *forwardedRequest) duration(sent time.Time) time.Duration { return time.Since(sent) }
+
+func (p *forwardedRequest) isSpent() bool { return p.final }
+
+func (p *forwardedRequest) isUnbounded() bool { return false }
+
+// Service is a decision module with its event loop and the connections to the servers of one service.
+type Service struct {
+	loop     *eventLoop
+	upstream *upstream
+}
+
+// ServiceEndpoint is one server of a service.
+type ServiceEndpoint struct {
+	Name, Addr, Zone string
+	Draining         bool
+	Backup           bool // it gets only requests that no other server can take
+	Weight           float64
+	Started          time.Time // start of its process; zero for long ago
+}
+
+// NewService returns a running service with at most maxConns connections. The zones are those that settings number; learned is
+// what an earlier module has learned, or nil. The error says which setting is invalid.
+func NewService(settings balancer.Settings, zones []string, seed uint64, maxConns int, learned *balancer.Memory) (*Service, error) {
+	s := &Service{upstream: newUpstream(settings.Limits, 0, maxConns)}
+	var err error
+	if s.loop, err = newEventLoop(&Config{Seed: seed, Site: wire.Site{Settings: settings, Zones: zones}}, s.upstream); err != nil {
+		return nil, fmt.Errorf("service: %w", err)
+	}
+	if learned != nil {
+		s.loop.balancer.Import(*learned)
+	}
+	go s.loop.run()
+	return s, nil
+}
+
+// SetEndpoints replaces the list of servers. Copies is how many senders share them, rank the number of this one, from 0.
+func (s *Service) SetEndpoints(endpoints []ServiceEndpoint, copies, rank int) {
+	list := List{Full: true}
+	for _, endpoint := range endpoints {
+		target := Target{
+			UID:      endpoint.Name,
+			Endpoint: endpoint.Addr,
+			Zone:     endpoint.Zone,
+			State:    stateReady,
+			Weight:   endpoint.Weight,
+			Backup:   endpoint.Backup,
+		}
+		if endpoint.Draining {
+			target.State = stateTerminating
+		}
+		if !endpoint.Started.IsZero() {
+			target.BootMS = float64(endpoint.Started.UnixMicro()) / 1000
+		}
+		list.Targets = append(list.Targets, target)
+	}
+	s.loop.post(func() {
+		s.loop.replicas, s.loop.rank = copies, rank
+		s.loop.applyList(list, balancer.ListFull)
+	})
+}
+
+// Do has a request served and returns the final response; ok is false if ctx ended before, or the service did.
+func (s *Service) Do(ctx context.Context, request *ServiceRequest) (r Reply, ok bool) {
+	responded := make(chan response, 1)
+	c := &call{forwarded: &forwardedRequest{request: request}, respond: func(a response) { responded <- a }}
+	c.http.fromListener = true
+	now := time.Now()
+	c.timeout = inMillis(request.Deadline.Sub(now))
+	c.event = balancer.Event{Class: request.Class, Attempts: request.MaxAttempts, Worth: request.Worth}
+	c.setDue(s.loop.toMillis(now))
+	s.loop.post(func() {
+		for _, name := range request.PreferredServers {
+			c.event.Prefer = append(c.event.Prefer, s.loop.serverIDs.id(name))
+		}
+		s.loop.startCall(c)
+	})
+	select {
+	case a := <-responded:
+		return *replyOf(&a), true
+	case <-ctx.Done():
+		s.loop.post(func() { s.loop.clientLeft(c) })
+		return Reply{}, false
+	case <-s.loop.stopped:
+		a, ok := pollResponse(responded)
+		return *replyOf(&a), ok
+	}
+}
+
+// replyOf returns an answer of the loop as a Reply.
+func replyOf(a *response) *Reply {
+	return &Reply{Status: a.status, Header: a.header, Body: a.body, RetryAfter: a.retryAfter}
+}
+
+// Memory returns what the decision module has learned of its servers.
+func (s *Service) Memory() (m balancer.Memory) {
+	s.loop.do(func() { m = s.loop.balancer.Export() })
+	return m
+}
+
+// AnswerAll gives every open request a final response at once. Requests that did not run, and never will, are rejected.
+func (s *Service) AnswerAll() { s.loop.do(s.loop.answerAll) }
+
+// Shutdown ends the service once it has no request left, at the deadline, or when ctx ends. Requests that are left get a final
+// response. It returns once all goroutines of the service have ended.
+func (s *Service) Shutdown(ctx context.Context, deadline time.Time) {
+	done := make(chan struct{})
+	var check func()
+	check = func() {
+		if len(s.loop.calls) == 0 || time.Now().After(deadline) || ctx.Err() != nil {
+			s.loop.answerAll()
+			close(done)
+			return
+		}
+		time.AfterFunc(shutdownPollInterval, func() { s.loop.post(check) })
+	}
+	s.loop.post(check)
+	<-done
+	close(s.loop.stop)
+	<-s.loop.stopped
+	s.loop.attempts.Wait()
+	s.upstream.close()
+	slog.Debug("service ended")
+}
+
+// shutdownPollInterval is the time between two checks whether a request is left.
+const shutdownPollInterval = 50 * time.Millisecond
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,5 +1,16 @@
-// Package sidecar runs the decision module on real sockets. The loop owns the module and every request; the
-// front takes requests from callers, upstream carries attempts to endpoints, discovery follows the list.
+// Package sidecar runs the decision module (package balancer) on real sockets.
+//
+// The way of a request: a frontend (frontend.go, clientconns.go) or the gRPC server of package grpcfront accepts it, an intake
+// (platform.go for the platform's protocol, routing.go and siterouting.go for an operator file, port.go for the mesh) makes it a
+// call, the event loop (loop.go, calls.go) owns the call and gives its events to the decision module, and for each attempt that
+// the module decides on, upstream (upstream.go, connpool.go, mux.go) sends it to a server. Discovery and the sources of pools
+// tell the loop the list of servers.
+//
+// There are three kinds of owners: Sidecar has one pool under the platform's protocol, Instance (instance.go, generation.go) has
+// the listeners and pools of an operator file, and Service and Port are the parts that the mesh's proxy is made of.
+//
+// Invariants: a call gets exactly one final response; only the goroutine of the loop reads or writes a call, its attempts' list
+// and the module; the loop never waits for a socket.
 package sidecar
 
 import (
@@ -11,131 +22,134 @@
 	"sync/atomic"
 	"time"
 
-	"whinknot"
-	"whinknot/internal/admin"
-	"whinknot/internal/operator"
-	"whinknot/internal/takeover"
-	"whinknot/internal/wire"
+	"milletmast/balancer"
+	"milletmast/internal/admin"
+	"milletmast/internal/hotrestart"
+	"milletmast/internal/operator"
+	"milletmast/internal/wire"
 )
 
-// Config is all that a sidecar is told at its start.
+// Config configures a Sidecar.
 type Config struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
 	MemoryMB, Sockets       int
 	Site                    wire.Site
-	Known                   List
+	InitialList             List
 
-	// Of an installation where operators call and upgrade; without an address for their calls there is neither.
-	Operators string
-	Folder    string             // shared with the process that this one replaces, or that replaces it; "" for none
-	Room      func(part float64) // is told which part of the memory this process may use; nil for nobody
+	// Of an installation with an admin API and upgrades; without an address there is neither.
+	AdminAddr     string
+	SharedFolder  string             // shared with the process that this one replaces, or that replaces it; "" for none
+	OnMemoryShare func(part float64) // called with the share of the memory that this process may use; may be nil
 }
 
-// LeastSockets is the smallest descriptor limit that leaves some for callers and for endpoints.
-const LeastSockets = operator.LeastSockets
+// MinSockets is the smallest limit of descriptors that leaves some for clients and for endpoints.
+const MinSockets = operator.MinSockets
 
 const (
-	killAfter  = 0.7  // seconds from the longest deadline to SIGKILL
-	killMost   = 3.0  // longest deadline that SIGKILL waits for
-	exitBefore = 0.35 // seconds before SIGKILL at which what is left is given up
+	killDelay    = 0.7  // seconds from the longest deadline to SIGKILL
+	maxKillDelay = 3.0  // seconds; the longest deadline that SIGKILL waits for
+	exitMargin   = 0.35 // seconds before SIGKILL at which open requests are given up
 )
 
-// Sidecar is one running copy.
+// Sidecar is a sidecar of the platform's protocol.
 type Sidecar struct {
 	cfg       Config
-	loop      *loop
-	front     *front
+	loop      *eventLoop
+	frontend  *frontend
 	discovery *discovery
-	listener  net.Listener // where callers connect; nil until the process that it replaces can spare them
-	operators net.Listener // nil for none
-	place     *takeover.Place
-	running   sync.WaitGroup // what Run has begun beside the front
-	ready     atomic.Bool    // it has taken over, where there was something to take over
+	listener  net.Listener // of the clients; nil until it takes over from the process that it replaces
+	admin     net.Listener // nil for none
+	shared    *hotrestart.SharedState
+	running   sync.WaitGroup // goroutines that Run waits for
+	serving   atomic.Bool    // it has taken over, if there was another process
 	replaced  atomic.Bool    // another process has taken over from this one
 
-	holding sync.Mutex
-	held    takeover.State // where there is no folder
-	share   part           // of the limits that it has
-	news    time.Duration  // see newsTime
+	sharedMu         sync.Mutex
+	localState       hotrestart.State // if there is no shared folder
+	share            limitShare       // of the limits
+	discoveryTimeout time.Duration    // see defaultDiscoveryTimeout
 
 	reloads, reloadErrors atomic.Uint64
 }
 
-// New checks what the sidecar is told and opens its listener; requests wait there until Run.
+// New checks the configuration and opens the listener. Connections wait there until Run.
 func New(cfg Config) (*Sidecar, error) {
-	s := &Sidecar{cfg: cfg, share: whole, news: newsTime}
+	s := &Sidecar{cfg: cfg, share: fullShare, discoveryTimeout: defaultDiscoveryTimeout}
 	set := &s.cfg.Site.Settings
-	callers, endpoints := s.descriptors(whole)
+	callers, endpoints := s.descriptors(fullShare)
 	var err error
-	if s.loop, err = newLoop(&s.cfg, newUpstream(set.Limits, set.Safety.DrainGrace, endpoints)); err != nil {
+	if s.loop, err = newEventLoop(&s.cfg, newUpstream(set.Limits, set.Safety.DrainGrace, endpoints)); err != nil {
 		return nil, err
 	}
-	s.discovery = newDiscovery(s.loop, cfg.Discovery, cfg.Known.Rev)
-	s.front = newFront(s.loop, set, callers)
-	if cfg.Operators != "" {
-		if err := s.openToOperators(); err != nil {
-			s.closeToOperators()
+	s.discovery = newDiscovery(s.loop, cfg.Discovery, cfg.InitialList.Rev)
+	s.frontend = newPlatformFrontend(s.loop, set, callers)
+	if cfg.AdminAddr != "" {
+		if err := s.openAdmin(); err != nil {
+			s.closeAdmin()
 			return nil, err
 		}
 		return s, nil
 	}
-	s.ready.Store(true)
+	s.serving.Store(true)
 	if s.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	return s, nil
 }
 
-// Run serves until ctx ends, then finishes what was taken.
+// Run serves until ctx ends, and then finishes the requests that were accepted.
 func (s *Sidecar) Run(ctx context.Context) error {
-	watching, stop := context.WithCancel(context.Background()) // drains count to the end
+	watching, stop := context.WithCancel(context.Background()) // the list is watched until the last request has ended
 	ctx, end := context.WithCancel(ctx)
 	defer s.running.Wait()
 	defer end()
 	defer stop()
-	defer close(s.loop.ended)
-	s.loop.watch = func() { go s.discovery.once(watching) }
-	s.loop.post(func() { s.loop.list(s.cfg.Known, whinknot.ListCached) }) // ahead of what the watch tells
+	defer close(s.loop.stop)
+	s.loop.startWatch = func() { go s.discovery.watchOnce(watching) }
+	s.loop.post(func() { s.loop.applyList(s.cfg.InitialList, balancer.ListCached) }) // before the lists of the watch
 	if !s.cfg.Site.Settings.ListOnRequest {
-		s.loop.watch = func() { go s.discovery.follow(watching) }
-		s.loop.watch()
+		s.loop.startWatch = func() { go s.discovery.run(watching) }
+		s.loop.startWatch()
 	}
 	go s.loop.run()
 	ended := make(chan error, 2)
-	if s.operators != nil {
-		defer s.closeToOperators()
-		s.running.Go(func() { ended <- admin.Serve(s.operators, s) })
-		if s.place != nil {
+	if s.admin != nil {
+		defer s.closeAdmin()
+		s.running.Go(func() { ended <- admin.Serve(s.admin, s) })
+		if s.shared != nil {
 			s.running.Go(func() {
-				s.place.Follow(watching, followEvery, func(_ takeover.State, others bool) { s.beside(others) })
+				s.shared.Watch(watching, sharedPollInterval, func(_ hotrestart.State, others bool) { s.applySharedState(others) })
 			})
 		}
 		if err := s.takeOver(ctx, watching); err != nil {
-			if ctx.Err() != nil { // told to end before it served
+			if ctx.Err() != nil { // before it served
 				return nil
 			}
 			return err
 		}
 	}
-	go func() { ended <- s.front.serve(s.listener) }()
-	slog.Info("serving", "listen", s.listener.Addr(), "known", len(s.cfg.Known.Targets), "rev", s.cfg.Known.Rev)
+	go func() {
+		s.frontend.serve(s.listener)
+		ended <- net.ErrClosed
+	}()
+	slog.Info("serving", "listen", s.listener.Addr(), "known", len(s.cfg.InitialList.Targets), "rev", s.cfg.InitialList.Rev)
 	select {
 	case err := <-ended:
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
-	s.look() // the other process may just have said its yes
+	s.refreshShared() // the other process may just have taken over
 	if s.replaced.Load() {
-		s.front.handOver(s.listener, s.last())
+		s.frontend.handOver(s.listener, s.drainTime())
 	} else {
-		s.front.drain(s.listener, s.last())
+		s.frontend.drain(s.listener, s.drainTime())
 	}
 	return nil
 }
 
-// Reloaded counts a configuration that was read again, or could not be.
-func (s *Sidecar) Reloaded(err error) {
+// CountReload counts a configuration that was reloaded, or could not be.
+func (s *Sidecar) CountReload(err error) {
 	if err != nil {
 		s.reloadErrors.Add(1)
 		return
@@ -143,21 +157,21 @@
 	s.reloads.Add(1)
 }
 
-// Move has discovery watched at another address from now on; the list that is held stays in use.
-func (s *Sidecar) Move(addr string) {
+// SetDiscoveryAddr has discovery watched at another address from now on. The latest list stays in use.
+func (s *Sidecar) SetDiscoveryAddr(addr string) {
 	s.loop.post(func() {
-		if s.discovery.move(addr) {
+		if s.discovery.setAddr(addr) {
 			slog.Info("discovery moves", "addr", addr)
-			s.loop.watch()
+			s.loop.startWatch()
 		}
 	})
 }
 
-// last is the time from SIGTERM at which what is left is given up, so as to be answered before SIGKILL.
-func (s *Sidecar) last() time.Duration {
+// drainTime returns the time from SIGTERM after which open requests are given up, so that they are answered before SIGKILL.
+func (s *Sidecar) drainTime() time.Duration {
 	longest := 0.0
 	for _, c := range s.cfg.Site.Settings.Classes {
 		longest = max(longest, c.GiveUp/1000)
 	}
-	return time.Duration((min(longest, killMost) + killAfter - exitBefore) * float64(time.Second))
+	return time.Duration((min(longest, maxKillDelay) + killDelay - exitMargin) * float64(time.Second))
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"whinknot"
-	"whinknot/internal/wire"
+	"milletmast/balancer"
+	"milletmast/internal/wire"
 )
 
 const settings = `{"balancers": 1, "stages": ["a"], "zones": ["z"], "kinds": ["k"],
@@ -36,7 +36,7 @@
 	}
 	cfg := Config{Name: "n", Listen: "127.0.0.1:0", Discovery: listen(t).Addr().String(), Sockets: 256, Site: site}
 	for i, a := range addrs {
-		cfg.Known.Targets = append(cfg.Known.Targets,
+		cfg.InitialList.Targets = append(cfg.InitialList.Targets,
 			Target{UID: fmt.Sprint("s-", i), Endpoint: a, Zone: "z", Kind: "k", State: "Ready"})
 	}
 	return cfg
@@ -50,8 +50,8 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	go s.Run(ctx)
-	t.Cleanup(func() { s.front.accept = 0; cancel() })
+	go func() { _ = s.Run(ctx) }()
+	t.Cleanup(func() { s.frontend.acceptTime = 0; cancel() })
 	return s
 }
 
@@ -84,7 +84,7 @@
 // answer reads one answer whole.
 func (c *client) answer(t *testing.T) (*http.Response, string) {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(long))
 	res, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -150,7 +150,7 @@
 		}
 	}
 	caller := dial(t, s)
-	fmt.Fprintf(caller, "POST /pay/x HTTP/1.1\r\nHost: h\r\nX-Class: pay\r\nX-Request-Id: i\r\nContent-Length: %d\r\n\r\n", platformBody+1)
+	fmt.Fprintf(caller, "POST /pay/x HTTP/1.1\r\nHost: h\r\nX-Class: pay\r\nX-Request-Id: i\r\nContent-Length: %d\r\n\r\n", maxPlatformBody+1)
 	if res, _ := caller.answer(t); res.StatusCode != 413 {
 		t.Errorf("long body: status %d, want 413", res.StatusCode)
 	}
@@ -162,24 +162,24 @@
 // The module must be told a due time that leaves room for the way back, and never one after the class's own.
 func TestDueTimes(t *testing.T) {
 	cfg := config(t)
-	l, err := newLoop(&cfg, newUpstream(whinknot.Limits{}, 0, 4))
+	l, err := newEventLoop(&cfg, newUpstream(balancer.Limits{}, 0, 4))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := newFront(l, &cfg.Site.Settings, 4)
+	f := newPlatformFrontend(l, &cfg.Site.Settings, 4)
 	for _, c := range []struct {
 		header string
 		want   float64 // ms from the arrival
 	}{{"2.000", 1950}, {"0.100", 90}, {"", 2450}, {"60", 2450}} {
-		got, _, complaint := f.parse(message{
-			first:  "GET /read/x HTTP/1.1",
-			header: http.Header{"X-Class": {"read"}, "X-Request-Id": {"1"}, "X-Deadline": {c.header}},
+		got, _, complaint := f.parsePlatform(message{
+			startLine: "GET /read/x HTTP/1.1",
+			header:    http.Header{"X-Class": {"read"}, "X-Request-Id": {"1"}, "X-Deadline": {c.header}},
 		})
 		if got == nil {
 			t.Fatalf("%q: %s", c.header, complaint)
 		}
-		if math.Abs(got.wait-c.want) > 0.01 {
-			t.Errorf("%q: due after %v ms, want %v", c.header, got.wait, c.want)
+		if math.Abs(got.timeout-c.want) > 0.01 {
+			t.Errorf("%q: due after %v ms, want %v", c.header, got.timeout, c.want)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 // One that was turned away never ran: it goes to another endpoint, here one that serves it.
 func TestTurnedAwayGoesElsewhere(t *testing.T) {
 	full := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
 	s := start(t, config(t, full.Addr().String(), script(t, echo).Addr().String()))
@@ -215,7 +215,7 @@
 // A refusal says when to come back, and comes long before the deadline.
 func TestRefusalTellsWhenToComeBack(t *testing.T) {
 	full := func(_ int, c net.Conn, _ *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
 	s := start(t, config(t, script(t, full).Addr().String()))
@@ -233,7 +233,7 @@
 	came, left := make(chan struct{}), make(chan struct{})
 	s := start(t, config(t, script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		close(came)
-		c.Read(make([]byte, 1))
+		_, _ = c.Read(make([]byte, 1))
 		close(left)
 		return false
 	}).Addr().String()))
@@ -247,7 +247,7 @@
 		t.Fatal("the attempt stayed out")
 	}
 	for calls := 1; calls != 0; { // and nothing of the request is kept
-		s.loop.ask(func() { calls = len(s.loop.calls) })
+		s.loop.do(func() { calls = len(s.loop.calls) })
 	}
 }
 
@@ -266,7 +266,7 @@
 // The backstop refuses only what cannot have run, and answers once.
 func TestBackstopIsHonest(t *testing.T) {
 	cfg := config(t)
-	l, err := newLoop(&cfg, newUpstream(whinknot.Limits{}, 0, 4))
+	l, err := newEventLoop(&cfg, newUpstream(balancer.Limits{}, 0, 4))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -275,18 +275,18 @@
 		want int
 	}{
 		"nothing sent": {&call{}, statusRefused},
-		"may have run": {&call{mayRun: true}, statusFailed},
-		"still out":    {&call{open: 1, attempts: []*attempt{newAttempt(time.Time{})}}, statusFailed},
+		"may have run": {&call{mayHaveExecuted: true}, statusFailed},
+		"still out":    {&call{openAttempts: 1, attempts: []*attempt{newAttempt(time.Time{})}}, statusFailed},
 	} {
-		var got []answer
-		c.call.reply = func(a answer) { got = append(got, a) }
-		l.giveUp(c.call)
-		l.giveUp(c.call)
+		var got []response
+		c.call.respond = func(a response) { got = append(got, a) }
+		l.answerOverdue(c.call)
+		l.answerOverdue(c.call)
 		if len(got) != 1 || got[0].status != c.want {
 			t.Errorf("%s: answers %v, want one of status %d", name, got, c.want)
 		}
 		for _, a := range c.call.attempts {
-			if a.claim() {
+			if a.mayWrite() {
 				t.Errorf("%s: an attempt could still go out", name)
 			}
 		}
@@ -318,7 +318,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.front.accept = 2 * time.Second // for a test on a busy machine
+	s.frontend.acceptTime = 2 * time.Second // for a test on a busy machine
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- s.Run(ctx) }()
@@ -326,7 +326,7 @@
 	slow.send("GET", "read", "", "X-Hold: 1")
 	<-came
 	cancel()
-	for !s.front.draining.Load() {
+	for !s.frontend.draining.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	late := dial(t, s)
@@ -358,13 +358,13 @@
 		t.Fatal(err)
 	}
 	go s.loop.run()
-	s.loop.post(func() { s.loop.list(cfg.Known, whinknot.ListCached) })
-	go s.front.serve(s.listener)
+	s.loop.post(func() { s.loop.applyList(cfg.InitialList, balancer.ListCached) })
+	go s.frontend.serve(s.listener)
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
 	<-came
 	ended := make(chan struct{})
-	go func() { s.front.drain(s.listener, acceptTime); close(ended) }()
+	go func() { s.frontend.drain(s.listener, acceptTime); close(ended) }()
 	if res, _ := c.answer(t); res.StatusCode != statusFailed {
 		t.Errorf("status %d, want a failure", res.StatusCode)
 	}
@@ -374,16 +374,16 @@
 // Callers that hold connections for nothing must not keep others out.
 func TestQuietCallersGiveWay(t *testing.T) {
 	cfg := config(t, script(t, echo).Addr().String())
-	cfg.Sockets = LeastSockets
+	cfg.Sockets = MinSockets
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.front.quiet = time.Hour // which would end them too, but late
+	s.frontend.idleTimeout = time.Hour // which would end them too, but late
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go s.Run(ctx)
-	for range 2 * s.front.callers.most {
+	go func() { _ = s.Run(ctx) }()
+	for range 2 * s.frontend.clients.maxConns {
 		dial(t, s)
 	}
 	c := dial(t, s)
@@ -402,8 +402,8 @@
 	c := dial(t, s)
 	c.send("GET", "read", "")
 	<-came
-	c.Conn.(*net.TCPConn).CloseWrite()
-	c.SetReadDeadline(time.Now().Add(long))
+	_ = c.Conn.(*net.TCPConn).CloseWrite()
+	_ = c.SetReadDeadline(time.Now().Add(long))
 	if text, err := io.ReadAll(c); len(text) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("answer %q, error %v", text, err)
 	}
@@ -413,7 +413,7 @@
 func discover(t *testing.T, f func(since string, tell func(List), beat func())) string {
 	t.Helper()
 	return script(t, func(_ int, c net.Conn, r *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		chunk := func(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 		f(r.URL.Query().Get("since"), func(l List) {
 			text, err := json.Marshal(l)
@@ -432,7 +432,7 @@
 	defer close(done)
 	addr := script(t, echo).Addr().String()
 	cfg := config(t)
-	cfg.Known.Rev = 7
+	cfg.InitialList.Rev = 7
 	cfg.Discovery = discover(t, func(since string, tell func(List), beat func()) {
 		beat()
 		for rev := int64(8); ; rev++ {
@@ -448,14 +448,14 @@
 	usable := func(want int) {
 		t.Helper()
 		for got, end := -1, time.Now().Add(long); got != want; {
-			if s.loop.ask(func() { got = s.loop.usable }); time.Now().After(end) {
+			if s.loop.do(func() { got = s.loop.usable }); time.Now().After(end) {
 				t.Fatalf("%d usable, want %d", got, want)
 			}
 		}
 	}
 	next <- "Ready"
 	usable(1)
-	if id := newDirectory(nil, nil).id("s-7"); s.loop.up.find(id) == nil {
+	if id := newServerIDs(nil, nil).id("s-7"); s.loop.upstream.endpointOf(id) == nil {
 		t.Error("the watch did not begin at the version that was known")
 	}
 	c := dial(t, s)
@@ -471,7 +471,7 @@
 	}
 	next <- "Gone"
 	for gone := false; !gone; {
-		s.loop.ask(func() { gone = len(s.loop.listed) == 0 && len(s.loop.directory.ids) == 0 })
+		s.loop.do(func() { gone = len(s.loop.listed) == 0 && len(s.loop.serverIDs.ids) == 0 })
 	}
 }
 
@@ -492,10 +492,10 @@
 	cfg := config(t)
 	for i := range 4 {
 		addr := script(t, hold).Addr().String()
-		cfg.Known.Targets = append(cfg.Known.Targets, Target{UID: fmt.Sprint("s-", i), Endpoint: addr, Zone: "z", State: "Ready"})
+		cfg.InitialList.Targets = append(cfg.InitialList.Targets, Target{UID: fmt.Sprint("s-", i), Endpoint: addr, Zone: "z", State: "Ready"})
 	}
 	cfg.Discovery = discover(t, func(_ string, tell func(List), _ func()) {
-		for i, old := range cfg.Known.Targets {
+		for i, old := range cfg.InitialList.Targets {
 			old.State = "Terminating"
 			tell(List{Rev: int64(2*i + 1), Targets: []Target{old}})
 			addr := script(t, hold).Addr().String()
@@ -504,9 +504,9 @@
 		<-done
 	})
 	s := start(t, cfg)
-	last := newDirectory(nil, nil).id("n-3")
+	last := newServerIDs(nil, nil).id("n-3")
 	for listed := false; !listed; {
-		s.loop.ask(func() { listed = s.loop.listed[last] })
+		s.loop.do(func() { listed = s.loop.listed[last] })
 	}
 	callers := make([]*client, most)
 	for i := range callers {
@@ -534,7 +534,7 @@
 	}
 	fail := func(_ int, c net.Conn, _ *http.Request) bool {
 		failed.Add(1)
-		io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
 	cfg := config(t, script(t, hold).Addr().String(), script(t, hold).Addr().String(), script(t, hold).Addr().String(),
@@ -580,14 +580,14 @@
 // A whole list takes away what it does not name.
 func TestWholeListReplaces(t *testing.T) {
 	cfg := config(t, "127.0.0.1:1", "127.0.0.1:2")
-	l, err := newLoop(&cfg, newUpstream(whinknot.Limits{}, 0, 4))
+	l, err := newEventLoop(&cfg, newUpstream(balancer.Limits{}, 0, 4))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.list(cfg.Known, whinknot.ListCached)
-	first, second := l.directory.id("s-0"), l.directory.id("s-1")
-	l.list(List{Targets: cfg.Known.Targets[1:]}, whinknot.ListFull)
-	if l.usable != 1 || l.up.find(first) != nil || l.up.find(second) == nil {
+	l.applyList(cfg.InitialList, balancer.ListCached)
+	first, second := l.serverIDs.id("s-0"), l.serverIDs.id("s-1")
+	l.applyList(List{Targets: cfg.InitialList.Targets[1:]}, balancer.ListFull)
+	if l.usable != 1 || l.upstream.endpointOf(first) != nil || l.upstream.endpointOf(second) == nil {
 		t.Errorf("%d usable of one that is listed", l.usable)
 	}
 }
@@ -598,13 +598,13 @@
 	done := make(chan struct{})
 	defer close(done)
 	calls := make(chan string, 10)
-	d := &discovery{silence: 30 * time.Millisecond, rev: 3, tell: func(List) {}, failed: func() {}}
+	d := &discovery{watchTimeout: 30 * time.Millisecond, rev: 3, onList: func(List) {}, onFailure: func() {}}
 	d.addr = discover(t, func(since string, tell func(List), beat func()) {
 		calls <- since
 		tell(List{Rev: 4})
 		<-done
 	})
-	go d.follow(t.Context())
+	go d.run(t.Context())
 	if first, second := <-calls, <-calls; first != "3" || second != "4" {
 		t.Errorf("watches since %s and %s, want 3 and 4", first, second)
 	}
@@ -618,15 +618,15 @@
 	told, oldEnded := make(chan int64, 10), make(chan struct{})
 	var failures atomic.Int32
 	next := make(chan int64)
-	d := &discovery{silence: long, rev: 1, tell: func(l List) { told <- l.Rev }, failed: func() { failures.Add(1) }}
+	d := &discovery{watchTimeout: long, rev: 1, onList: func(l List) { told <- l.Rev }, onFailure: func() { failures.Add(1) }}
 	old := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 		go func() {
 			for rev := range next {
 				fmt.Fprintf(c, "{\"rev\":%d}\n", rev)
 			}
 		}()
-		c.Read(make([]byte, 1))
+		_, _ = c.Read(make([]byte, 1))
 		close(oldEnded)
 		return false
 	}).Addr().String()
@@ -638,28 +638,28 @@
 			t.Fatalf("version %d, want %d", got, rev)
 		}
 	}
-	go d.once(t.Context())
+	go d.watchOnce(t.Context())
 	next <- 2
 	hears(2)
-	if d.move(old) || !d.move(silent) {
+	if d.setAddr(old) || !d.setAddr(silent) {
 		t.Error("only another address is a move")
 	}
-	go d.once(t.Context())
+	go d.watchOnce(t.Context())
 	for begun := 0; begun < 2; { // so that the watches begin in the order of the moves
 		d.mu.Lock()
-		begun = d.begun
+		begun = d.latestWatch
 		d.mu.Unlock()
 	}
 	next <- 3
 	hears(3)
-	d.move(discover(t, func(since string, tell func(List), beat func()) {
+	d.setAddr(discover(t, func(since string, tell func(List), beat func()) {
 		if since != "3" {
 			t.Errorf("a watch since %s, want 3", since)
 		}
 		tell(List{Rev: 4})
 		<-done
 	}))
-	go d.once(t.Context())
+	go d.watchOnce(t.Context())
 	hears(4)
 	<-oldEnded
 	close(next)
@@ -671,7 +671,7 @@
 // Where the list is asked for, the module decides when to ask again, so it must hear of each failure.
 func TestFailedCallIsReported(t *testing.T) {
 	failed := make(chan struct{}, 1)
-	d := &discovery{silence: long, tell: func(List) { t.Error("a list came") }, failed: func() { failed <- struct{}{} }}
+	d := &discovery{watchTimeout: long, onList: func(List) { t.Error("a list came") }, onFailure: func() { failed <- struct{}{} }}
 	for name, text := range map[string]string{
 		"turned away": "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 		"reset":       "",
@@ -679,8 +679,8 @@
 		"bad state":   "HTTP/1.1 200 OK\r\n\r\n" + `{"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"Odd"}]}` + "\n",
 		"bad address": "HTTP/1.1 200 OK\r\n\r\n" + `{"targets":[{"uid":"a","endpoint":"nowhere","state":"Ready"}]}` + "\n",
 	} {
-		d.addr = script(t, func(_ int, c net.Conn, _ *http.Request) bool { io.WriteString(c, text); return false }).Addr().String()
-		d.once(t.Context())
+		d.addr = script(t, func(_ int, c net.Conn, _ *http.Request) bool { _, _ = io.WriteString(c, text); return false }).Addr().String()
+		d.watchOnce(t.Context())
 		select {
 		case <-failed:
 		default:
@@ -691,7 +691,7 @@
 
 // Every sidecar must give a server the same id, in whatever order it hears of them: homes are dealt out by it.
 func TestIDsDoNotDependOnOrder(t *testing.T) {
-	a, b := newDirectory(nil, nil), newDirectory(nil, nil)
+	a, b := newServerIDs(nil, nil), newServerIDs(nil, nil)
 	for i := range 500 {
 		a.id(fmt.Sprint("s-", i))
 		b.id(fmt.Sprint("s-", 499-i))
@@ -701,7 +701,7 @@
 			t.Errorf("%s is %d and %d", uid, id, b.ids[uid])
 		}
 	}
-	if len(a.taken) != 500 {
-		t.Errorf("%d ids for 500 servers", len(a.taken))
+	if len(a.uids) != 500 {
+		t.Errorf("%d ids for 500 servers", len(a.uids))
 	}
 }
--- a/internal/sidecar/source.go
+++ b/internal/sidecar/source.go
@@ -7,53 +7,52 @@
 	"sync"
 	"time"
 
-	"whinknot/internal/operator"
+	"milletmast/internal/operator"
 )
 
-// source follows where a pool's servers are told, for as long as it is not stopped.
-type source struct {
+// serverSource follows the source of a pool's servers until it is stopped.
+type serverSource struct {
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 }
 
-// newSource begins to follow a pool's source. What it tells goes to the pool's loop.
-func newSource(p *pool, spec *operator.Pool) *source {
+// newServerSource starts to follow the source of a pool. Lists go to the loop of the pool.
+func newServerSource(p *pool, spec *operator.Pool) *serverSource {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &source{cancel: cancel}
+	s := &serverSource{cancel: cancel}
 	switch spec.Source.Type {
-	case "file":
-		w := fileWatch{path: spec.Source.Path, every: time.Duration(spec.Source.Every), zones: spec.Zones, tell: p.tell}
-		s.running.Go(func() { w.follow(ctx) })
-	case "discovery":
+	case operator.SourceFile:
+		w := fileWatch{path: spec.Source.Path, interval: time.Duration(spec.Source.Every), zones: spec.Zones, onChange: p.setServers}
+		s.running.Go(func() { w.run(ctx) })
+	case operator.SourceDiscovery:
 		d := newDiscovery(p.loop, spec.Source.Address, 0)
-		s.running.Go(func() { d.follow(ctx) })
+		s.running.Go(func() { d.run(ctx) })
 	}
 	return s
 }
 
-// stop ends it and returns once it tells nothing any more.
-func (s *source) stop() {
+// stop ends the source, and returns once no more lists come from it.
+func (s *serverSource) stop() {
 	s.cancel()
 	s.running.Wait()
 }
 
-// fileWatch looks at a file of servers every so often and tells what it holds when it has changed. A file that cannot be
-// used, or is gone, changes nothing: the servers last told stay.
+// fileWatch polls a file of servers and reports them when it has changed. A file that is invalid or missing changes nothing.
 type fileWatch struct {
-	path  string
-	every time.Duration
-	zones []string
-	tell  func([]operator.Server)
+	path     string
+	interval time.Duration
+	zones    []string
+	onChange func([]operator.Server)
 
-	seen    os.FileInfo
-	trouble string // told last
+	lastInfo  os.FileInfo
+	lastError string // the last error that was logged
 }
 
-func (w *fileWatch) follow(ctx context.Context) {
-	tick := time.NewTicker(w.every)
+func (w *fileWatch) run(ctx context.Context) {
+	tick := time.NewTicker(w.interval)
 	defer tick.Stop()
 	for {
-		w.look()
+		w.poll()
 		select {
 		case <-ctx.Done():
 			return
@@ -62,24 +61,29 @@
 	}
 }
 
-// look reads the file if it is another one than last time. A file that is written in place may be seen half: it is
-// looked at again until it has stood still, so what is told last is what it holds.
-func (w *fileWatch) look() {
+// isUnchanged reports whether two results of stat are of the same file with the same content.
+func isUnchanged(a, b os.FileInfo) bool {
+	return os.SameFile(a, b) && a.ModTime().Equal(b.ModTime()) && a.Size() == b.Size()
+}
+
+// poll reads the file if it has changed. A file that is written in place may be read while it is incomplete: it is read again until
+// it has not changed for an interval.
+func (w *fileWatch) poll() {
 	info, err := os.Stat(w.path)
-	if err == nil && w.seen != nil && os.SameFile(info, w.seen) && info.ModTime().Equal(w.seen.ModTime()) && info.Size() == w.seen.Size() {
+	if err == nil && w.lastInfo != nil && isUnchanged(info, w.lastInfo) {
 		return
 	}
 	servers, err := operator.LoadServers(w.path, w.zones)
 	if err != nil {
-		if text := err.Error(); text != w.trouble {
-			w.trouble = text
+		if text := err.Error(); text != w.lastError {
+			w.lastError = text
 			slog.Error("servers kept", "err", err)
 		}
 		return
 	}
-	w.trouble = ""
-	if time.Since(info.ModTime()) > w.every {
-		w.seen = info
+	w.lastError = ""
+	if time.Since(info.ModTime()) > w.interval {
+		w.lastInfo = info
 	}
-	w.tell(servers)
+	w.onChange(servers)
 }
