--- a/internal/sidecar/subset.go
+++ b/internal/sidecar/subset.go
@@ -6,108 +6,126 @@
 	"slices"
 	"time"
 
-	"whinknot"
-	"whinknot/internal/operator"
-	"whinknot/internal/subset"
+	"milletmast/balancer"
+	"milletmast/internal/operator"
+	"milletmast/internal/subset"
 )
 
-const subsetTick = time.Second // between two looks at whether a subset is of use
+// subsetInterval is the time between two checks whether enough of a subset is usable.
+const subsetInterval = time.Second
 
-// portion is the subset of a large fleet that a pool sends to (package subset). The loop owns it; it is nil where the pool sends to all.
-type portion struct {
-	keeper subset.Keeper
-	zones  []string
-	ring   subset.Ring       // servers that are ready
-	all    map[string]Target // the list as it was told, by uid
-	known  map[string]bool   // servers that the module knows of
+// serverSubset is the subset of a large number of servers that a pool sends to (package subset). The loop owns it.
+type serverSubset struct {
+	sizer        subset.Sizer
+	zones        []string
+	ring         subset.Ring       // of the servers that are ready
+	targets      map[string]Target // the list as it was received, by uid
+	knownServers map[string]bool   // servers that the decision module knows
 }
 
-// newPortion makes the subset of a pool; nil where it sends to all its servers.
-func newPortion(p *operator.Pool) *portion {
+// newServerSubset returns the subset of a pool; nil if it sends to all its servers.
+func newServerSubset(p *operator.Pool) *serverSubset {
 	if p.Subset == 0 {
 		return nil
 	}
-	return &portion{
-		keeper: subset.Keeper{Spec: subset.Spec{
-			Copies: p.Copies, Rank: p.Rank, Zones: len(p.Zones), Zone: max(slices.Index(p.Zones, p.Zone), 0), Size: p.Subset, Spare: p.SubsetSpare,
+	return &serverSubset{
+		sizer: subset.Sizer{Spec: subset.Spec{
+			Replicas:      p.Copies,
+			Rank:          p.Rank,
+			Zones:         len(p.Zones),
+			Zone:          max(slices.Index(p.Zones, p.Zone), 0),
+			Size:          p.Subset,
+			SpareReplicas: p.SubsetSpare,
 		}},
-		zones: p.Zones, all: map[string]Target{}, known: map[string]bool{},
+		zones: p.Zones, targets: map[string]Target{}, knownServers: map[string]bool{},
 	}
 }
 
-// narrow makes of what is told of all servers what the module is to hear: servers of the subset, those that it has just got, that it
-// no longer has one by one as gone, and of others that they drain or go only if it knows them.
-func (p *portion) narrow(list List, whole bool) List {
-	if whole {
-		next := make(map[string]bool, len(list.Targets))
+// selectTargets converts a list of all servers, or changes of it, to one for the decision module: the servers of the subset, those
+// that have left it as gone, and of servers that the module knows whether they drain or are gone.
+func (p *serverSubset) selectTargets(list List, full bool) List {
+	p.updateTargets(list, full)
+	chosen := p.ring.Select(p.sizer.Current(p.ring.Len()))
+	out := selection{known: map[string]bool{}, sent: map[string]bool{}}
+	for _, t := range list.Targets {
+		if chosen[t.UID] || p.knownServers[t.UID] && serverStates[t.State] != balancer.Ready {
+			out.add(t)
+		}
+	}
+	for uid := range chosen {
+		if !out.sent[uid] && (full || !p.knownServers[uid]) {
+			out.add(p.targets[uid])
+		}
+	}
+	for uid := range p.knownServers {
+		switch t, listed := p.targets[uid]; {
+		case out.sent[uid]:
+		case chosen[uid], listed && serverStates[t.State] != balancer.Ready:
+			out.known[uid] = true
+		case !full: // it has left the subset
+			out.add(Target{UID: uid, State: stateGone})
+		}
+	}
+	p.knownServers = out.known
+	return List{Rev: list.Rev, Full: list.Full, Targets: out.targets}
+}
+
+// selection is a list for the decision module, and the servers that the module knows after it.
+type selection struct {
+	targets     []Target
+	sent, known map[string]bool // by uid
+}
+
+func (s *selection) add(t Target) {
+	s.targets = append(s.targets, t)
+	s.sent[t.UID] = true
+	if serverStates[t.State] != balancer.Gone {
+		s.known[t.UID] = true
+	}
+}
+
+// updateTargets applies a list to the servers and to the ring.
+func (p *serverSubset) updateTargets(list List, full bool) {
+	if full {
+		listed := make(map[string]bool, len(list.Targets))
 		for _, t := range list.Targets {
-			next[t.UID] = true
+			listed[t.UID] = true
 		}
-		for uid := range p.all {
-			if !next[uid] {
-				delete(p.all, uid)
+		for uid := range p.targets {
+			if !listed[uid] {
+				delete(p.targets, uid)
 				p.ring.Remove(uid)
 			}
 		}
 	}
 	for _, t := range list.Targets {
-		switch states[t.State] {
-		case whinknot.Gone:
-			delete(p.all, t.UID)
+		switch serverStates[t.State] {
+		case balancer.Gone:
+			delete(p.targets, t.UID)
 			p.ring.Remove(t.UID)
 			continue
-		case whinknot.Ready:
+		case balancer.Ready:
 			p.ring.Add(t.UID, slices.Index(p.zones, t.Zone))
 		default:
 			p.ring.Remove(t.UID)
 		}
-		p.all[t.UID] = t
-	}
-	chosen := p.ring.Choose(p.keeper.Now(p.ring.Len()))
-	out := List{Rev: list.Rev, All: list.All}
-	told, knows := map[string]bool{}, map[string]bool{}
-	tell := func(t Target) {
-		out.Targets = append(out.Targets, t)
-		told[t.UID] = true
-		if states[t.State] != whinknot.Gone {
-			knows[t.UID] = true
-		}
-	}
-	for _, t := range list.Targets {
-		if chosen[t.UID] || p.known[t.UID] && states[t.State] != whinknot.Ready {
-			tell(t)
-		}
-	}
-	for uid := range chosen {
-		if !told[uid] && (whole || !p.known[uid]) {
-			tell(p.all[uid])
-		}
-	}
-	for uid := range p.known {
-		switch t, listed := p.all[uid]; {
-		case told[uid]:
-		case chosen[uid], listed && states[t.State] != whinknot.Ready:
-			knows[uid] = true
-		case !whole: // it is not of the subset any more
-			tell(Target{UID: uid, State: "Gone"})
-		}
+		p.targets[t.UID] = t
 	}
-	p.known = knows
-	return out
 }
 
-// copies is how many copies send to a server of the subset: what the module takes the servers that it knows to be shared among.
-func (p *portion) copies() int {
-	return max(1, (p.keeper.Copies*len(p.known)+p.ring.Len()/2)/max(p.ring.Len(), 1))
+// sendersPerServer returns how many replicas send to a server of the subset: the decision module takes the servers that it knows to
+// be shared among so many.
+func (p *serverSubset) sendersPerServer() int {
+	return max(1, (p.sizer.Replicas*len(p.knownServers)+p.ring.Len()/2)/max(p.ring.Len(), 1))
 }
 
-// lookAtPortion has the subset grow while too much of it is of no use, and asks to be called again.
-func (l *loop) lookAtPortion() {
-	p := l.portion
+// updateSubset has the subset grow while too few of its servers are usable, and schedules itself.
+func (l *eventLoop) updateSubset() {
+	p := l.subset
 	usable := max(l.usable-l.balancer.Cuts(), 0)
-	if p.keeper.Step(time.Now(), len(l.listed), p.ring.Len(), usable) {
-		slog.Warn("subset changes", "servers", len(l.listed), "usable", usable, "least", p.keeper.Now(p.ring.Len()).Size)
-		l.list(List{}, whinknot.ListDelta)
+	if p.sizer.Update(time.Now(), len(l.listed), p.ring.Len(), usable) {
+		slog.Warn("subset changes", "servers", len(l.listed), "usable", usable, "least", p.sizer.Current(p.ring.Len()).Size)
+		l.applyList(List{}, balancer.ListDelta)
 	}
-	heap.Push(&l.agenda, &due{at: l.now() + inMillis(subsetTick), then: l.lookAtPortion})
+	heap.Push(&l.timers, &timedTask{at: l.now() + inMillis(subsetInterval), run: l.updateSubset})
 }
--- a/internal/sidecar/subset_test.go
+++ b/internal/sidecar/subset_test.go
@@ -14,13 +14,13 @@
 
 	"pgregory.net/rapid"
 
-	"whinknot"
-	"whinknot/internal/operator"
-	"whinknot/internal/standin"
-	"whinknot/internal/subset"
+	"milletmast/balancer"
+	"milletmast/internal/fakeserver"
+	"milletmast/internal/operator"
+	"milletmast/internal/subset"
 )
 
-func fleet(t *testing.T, n int) []*standin.Server {
+func fleet(t *testing.T, n int) []*fakeserver.Server {
 	t.Helper()
 	var names []string
 	for i := range n {
@@ -28,7 +28,7 @@
 	}
 	list := servers(t, names...)
 	for _, s := range list {
-		s.Work(5 * time.Millisecond) // so that a server with a connection is not always the idle one
+		s.SetWork(5 * time.Millisecond) // so that a server with a connection is not always the idle one
 	}
 	return list
 }
@@ -57,7 +57,7 @@
 	all.Wait()
 }
 
-func reachedBy(list []*standin.Server) (out map[string]int) {
+func reachedBy(list []*fakeserver.Server) (out map[string]int) {
 	out = map[string]int{}
 	for _, s := range list {
 		if n, _, _, _ := s.Counts(); n > 0 {
@@ -143,7 +143,7 @@
 		until(t, "the change is heard", func() bool {
 			known := false
 			p := i.current.pools["p"]
-			p.loop.ask(func() { known = p.loop.portion.ring.Len() == 12-len(state) })
+			p.loop.do(func() { known = p.loop.subset.ring.Len() == 12-len(state) })
 			return known
 		})
 		until(t, "it has three again, or one more where its part of the ring is no whole number", func() bool {
@@ -181,7 +181,7 @@
 // Whatever the list says, in whatever steps: the module knows just the subset of what is ready, and what drains of what it had.
 func TestNarrowedLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPortion(&operator.Pool{Copies: 3, Rank: 1, Subset: rapid.IntRange(1, 6).Draw(t, "size")})
+		p := newServerSubset(&operator.Pool{Copies: 3, Rank: 1, Subset: rapid.IntRange(1, 6).Draw(t, "size")})
 		module, list := map[string]string{}, map[string]string{} // state by uid
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			var l List
@@ -203,8 +203,8 @@
 			if whole {
 				clear(module)
 			}
-			for _, one := range p.narrow(l, whole).Targets {
-				if module[one.UID] = one.State; states[one.State] == whinknot.Gone {
+			for _, one := range p.selectTargets(l, whole).Targets {
+				if module[one.UID] = one.State; serverStates[one.State] == balancer.Gone {
 					delete(module, one.UID)
 				}
 			}
@@ -215,7 +215,7 @@
 				}
 			}
 			want := map[string]string{}
-			for uid := range ring.Choose(p.keeper.Now(ring.Len())) {
+			for uid := range ring.Select(p.sizer.Current(ring.Len())) {
 				want[uid] = "Ready"
 			}
 			for uid, state := range list {
--- a/internal/sidecar/replace_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -10,6 +10,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"milletmast/internal/freeport"
 )
 
 // running is a sidecar whose Run can be waited for.
@@ -25,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.news = 50 * time.Millisecond // its discovery answers nothing
+	s.discoveryTimeout = 50 * time.Millisecond // its discovery answers nothing
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &running{s, cancel, make(chan error, 1)}
 	go func() { r.ended <- s.Run(ctx) }()
@@ -33,16 +35,6 @@
 	return r
 }
 
-// freeAddress is one that two listeners can have.
-func freeAddress(t *testing.T) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	return ln.Addr().String()
-}
-
 // asking has callers ask one request after the other, some on kept connections and some on new ones, until stop; it counts
 // those that were served and tells of each that was neither served nor refused.
 func asking(t *testing.T, addr string, callers int) (served *atomic.Int64, stop func()) {
@@ -70,7 +62,7 @@
 					}
 					r = bufio.NewReader(c)
 				}
-				c.SetDeadline(time.Now().Add(long))
+				_ = c.SetDeadline(time.Now().Add(long))
 				fmt.Fprintf(c, "GET /read/x HTTP/1.1\r\nHost: h\r\nX-Class: read\r\nX-Request-Id: %d-%d\r\n\r\n", i, n)
 				res, err := http.ReadResponse(r, nil)
 				switch {
@@ -98,7 +90,7 @@
 	one, ones := echoing(t)
 	two, _ := echoing(t)
 	cfg := operated(t, one, two)
-	cfg.Listen = freeAddress(t)
+	cfg.Listen = freeport.AddressForTest(t)
 	old := play(t, cfg)
 	eventually(t, "ready", old.Ready)
 	if err := old.Hold(t.Context(), "s-0"); err != nil {
@@ -110,7 +102,7 @@
 		next := play(t, cfg)
 		eventually(t, "the new process is ready", next.Ready)
 		eventually(t, "the old process knows", old.replaced.Load)
-		eventually(t, "the new process knows what is held out", func() bool { return next.Figures().Held == 1 })
+		eventually(t, "the new process knows what is held out", func() bool { return next.Stats().Held == 1 })
 		sofar := served.Load()
 		eventually(t, "requests go on", func() bool { return served.Load() > sofar+50 })
 		old.stop()
@@ -123,15 +115,15 @@
 			t.Errorf("%d requests went to an endpoint that is held out", n-before)
 		}
 		eventually(t, "the limits are whole again", func() bool {
-			callers, _ := next.descriptors(whole)
-			next.front.callers.mu.Lock()
-			defer next.front.callers.mu.Unlock()
-			return next.front.callers.most == callers
+			callers, _ := next.descriptors(fullShare)
+			next.frontend.clients.mu.Lock()
+			defer next.frontend.clients.mu.Unlock()
+			return next.frontend.clients.maxConns == callers
 		})
 		old = next
 	}
 	stop()
-	old.front.accept = 0
+	old.frontend.acceptTime = 0
 	old.stop()
 	if err := <-old.ended; err != nil {
 		t.Error(err)
@@ -143,7 +135,7 @@
 	one, _ := echoing(t)
 	two, _ := echoing(t)
 	cfg := operated(t, one, two)
-	cfg.Listen = freeAddress(t)
+	cfg.Listen = freeport.AddressForTest(t)
 	old := play(t, cfg)
 	eventually(t, "ready", old.Ready)
 	next := play(t, cfg)
@@ -153,14 +145,14 @@
 			t.Fatal(err)
 		}
 		begun := time.Now()
-		eventually(t, "the other process holds it out", func() bool { return c.there.Figures().Unavailable == 1 })
+		eventually(t, "the other process holds it out", func() bool { return c.there.Stats().Unavailable == 1 })
 		if took := time.Since(begun); took > 400*time.Millisecond {
 			t.Errorf("the other process holds it out after %v", took)
 		}
 		if err := c.there.Release(t.Context(), "s-1"); err != nil {
 			t.Fatal(err)
 		}
-		eventually(t, "it is back", func() bool { return c.here.Figures().Unavailable == 0 })
+		eventually(t, "it is back", func() bool { return c.here.Stats().Unavailable == 0 })
 	}
 }
 
@@ -168,18 +160,18 @@
 func TestUpgradeThatFails(t *testing.T) {
 	one, _ := echoing(t)
 	cfg := operated(t, one)
-	cfg.Listen = freeAddress(t)
+	cfg.Listen = freeport.AddressForTest(t)
 	old := play(t, cfg)
 	eventually(t, "ready", old.Ready)
 	served, stop := asking(t, cfg.Listen, 2)
 	empty := cfg
-	empty.Known = List{}
+	empty.InitialList = List{}
 	failing := play(t, empty)
 	eventually(t, "the old process makes room", func() bool {
-		most, _ := old.descriptors(larger)
-		old.front.callers.mu.Lock()
-		defer old.front.callers.mu.Unlock()
-		return old.front.callers.most == most
+		most, _ := old.descriptors(servingShare)
+		old.frontend.clients.mu.Lock()
+		defer old.frontend.clients.mu.Unlock()
+		return old.frontend.clients.maxConns == most
 	})
 	if failing.Ready() || old.replaced.Load() {
 		t.Error("a process without servers serves")
@@ -194,9 +186,11 @@
 	sofar := served.Load()
 	eventually(t, "requests go on", func() bool { return served.Load() > sofar+50 })
 	stop() // what is queued at a process that dies is lost, whatever the other does
-	dies.front.accept = 0
+	dies.frontend.acceptTime = 0
 	dies.stop()
-	<-dies.ended
+	if err := <-dies.ended; err != nil {
+		t.Error(err)
+	}
 	eventually(t, "the old process serves alone", func() bool { return !old.replaced.Load() && old.Ready() })
 	served, stop = asking(t, cfg.Listen, 2)
 	eventually(t, "requests are served", func() bool { return served.Load() > 50 })
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"whinknot"
+	"milletmast/balancer"
 )
 
 const long = 10 * time.Second // no test that passes waits for so long
@@ -44,7 +44,7 @@
 					if err != nil {
 						return
 					}
-					io.Copy(io.Discard, req.Body)
+					_, _ = io.Copy(io.Discard, req.Body)
 					if !f(n, c, req) {
 						return
 					}
@@ -55,28 +55,28 @@
 	return ln
 }
 
-func get() *outgoing {
-	return &outgoing{
+func get() *httpRequest {
+	return &httpRequest{
 		start:  "GET /browse/x?q=%20 HTTP/1.1\r\nHost: backend.local\r\n",
-		header: http.Header{"X-Request-Id": {"1"}, "X-Deadline": {"99"}}, bounds: &platformAnswers,
+		header: http.Header{"X-Request-Id": {"1"}, "X-Deadline": {"99"}}, streamBounds: &platformResponseBounds,
 	}
 }
 
 // attemptOn carries out one attempt on the server 1 of u.
-func attemptOn(u *upstream, wait time.Duration) (whinknot.Outcome, *answer) {
+func attemptOn(u *upstream, wait time.Duration) (balancer.Outcome, *response) {
 	a := newAttempt(time.Time{})
-	a.began = func(got *answer) { // its caller takes all of what streams
+	a.onStreaming = func(got *response) { // its caller takes all of what streams
 		go func() {
-			_, err := io.Copy(io.Discard, got.rest)
-			got.rest.done <- err
+			_, err := io.Copy(io.Discard, got.stream)
+			got.stream.done <- err
 		}()
 	}
-	return get().carry(u, a, u.find(1), time.Now().Add(wait))
+	return get().send(u, a, u.endpointOf(1), time.Now().Add(wait))
 }
 
 func pooled(addr string, most int) *upstream {
-	u := newUpstream(whinknot.Limits{}, 0, most)
-	u.list(1, addr, 0, whinknot.Ready)
+	u := newUpstream(balancer.Limits{}, 0, most)
+	u.setEndpoint(1, addr, 0, balancer.Ready)
 	return u
 }
 
@@ -86,52 +86,52 @@
 	for _, c := range []struct {
 		name string
 		does string // what is written before the connection ends
-		want whinknot.Outcome
+		want balancer.Outcome
 	}{
-		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", whinknot.OK},
-		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", whinknot.Error},
-		{"turned away", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", whinknot.Full},
-		{"over already", "HTTP/1.1 504 G\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", whinknot.Full},
-		{"503 that does not say so", "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n", whinknot.Error},
-		{"500 is no turning away", "HTTP/1.1 500 E\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", whinknot.Error},
-		{"the request's own fault", "HTTP/1.1 400 B\r\nContent-Length: 0\r\n\r\n", whinknot.Cancelled},
-		{"closed unanswered", "", whinknot.Reset},
-		{"cut in the header", "HTTP/1.1 200 OK\r\nContent-", whinknot.Reset},
-		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi", whinknot.Reset},
-		{"cut in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", whinknot.Reset},
-		{"body over the limit", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nxyz", platformBody+1), whinknot.Reset},
-		{"long body that is cut", "HTTP/1.1 200 OK\r\nContent-Length: 65538\r\n\r\n" + strings.Repeat("x", maxBody+1), whinknot.Reset},
-		{"long body that does not begin", "HTTP/1.1 200 OK\r\nContent-Length: 65538\r\n\r\n", whinknot.Reset},
-		{"body without end", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxyz", whinknot.Reset},
-		{"long chunks that are cut", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", maxBody+1), whinknot.Reset},
-		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX-T: 1\r\n\r\n", whinknot.OK},
-		{"no length", "HTTP/1.1 200 OK\r\n\r\nhi", whinknot.Reset}, // it may have been cut off
-		{"ends with its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi", whinknot.OK},
-		{"ends with its connection by its version", "HTTP/1.0 200 OK\r\n\r\nhi", whinknot.OK},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nhi", whinknot.Reset},
-		{"length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", whinknot.Reset},
-		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi", whinknot.Reset},
-		{"noise", "\x16\x03\x01\x00\n\n\n\n", whinknot.Reset},
-		{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nhi", whinknot.Reset},
-		{"another protocol", "ICY 200 OK\r\nContent-Length: 2\r\n\r\nhi", whinknot.Reset},
-		{"a header that is none", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nhi", whinknot.Reset},
-		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: p\r\n", maxHead), whinknot.Reset},
-		{"spoilt, yet said not to have run", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 9\r\n\r\nhi", whinknot.Reset},
-		{"interim answers ahead", "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: </a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", whinknot.OK},
-		{"interim answers without end", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxInterim+1), whinknot.Reset},
-		{"another copy behind", strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 2), whinknot.OK},
+		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.OK},
+		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.Error},
+		{"turned away", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full},
+		{"over already", "HTTP/1.1 504 G\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full},
+		{"503 that does not say so", "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n", balancer.Error},
+		{"500 is no turning away", "HTTP/1.1 500 E\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Error},
+		{"the request's own fault", "HTTP/1.1 400 B\r\nContent-Length: 0\r\n\r\n", balancer.Cancelled},
+		{"closed unanswered", "", balancer.Reset},
+		{"cut in the header", "HTTP/1.1 200 OK\r\nContent-", balancer.Reset},
+		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi", balancer.Reset},
+		{"cut in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", balancer.Reset},
+		{"body over the limit", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nxyz", maxPlatformBody+1), balancer.Reset},
+		{"long body that is cut", "HTTP/1.1 200 OK\r\nContent-Length: 65538\r\n\r\n" + strings.Repeat("x", maxBufferedBody+1), balancer.Reset},
+		{"long body that does not begin", "HTTP/1.1 200 OK\r\nContent-Length: 65538\r\n\r\n", balancer.Reset},
+		{"body without end", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxyz", balancer.Reset},
+		{"long chunks that are cut", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", maxBufferedBody+1), balancer.Reset},
+		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX-T: 1\r\n\r\n", balancer.OK},
+		{"no length", "HTTP/1.1 200 OK\r\n\r\nhi", balancer.Reset}, // it may have been cut off
+		{"ends with its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi", balancer.OK},
+		{"ends with its connection by its version", "HTTP/1.0 200 OK\r\n\r\nhi", balancer.OK},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nhi", balancer.Reset},
+		{"length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", balancer.Reset},
+		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi", balancer.Reset},
+		{"noise", "\x16\x03\x01\x00\n\n\n\n", balancer.Reset},
+		{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nhi", balancer.Reset},
+		{"another protocol", "ICY 200 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.Reset},
+		{"a header that is none", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nhi", balancer.Reset},
+		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: p\r\n", maxHeadBytes), balancer.Reset},
+		{"spoilt, yet said not to have run", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 9\r\n\r\nhi", balancer.Reset},
+		{"interim answers ahead", "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: </a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.OK},
+		{"interim answers without end", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxInterim+1), balancer.Reset},
+		{"another copy behind", strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 2), balancer.OK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ln := script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-				io.WriteString(conn, c.does)
+				_, _ = io.WriteString(conn, c.does)
 				return false
 			})
 			got, a := attemptOn(pooled(ln.Addr().String(), 4), long)
-			final := c.want == whinknot.OK || c.want == whinknot.Cancelled
+			final := c.want == balancer.OK || c.want == balancer.Cancelled
 			if got != c.want || (a != nil) != final {
 				t.Fatalf("outcome %v with answer %v, want %v", got, a, c.want)
 			}
-			if got == whinknot.OK && string(a.body) != "hi" {
+			if got == balancer.OK && string(a.body) != "hi" {
 				t.Errorf("body %q", a.body)
 			}
 		})
@@ -140,14 +140,14 @@
 		release := make(chan struct{})
 		defer close(release)
 		ln := script(t, func(int, net.Conn, *http.Request) bool { <-release; return false })
-		if got, _ := attemptOn(pooled(ln.Addr().String(), 4), time.Second); got != whinknot.Timeout {
+		if got, _ := attemptOn(pooled(ln.Addr().String(), 4), time.Second); got != balancer.Timeout {
 			t.Errorf("outcome %v, want a timeout", got)
 		}
 	})
 	t.Run("refused", func(t *testing.T) {
 		ln := listen(t)
 		ln.Close()
-		if got, _ := attemptOn(pooled(ln.Addr().String(), 4), long); got != whinknot.ConnectFailed {
+		if got, _ := attemptOn(pooled(ln.Addr().String(), 4), long); got != balancer.ConnectFailed {
 			t.Errorf("outcome %v, want a failed connect", got)
 		}
 	})
@@ -161,14 +161,14 @@
 		if len(requests) == 2 {
 			return false // the connection that served the first one breaks under the second
 		}
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
 	u := pooled(ln.Addr().String(), 4)
-	if got, _ := attemptOn(u, long); got != whinknot.OK {
+	if got, _ := attemptOn(u, long); got != balancer.OK {
 		t.Fatalf("first outcome %v", got)
 	}
-	if got, _ := attemptOn(u, long); got != whinknot.Reset {
+	if got, _ := attemptOn(u, long); got != balancer.Reset {
 		t.Errorf("second outcome %v, want a reset", got)
 	}
 	if a, b := <-requests, <-requests; a != 0 || b != 0 || len(requests) != 0 {
@@ -180,7 +180,7 @@
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	kept, closed := make(chan struct{}), make(chan struct{})
 	ln := script(t, func(n int, c net.Conn, _ *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		if n == 0 {
 			<-kept
 			c.Close()
@@ -192,18 +192,18 @@
 	attemptOn(u, long)
 	close(kept)
 	<-closed
-	idle := u.find(1).idle
+	idle := u.endpointOf(1).idle
 	if len(idle) != 1 {
 		t.Fatalf("%d idle connections, want 1", len(idle))
 	}
-	for stillOpen(idle[0].Conn) { // until the end of the stream has come over the loopback
+	for isOpen(idle[0].Conn) { // until the end of the stream has come over the loopback
 		time.Sleep(time.Millisecond)
 	}
-	if got, _ := attemptOn(u, long); got != whinknot.OK {
+	if got, _ := attemptOn(u, long); got != balancer.OK {
 		t.Errorf("outcome %v, want the request served on a new connection", got)
 	}
-	if u.open != 1 {
-		t.Errorf("%d connections counted, want 1", u.open)
+	if u.openConns != 1 {
+		t.Errorf("%d connections counted, want 1", u.openConns)
 	}
 }
 
@@ -212,13 +212,13 @@
 	requests := make(chan struct{}, 1)
 	ln := script(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
 	u := pooled(ln.Addr().String(), 4)
-	c, err := u.connect(t.Context(), u.find(1), time.Now().Add(long))
+	c, err := u.connect(t.Context(), u.endpointOf(1), time.Now().Add(long))
 	if err != nil {
 		t.Fatal(err)
 	}
 	a := newAttempt(time.Time{})
-	a.callOff()
-	if got, _, _ := u.exchange(a, c, get(), time.Now().Add(long)); got != whinknot.Cancelled {
+	a.abort()
+	if got, _, _ := u.sendHTTP1(a, c, get(), time.Now().Add(long)); got != balancer.Cancelled {
 		t.Errorf("outcome %v", got)
 	}
 	c.Close()
@@ -229,17 +229,17 @@
 
 // Calling an attempt off closes its connection, which is how an endpoint learns of it.
 func TestCalledOffWhileWaiting(t *testing.T) {
-	came, left := make(chan struct{}), make(chan error, 1)
+	came, left := make(chan struct{}), make(chan struct{})
 	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		close(came)
-		_, err := c.Read(make([]byte, 1))
-		left <- err
+		_, _ = c.Read(make([]byte, 1))
+		close(left)
 		return false
 	})
 	u := pooled(ln.Addr().String(), 4)
 	a := newAttempt(time.Time{})
-	go func() { <-came; a.callOff() }()
-	if got, _ := get().carry(u, a, u.find(1), time.Now().Add(long)); got != whinknot.Cancelled {
+	go func() { <-came; a.abort() }()
+	if got, _ := get().send(u, a, u.endpointOf(1), time.Now().Add(long)); got != balancer.Cancelled {
 		t.Errorf("outcome %v", got)
 	}
 	select {
@@ -256,10 +256,10 @@
 	ln := script(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
 	u := pooled(ln.Addr().String(), 4)
 	a := newAttempt(time.Now().Add(-time.Millisecond))
-	if got, _ := get().carry(u, a, u.find(1), time.Now().Add(long)); got != whinknot.ConnectFailed {
+	if got, _ := get().send(u, a, u.endpointOf(1), time.Now().Add(long)); got != balancer.ConnectFailed {
 		t.Errorf("outcome %v", got)
 	}
-	if len(u.find(1).idle) != 1 {
+	if len(u.endpointOf(1).idle) != 1 {
 		t.Error("the connection, unused, was not kept")
 	}
 	if len(requests) != 0 {
@@ -276,54 +276,54 @@
 			held <- struct{}{}
 			<-hold
 		}
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
 	first, second := script(t, serve), script(t, serve)
 	u := pooled(first.Addr().String(), 1)
-	u.list(2, second.Addr().String(), 0, whinknot.Ready)
+	u.setEndpoint(2, second.Addr().String(), 0, balancer.Ready)
 	attemptOn(u, long)
-	if len(u.find(1).idle) != 1 {
+	if len(u.endpointOf(1).idle) != 1 {
 		t.Fatal("no idle connection to begin with")
 	}
-	done := make(chan whinknot.Outcome)
+	done := make(chan balancer.Outcome)
 	go func() {
 		out := get()
 		out.header.Set("X-Request-Id", "hold")
-		got, _ := out.carry(u, newAttempt(time.Time{}), u.find(2), time.Now().Add(long))
+		got, _ := out.send(u, newAttempt(time.Time{}), u.endpointOf(2), time.Now().Add(long))
 		done <- got
 	}()
 	<-held
-	if got, _ := attemptOn(u, long); got != whinknot.ConnectFailed {
+	if got, _ := attemptOn(u, long); got != balancer.ConnectFailed {
 		t.Errorf("outcome %v with no descriptor left", got)
 	}
 	close(hold)
-	if got := <-done; got != whinknot.OK || u.open != 1 {
-		t.Errorf("outcome %v with %d connections, want it served in place of the idle one", got, u.open)
+	if got := <-done; got != balancer.OK || u.openConns != 1 {
+		t.Errorf("outcome %v with %d connections, want it served in place of the idle one", got, u.openConns)
 	}
 }
 
 // Connections to a server that drains, moved or started anew are of its former life.
 func TestIdleConnectionsEndWithTheServer(t *testing.T) {
 	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
 	addr := ln.Addr().String()
 	for name, change := range map[string]func(u *upstream){
-		"draining":  func(u *upstream) { u.list(1, addr, 0, whinknot.Draining) },
-		"gone":      func(u *upstream) { u.list(1, addr, 0, whinknot.Gone) },
-		"restarted": func(u *upstream) { u.list(1, addr, 9, whinknot.Ready) },
-		"moved":     func(u *upstream) { u.list(1, "127.0.0.1:1", 0, whinknot.Ready) },
-		"closed":    func(u *upstream) { u.closeAll(1) },
+		"draining":  func(u *upstream) { u.setEndpoint(1, addr, 0, balancer.Draining) },
+		"gone":      func(u *upstream) { u.setEndpoint(1, addr, 0, balancer.Gone) },
+		"restarted": func(u *upstream) { u.setEndpoint(1, addr, 9, balancer.Ready) },
+		"moved":     func(u *upstream) { u.setEndpoint(1, "127.0.0.1:1", 0, balancer.Ready) },
+		"closed":    func(u *upstream) { u.closeIdleConns(1) },
 	} {
 		u := pooled(addr, 4)
 		attemptOn(u, long)
-		if u.open != 1 {
-			t.Fatalf("%s: %d connections to begin with", name, u.open)
+		if u.openConns != 1 {
+			t.Fatalf("%s: %d connections to begin with", name, u.openConns)
 		}
-		if change(u); u.open != 0 {
-			t.Errorf("%s: %d connections left", name, u.open)
+		if change(u); u.openConns != 0 {
+			t.Errorf("%s: %d connections left", name, u.openConns)
 		}
 	}
 }
@@ -331,7 +331,7 @@
 // An idle connection must be gone well before the endpoint's own limit, also where no request comes by.
 func TestIdleConnectionsAreRetired(t *testing.T) {
 	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
 	u := pooled(ln.Addr().String(), 4)
@@ -339,7 +339,7 @@
 	attemptOn(u, long)
 	for end := time.Now().Add(long); ; time.Sleep(time.Millisecond) {
 		u.mu.Lock()
-		open := u.open
+		open := u.openConns
 		u.mu.Unlock()
 		if open == 0 {
 			return
@@ -356,10 +356,10 @@
 	ln := script(t, func(_ int, c net.Conn, r *http.Request) bool {
 		seen <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Host, " ", r.Header["X-Request-Id"], r.Header["User-Agent"])
 		left := r.Header.Get("X-Deadline")
-		if !(left > "9.0" && left < "9.9999") {
+		if left <= "9.0" || left >= "9.9999" {
 			t.Errorf("X-Deadline %q of ten seconds", left)
 		}
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return false
 	})
 	attemptOn(pooled(ln.Addr().String(), 4), long-10*time.Millisecond)
--- a/internal/state/record.go
+++ b/internal/state/record.go
@@ -1,5 +1,6 @@
-// Package state keeps what must survive a restart of an instance: what its pools have learned, pins of levels and the last good
-// generation of its operator file. What is read back is whole and of this instance, or nothing: see Open.
+// Package state stores on disk what a sidecar instance needs after a restart: the learned state of
+// its pools, the pins of degradation levels and the last good operator file. What is read back is
+// complete and was written by the same instance, or it is ignored: see Open.
 package state
 
 import (
@@ -9,43 +10,44 @@
 	"hash/crc32"
 	"time"
 
-	"whinknot"
+	"milletmast/balancer"
 )
 
-// Pool is what a pool's module has learned, with its servers by their ids: numbers mean nothing to another process.
-type Pool struct {
-	Module  string          `json:"module"`  // of its settings; what was learned under others is not comparable
-	Servers []string        `json:"servers"` // ids, in the order of the memory's
-	Memory  whinknot.Memory `json:"memory"`
+// PoolState is the learned state of a pool's decision module. Servers are named by their ids, as
+// their numbers mean nothing to another process.
+type PoolState struct {
+	ModuleSettings string          `json:"module"`  // hash of the module's settings: what was learned under others is not comparable
+	Servers        []string        `json:"servers"` // ids, in the order of Memory.Servers
+	Memory         balancer.Memory `json:"memory"`
 }
 
-// Pin is a level that operators keep in force.
-type Pin struct {
+// DegradationPin is a degradation level that operators have pinned.
+type DegradationPin struct {
 	Level string    `json:"level"`
 	Until time.Time `json:"until"`
 }
 
-// Generation is an operator file that was in force.
-type Generation struct {
-	Path string    `json:"path"`
-	Hash string    `json:"hash"` // of the text and of the server files that it names
-	Text []byte    `json:"text"`
-	At   time.Time `json:"at"`
+// OperatorFile is an operator file that was applied.
+type OperatorFile struct {
+	Path      string    `json:"path"`
+	Hash      string    `json:"hash"` // of the text and of the server files that it names
+	Text      []byte    `json:"text"`
+	AppliedAt time.Time `json:"at"`
 }
 
-// Limits of what is kept.
+// Limits of what is stored.
 const (
-	mostServers = 20_000   // of a pool
-	mostRecord  = 32 << 20 // bytes of a file
+	maxServers   = 20_000   // servers of a pool
+	maxFileBytes = 32 << 20 // bytes of a file
 )
 
-// schema is the version of a file's form. A file of a later one is not read, nor is one of an earlier one that is not known.
-const schema = 1
+// schemaVersion is the version of the file format. Files of other versions are not read.
+const schemaVersion = 1
 
-// magic begins each file.
+// magic is the first text of each file.
 const magic = "milletmast state"
 
-// envelope is a file's head, beside its checksum.
+// envelope is the payload of a file, after the line with its checksum.
 type envelope[T any] struct {
 	Schema   int    `json:"schema"`
 	Instance string `json:"instance"`
@@ -54,50 +56,52 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encode is a file: a line with the checksum of the rest, and that as JSON.
-func encode(v any, instance string) ([]byte, error) {
-	text, err := json.Marshal(envelope[any]{schema, instance, v})
+// encode returns the contents of a file: a line with the checksum of the payload, and the payload as
+// JSON.
+func encode(body any, instance string) ([]byte, error) {
+	payload, err := json.Marshal(envelope[any]{schemaVersion, instance, body})
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > mostRecord-64 {
-		return nil, fmt.Errorf("%d bytes are over the %d allowed", len(text), mostRecord-64)
+	if len(payload) > maxFileBytes-64 {
+		return nil, fmt.Errorf("%d bytes are over the %d allowed", len(payload), maxFileBytes-64)
 	}
-	return append(fmt.Appendf(nil, "%s %08x\n", magic, crc32.Checksum(text, castagnoli)), text...), nil
+	return append(fmt.Appendf(nil, "%s %08x\n", magic, crc32.Checksum(payload, castagnoli)), payload...), nil
 }
 
-// decode reads a file into v, whole or not at all, and tells whose it is. It has to be of an instance, unless that is "".
-func decode[T any](file []byte, instance string, v *T) (whose string, err error) {
-	head, text, ok := bytes.Cut(file, []byte("\n"))
-	if !ok || len(file) > mostRecord {
-		return "", fmt.Errorf("%w: %d bytes", ErrDamaged, len(file))
+// decode decodes a file into body, which is unchanged after an error, and returns the instance that
+// wrote it. That has to be the given instance, unless it is empty.
+func decode[T any](encoded []byte, instance string, body *T) (writtenBy string, err error) {
+	header, payload, ok := bytes.Cut(encoded, []byte("\n"))
+	if !ok || len(encoded) > maxFileBytes {
+		return "", fmt.Errorf("%w: %d bytes", ErrCorrupt, len(encoded))
 	}
-	if want := fmt.Sprintf("%s %08x", magic, crc32.Checksum(text, castagnoli)); string(head) != want {
-		return "", fmt.Errorf("%w: its checksum is another", ErrDamaged)
+	if want := fmt.Sprintf("%s %08x", magic, crc32.Checksum(payload, castagnoli)); string(header) != want {
+		return "", fmt.Errorf("%w: its checksum is another", ErrCorrupt)
 	}
-	var e envelope[json.RawMessage]
-	if err := json.Unmarshal(text, &e); err != nil {
-		return "", fmt.Errorf("%w: %w", ErrDamaged, err)
+	var file envelope[json.RawMessage]
+	if err := json.Unmarshal(payload, &file); err != nil {
+		return "", fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	switch {
-	case e.Schema > schema:
-		return "", fmt.Errorf("%w (schema %d, this one has %d)", ErrLater, e.Schema, schema)
-	case e.Schema != schema:
-		return "", fmt.Errorf("%w: schema %d", ErrDamaged, e.Schema)
-	case instance != "" && e.Instance != instance:
-		return "", fmt.Errorf("%w (%q, this one is %q)", ErrForeign, e.Instance, instance)
+	case file.Schema > schemaVersion:
+		return "", fmt.Errorf("%w (schema %d, this one has %d)", ErrNewerVersion, file.Schema, schemaVersion)
+	case file.Schema != schemaVersion:
+		return "", fmt.Errorf("%w: schema %d", ErrCorrupt, file.Schema)
+	case instance != "" && file.Instance != instance:
+		return "", fmt.Errorf("%w (%q, this one is %q)", ErrOtherInstance, file.Instance, instance)
 	}
-	var whole T
-	if err := json.Unmarshal(e.Body, &whole); err != nil {
-		return "", fmt.Errorf("%w: %w", ErrDamaged, err)
+	var out T
+	if err := json.Unmarshal(file.Body, &out); err != nil {
+		return "", fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	if f, ok := any(&whole).(*learnedFile); ok {
+	if f, ok := any(&out).(*learnedState); ok {
 		for name, p := range f.Pools {
-			if len(p.Servers) != len(p.Memory.Servers) || len(p.Servers) > mostServers {
-				return "", fmt.Errorf("%w: pool %q: %d servers and %d names", ErrDamaged, name, len(p.Memory.Servers), len(p.Servers))
+			if len(p.Servers) != len(p.Memory.Servers) || len(p.Servers) > maxServers {
+				return "", fmt.Errorf("%w: pool %q: %d servers and %d names", ErrCorrupt, name, len(p.Memory.Servers), len(p.Servers))
 			}
 		}
 	}
-	*v = whole
-	return e.Instance, nil
+	*body = out
+	return file.Instance, nil
 }
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -13,100 +13,101 @@
 	"golang.org/x/sys/unix"
 )
 
-// The files of a store. Each is replaced whole.
+// The files of a store. Each is replaced atomically.
 const (
-	fileLock    = "lock"
-	fileLearned = "learned" // a snapshot, of no matter if it is lost
-	fileHeld    = "held"    // what was answered yes
+	lockFileName    = "lock"
+	learnedFileName = "learned" // a snapshot of learned state; its loss costs a cold start
+	durableFileName = "held"    // what was acknowledged to an operator
 )
 
 const (
-	lockTime  = time.Second // for a process that is replaced to let go as it ends
-	lockEvery = 10 * time.Millisecond
+	lockTimeout       = time.Second // for a replaced process to release the lock as it exits
+	lockRetryInterval = 10 * time.Millisecond
 )
 
-// Store is the folder of one instance. Each write has happened whole or not at all, whenever the process ends. It is safe for
-// concurrent use.
+// Store is the state directory of one instance. Each write is atomic, whenever the process ends. It
+// is safe for concurrent use.
 type Store struct {
 	dir, instance string
 	lock          *os.File
-	// Before is called at the points of each write, with its name; tests end the process or fail the write there.
-	Before func(write string) error
+	// BeforeStep is called before each step of a write, with its name, for tests that inject faults.
+	BeforeStep func(write string) error
 
-	learning sync.Mutex // writes of the snapshot: one that hangs holds up no other
-	holding  sync.Mutex
-	held     held // as it is in its file
+	learnedMu sync.Mutex // held while learned state is written: a slow snapshot must not delay an acknowledged write
+	durableMu sync.Mutex
+	durable   durableState // as on disk
 }
 
-type learnedFile struct {
-	Pools map[string]Pool `json:"pools"`
+type learnedState struct {
+	Pools map[string]PoolState `json:"pools"`
 }
 
-// Contents is all that a store holds.
+// Contents is what a store holds.
 type Contents struct {
-	Pools map[string]Pool `json:"pools"`
-	held
+	Pools map[string]PoolState `json:"pools"`
+	durableState
 }
 
-type held struct {
-	Pins map[string]Pin `json:"pins"`
-	Good *Generation    `json:"generation"` // nil for none yet
+type durableState struct {
+	Pins     map[string]DegradationPin `json:"pins"`
+	LastGood *OperatorFile             `json:"generation"` // nil for none
 }
 
-// Errors of files that are set aside, and of a store that cannot be had.
+// The reasons for which a file is set aside, and ErrLocked, for which a store cannot be opened.
 var (
-	ErrForeign = errors.New("it is another instance's")
-	ErrLater   = errors.New("it was written by a later version")
-	ErrDamaged = errors.New("it is damaged")
-	ErrInUse   = errors.New("another process has it open")
+	ErrOtherInstance = errors.New("it is another instance's")
+	ErrNewerVersion  = errors.New("it was written by a later version")
+	ErrCorrupt       = errors.New("it is damaged")
+	ErrLocked        = errors.New("another process has it open")
 )
 
-// Open opens the folder of an instance, or makes it, and gives what it holds. A file in it that is damaged, of a later version or another
-// instance's is set aside under a name of its own and counts for nothing: aside says so and names both. An err means that there is
-// no store.
-func Open(dir, instance string) (s *Store, c *Contents, aside, err error) {
+// Open opens the state directory of an instance, creating it if it is missing, and returns its
+// contents. A file that is corrupt, of a newer version or of another instance is renamed and
+// ignored; setAside then describes each. If err is not nil, there is no store.
+func Open(dir, instance string) (s *Store, c *Contents, setAside, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, nil, fmt.Errorf("state: %w", err)
 	}
-	s = &Store{dir: dir, instance: instance, Before: func(string) error { return nil }}
-	if s.lock, err = lock(filepath.Join(dir, fileLock)); err != nil {
+	s = &Store{dir: dir, instance: instance, BeforeStep: func(string) error { return nil }}
+	if s.lock, err = acquireLock(filepath.Join(dir, lockFileName)); err != nil {
 		return nil, nil, nil, fmt.Errorf("state %s: %w", dir, err)
 	}
 	c = &Contents{}
-	var learned learnedFile
-	for name, found := range map[string]error{
-		fileLearned: load(filepath.Join(dir, fileLearned), instance, &learned),
-		fileHeld:    load(filepath.Join(dir, fileHeld), instance, &s.held),
+	var learned learnedState
+	for name, loadErr := range map[string]error{
+		learnedFileName: loadFile(filepath.Join(dir, learnedFileName), instance, &learned),
+		durableFileName: loadFile(filepath.Join(dir, durableFileName), instance, &s.durable),
 	} {
 		path := filepath.Join(dir, name)
-		if found == nil || errors.Is(found, os.ErrNotExist) {
+		if loadErr == nil || errors.Is(loadErr, os.ErrNotExist) {
 			continue
 		}
-		if !errors.Is(found, ErrForeign) && !errors.Is(found, ErrLater) && !errors.Is(found, ErrDamaged) {
+		if !errors.Is(loadErr, ErrOtherInstance) && !errors.Is(loadErr, ErrNewerVersion) && !errors.Is(loadErr, ErrCorrupt) {
 			s.Close()
-			return nil, nil, aside, found
+			return nil, nil, setAside, loadErr
 		}
-		moved := path + ".aside-" + time.Now().UTC().Format("20060102T150405.000000000")
-		if err := os.Rename(path, moved); err != nil {
+		asidePath := path + ".aside-" + time.Now().UTC().Format("20060102T150405.000000000")
+		if err := os.Rename(path, asidePath); err != nil {
 			s.Close()
-			return nil, nil, aside, fmt.Errorf("%w; it could not be set aside: %w", found, err)
+			return nil, nil, setAside, fmt.Errorf("%w; it could not be set aside: %w", loadErr, err)
 		}
-		aside = errors.Join(aside, fmt.Errorf("%w; it is set aside as %s", found, moved))
+		setAside = errors.Join(setAside, fmt.Errorf("%w; it is set aside as %s", loadErr, asidePath))
 	}
-	if s.held.Pins == nil {
-		s.held.Pins = map[string]Pin{}
+	if s.durable.Pins == nil {
+		s.durable.Pins = map[string]DegradationPin{}
 	}
-	c.Pools, c.held = learned.Pools, s.held.clone()
-	return s, c, aside, nil
+	c.Pools, c.durableState = learned.Pools, s.durable.copyOf()
+	return s, c, setAside, nil
 }
 
-// lock waits a little for the lock of a file.
-func lock(path string) (*os.File, error) {
+// acquireLock opens a file and locks it exclusively, waiting up to lockTimeout. It returns ErrLocked
+// if another process holds the lock.
+func acquireLock(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	for end := time.Now().Add(lockTime); ; time.Sleep(lockEvery) {
+	for end := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
 		err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 		if err == nil {
 			return f, nil
@@ -114,52 +115,53 @@
 		if !errors.Is(err, unix.EWOULDBLOCK) || time.Now().After(end) {
 			f.Close()
 			if errors.Is(err, unix.EWOULDBLOCK) {
-				err = ErrInUse
+				err = ErrLocked
 			}
 			return nil, err
 		}
 	}
 }
 
-// load reads one file; an instance of "" is any.
-func load[T any](path, instance string, to *T) error {
+// loadFile reads and decodes a file of the given instance; of any, if that is empty.
+func loadFile[T any](path, instance string, out *T) error {
 	text, err := readFile(path)
 	if err != nil {
 		return err
 	}
-	if _, err := decode(text, instance, to); err != nil {
+	if _, err := decode(text, instance, out); err != nil {
 		return fmt.Errorf("state %s: %w", path, err)
 	}
 	return nil
 }
 
-// readFile reads a file of bounded size.
+// readFile reads a regular file of at most maxFileBytes.
 func readFile(path string) ([]byte, error) {
 	info, err := os.Lstat(path)
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
-	if !info.Mode().IsRegular() || info.Size() > mostRecord {
-		return nil, fmt.Errorf("state %s: %w: no regular file of up to %d MiB", path, ErrDamaged, mostRecord>>20)
+	if !info.Mode().IsRegular() || info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("state %s: %w: no regular file of up to %d MiB", path, ErrCorrupt, maxFileBytes>>20)
 	}
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, mostRecord+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	return text, nil
 }
 
-// Peek reads what an instance keeps, also while it runs, changes nothing, and tells whose it is. Files that are not there hold nothing.
-func Peek(dir string) (c *Contents, instance string, err error) {
+// Inspect returns the contents of a state directory and the instance that wrote it. It changes
+// nothing and may be called while the instance runs. Missing files count as empty.
+func Inspect(dir string) (c *Contents, instance string, err error) {
 	c = &Contents{}
-	var learned learnedFile
+	var learned learnedState
 	found := false
-	look := func(name string, read func(text []byte) (string, error)) error {
+	readInto := func(name string, read func(text []byte) (string, error)) error {
 		path := filepath.Join(dir, name)
 		text, err := readFile(path)
 		if errors.Is(err, os.ErrNotExist) {
@@ -174,10 +176,10 @@
 		found = true
 		return nil
 	}
-	if err := look(fileLearned, func(text []byte) (string, error) { return decode(text, instance, &learned) }); err != nil {
+	if err := readInto(learnedFileName, func(text []byte) (string, error) { return decode(text, instance, &learned) }); err != nil {
 		return nil, "", err
 	}
-	if err := look(fileHeld, func(text []byte) (string, error) { return decode(text, instance, &c.held) }); err != nil {
+	if err := readInto(durableFileName, func(text []byte) (string, error) { return decode(text, instance, &c.durableState) }); err != nil {
 		return nil, "", err
 	}
 	if !found {
@@ -187,17 +189,17 @@
 	return c, instance, nil
 }
 
-// Reset forgets all that a folder holds, unless an instance has it open.
-func Reset(dir string) error {
-	if _, err := os.Stat(filepath.Join(dir, fileLock)); err != nil {
+// Clear removes the contents of a state directory. It returns ErrLocked if an instance has it open.
+func Clear(dir string) error {
+	if _, err := os.Stat(filepath.Join(dir, lockFileName)); err != nil {
 		return fmt.Errorf("state %s: is no folder of an instance: %w", dir, err)
 	}
-	f, err := lock(filepath.Join(dir, fileLock))
+	f, err := acquireLock(filepath.Join(dir, lockFileName))
 	if err != nil {
 		return fmt.Errorf("state %s: %w", dir, err)
 	}
 	defer f.Close()
-	for _, name := range []string{fileLearned, fileHeld} {
+	for _, name := range []string{learnedFileName, durableFileName} {
 		if err := os.Remove(filepath.Join(dir, name)); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return fmt.Errorf("state: %w", err)
 		}
@@ -205,59 +207,59 @@
 	return nil
 }
 
-func (h held) clone() held {
-	c := held{Pins: map[string]Pin{}, Good: h.Good}
+func (h durableState) copyOf() durableState {
+	c := durableState{Pins: map[string]DegradationPin{}, LastGood: h.LastGood}
 	for name, p := range h.Pins {
 		c.Pins[name] = p
 	}
 	return c
 }
 
-// replace has a file hold something else, on the disk when it returns.
-func (s *Store) replace(name string, v any) error {
-	wrong := func(err error) error { return fmt.Errorf("state %s: %w", filepath.Join(s.dir, name), err) }
-	text, err := encode(v, s.instance)
+// replaceFile replaces a file atomically. The new contents are on disk when it returns.
+func (s *Store) replaceFile(name string, body any) error {
+	wrap := func(err error) error { return fmt.Errorf("state %s: %w", filepath.Join(s.dir, name), err) }
+	text, err := encode(body, s.instance)
 	if err != nil {
-		return wrong(err)
+		return wrap(err)
 	}
-	if err := s.Before(name); err != nil {
-		return wrong(err)
+	if err := s.BeforeStep(name); err != nil {
+		return wrap(err)
 	}
 	f, err := renameio.NewPendingFile(filepath.Join(s.dir, name), renameio.WithPermissions(0o600), renameio.WithTempDir(s.dir))
 	if err != nil {
-		return wrong(err)
+		return wrap(err)
 	}
-	defer f.Cleanup()
+	defer func() { _ = f.Cleanup() }() // without effect once the file has been replaced
 	half := len(text) / 2
 	if _, err := f.Write(text[:half]); err != nil {
-		return wrong(err)
+		return wrap(err)
 	}
-	if err := s.Before(name + ", half written"); err != nil {
-		return wrong(err)
+	if err := s.BeforeStep(name + ", half written"); err != nil {
+		return wrap(err)
 	}
 	if _, err := f.Write(text[half:]); err != nil {
-		return wrong(err)
+		return wrap(err)
 	}
 	if err := f.Sync(); err != nil {
-		return wrong(err)
+		return wrap(err)
 	}
-	if err := s.Before(name + ", not yet in place"); err != nil {
-		return wrong(err)
+	if err := s.BeforeStep(name + ", not yet in place"); err != nil {
+		return wrap(err)
 	}
 	if err := f.CloseAtomicallyReplace(); err != nil {
-		return wrong(err)
+		return wrap(err)
 	}
-	if err := syncFolder(s.dir); err != nil {
-		return wrong(err)
+	if err := syncDir(s.dir); err != nil {
+		return wrap(err)
 	}
-	if err := s.Before(name + ", in place"); err != nil {
-		return wrong(err)
+	if err := s.BeforeStep(name + ", in place"); err != nil {
+		return wrap(err)
 	}
 	return nil
 }
 
-// syncFolder has the names in a folder on the disk.
-func syncFolder(dir string) error {
+// syncDir syncs a directory, so that renames in it are on disk.
+func syncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
 		return err
@@ -265,36 +267,39 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// PutPools keeps what pools have learned, in place of what was kept before.
-func (s *Store) PutPools(pools map[string]Pool) error {
-	s.learning.Lock()
-	defer s.learning.Unlock()
-	return s.replace(fileLearned, learnedFile{pools})
+// SavePools replaces the learned state of all pools.
+func (s *Store) SavePools(pools map[string]PoolState) error {
+	s.learnedMu.Lock()
+	defer s.learnedMu.Unlock()
+	return s.replaceFile(learnedFileName, learnedState{pools})
 }
 
-// PutPin keeps a pin of a pool's levels; nil for none.
-func (s *Store) PutPin(pool string, p *Pin) error {
-	return s.hold(func(h *held) {
+// SavePin sets the pin of a pool's degradation level; nil removes it.
+func (s *Store) SavePin(pool string, p *DegradationPin) error {
+	return s.updateDurable(func(h *durableState) {
 		if delete(h.Pins, pool); p != nil {
 			h.Pins[pool] = *p
 		}
 	})
 }
 
-// PutGood keeps the generation that is in force.
-func (s *Store) PutGood(g *Generation) error { return s.hold(func(h *held) { h.Good = g }) }
+// SaveLastGood stores the operator file that was applied.
+func (s *Store) SaveLastGood(g *OperatorFile) error {
+	return s.updateDurable(func(h *durableState) { h.LastGood = g })
+}
 
-func (s *Store) hold(change func(*held)) error {
-	s.holding.Lock()
-	defer s.holding.Unlock()
-	next := s.held.clone()
+// updateDurable changes the durable state on disk, and then in memory.
+func (s *Store) updateDurable(change func(*durableState)) error {
+	s.durableMu.Lock()
+	defer s.durableMu.Unlock()
+	next := s.durable.copyOf()
 	change(&next)
-	if err := s.replace(fileHeld, next); err != nil {
+	if err := s.replaceFile(durableFileName, next); err != nil {
 		return err
 	}
-	s.held = next
+	s.durable = next
 	return nil
 }
 
-// Close lets go of the folder. What a process that was killed has left half written goes with the next start.
+// Close releases the lock of the state directory.
 func (s *Store) Close() error { return s.lock.Close() }
--- a/internal/state/store_test.go
+++ b/internal/state/store_test.go
@@ -13,22 +13,22 @@
 	"testing"
 	"time"
 
-	"whinknot"
+	"milletmast/balancer"
 )
 
 // one is a pool with so many servers, told apart by a number.
-func one(number float64, servers int) Pool {
-	p := Pool{Module: "m", Memory: whinknot.Memory{At: number, Room: 2, Classes: []whinknot.ClassMemory{{Latency: number}}}}
+func one(number float64, servers int) PoolState {
+	p := PoolState{ModuleSettings: "m", Memory: balancer.Memory{At: number, Room: 2, Classes: []balancer.ClassMemory{{Latency: number}}}}
 	for i := range servers {
 		p.Servers = append(p.Servers, fmt.Sprint("s", i))
-		p.Memory.Servers = append(p.Memory.Servers, whinknot.ServerMemory{Load: number, Started: float64(i)})
+		p.Memory.Servers = append(p.Memory.Servers, balancer.ServerMemory{Load: number, Started: float64(i)})
 	}
 	return p
 }
 
-func opened(t *testing.T, path, instance string) *Store {
+func opened(t *testing.T, path string) *Store {
 	t.Helper()
-	s, _ := begun(t, path, instance)
+	s, _ := begun(t, path, "a")
 	return s
 }
 
@@ -45,7 +45,7 @@
 
 func contents(t *testing.T, path string) *Contents {
 	t.Helper()
-	c, _, err := Peek(path)
+	c, _, err := Inspect(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,17 +62,17 @@
 // What was kept is there after the file was closed, and what was forgotten is not.
 func TestKeeps(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
-	s := opened(t, path, "a")
+	s := opened(t, path)
 	until := time.Now().Add(time.Hour).UTC().Round(0)
-	must(t, s.PutPools(map[string]Pool{"p": one(1, 3), "q": one(2, 0)}), s.PutPin("p", &Pin{"lean", until}), s.PutPin("q", &Pin{"lean", until}),
-		s.PutGood(&Generation{Path: "f", Hash: "h", Text: []byte("x = 1\n"), At: until}), s.PutPools(map[string]Pool{"p": one(5, 2)}), s.PutPin("q", nil), s.Close())
+	must(t, s.SavePools(map[string]PoolState{"p": one(1, 3), "q": one(2, 0)}), s.SavePin("p", &DegradationPin{"lean", until}), s.SavePin("q", &DegradationPin{"lean", until}),
+		s.SaveLastGood(&OperatorFile{Path: "f", Hash: "h", Text: []byte("x = 1\n"), AppliedAt: until}), s.SavePools(map[string]PoolState{"p": one(5, 2)}), s.SavePin("q", nil), s.Close())
 	_, c := begun(t, path, "a")
-	want := &Contents{Pools: map[string]Pool{"p": one(5, 2)},
-		held: held{Pins: map[string]Pin{"p": {"lean", until}}, Good: &Generation{Path: "f", Hash: "h", Text: []byte("x = 1\n"), At: until}}}
+	want := &Contents{Pools: map[string]PoolState{"p": one(5, 2)},
+		durableState: durableState{Pins: map[string]DegradationPin{"p": {"lean", until}}, LastGood: &OperatorFile{Path: "f", Hash: "h", Text: []byte("x = 1\n"), AppliedAt: until}}}
 	if !reflect.DeepEqual(c, want) {
 		t.Errorf("%+v, want %+v", c, want)
 	}
-	if again, whose, err := Peek(path); err != nil || whose != "a" || !reflect.DeepEqual(again, want) {
+	if again, whose, err := Inspect(path); err != nil || whose != "a" || !reflect.DeepEqual(again, want) {
 		t.Errorf("%+v of %q, %v", again, whose, err)
 	}
 }
@@ -80,7 +80,7 @@
 // A file that cannot be believed is set aside whole, with one error that names both files; the other one counts, and new ones are written.
 func TestSetAside(t *testing.T) {
 	edit := func(t *testing.T, path string, change func(text []byte) []byte) {
-		file := filepath.Join(path, fileLearned)
+		file := filepath.Join(path, learnedFileName)
 		text, err := os.ReadFile(file)
 		must(t, err, os.WriteFile(file, change(text), 0o600))
 	}
@@ -90,37 +90,37 @@
 		cause error
 	}{
 		{"another instance's", func(t *testing.T, path string) {
-			edit(t, path, func([]byte) []byte { text, _ := encode(learnedFile{}, "b"); return text })
-		}, ErrForeign},
+			edit(t, path, func([]byte) []byte { text, _ := encode(learnedState{}, "b"); return text })
+		}, ErrOtherInstance},
 		{"a later version's", func(t *testing.T, path string) {
 			edit(t, path, func(text []byte) []byte { return summed(strings.Replace(tail(text), `"schema":1`, `"schema":7`, 1)) })
-		}, ErrLater},
+		}, ErrNewerVersion},
 		{"an unknown version's", func(t *testing.T, path string) {
 			edit(t, path, func(text []byte) []byte { return summed(strings.Replace(tail(text), `"schema":1`, `"schema":0`, 1)) })
-		}, ErrDamaged},
+		}, ErrCorrupt},
 		{"a figure that was changed", func(t *testing.T, path string) {
 			edit(t, path, func(text []byte) []byte { return bytes.Replace(text, []byte(`"Load":1`), []byte(`"Load":8`), 1) })
-		}, ErrDamaged},
+		}, ErrCorrupt},
 		{"a name is missing", func(t *testing.T, path string) {
 			edit(t, path, func(text []byte) []byte { return summed(strings.Replace(tail(text), `"s0",`, ``, 1)) })
-		}, ErrDamaged},
-		{"cut off", func(t *testing.T, path string) { edit(t, path, func(text []byte) []byte { return text[:len(text)/2] }) }, ErrDamaged},
-		{"empty", func(t *testing.T, path string) { edit(t, path, func([]byte) []byte { return nil }) }, ErrDamaged},
+		}, ErrCorrupt},
+		{"cut off", func(t *testing.T, path string) { edit(t, path, func(text []byte) []byte { return text[:len(text)/2] }) }, ErrCorrupt},
+		{"empty", func(t *testing.T, path string) { edit(t, path, func([]byte) []byte { return nil }) }, ErrCorrupt},
 		{"something else", func(t *testing.T, path string) {
 			edit(t, path, func([]byte) []byte { return bytes.Repeat([]byte("no state "), 9000) })
-		}, ErrDamaged},
+		}, ErrCorrupt},
 		{"a folder", func(t *testing.T, path string) {
-			file := filepath.Join(path, fileLearned)
+			file := filepath.Join(path, learnedFileName)
 			must(t, os.Remove(file), os.Mkdir(file, 0o700))
-		}, ErrDamaged},
+		}, ErrCorrupt},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "state")
-			s := opened(t, path, "a")
-			must(t, s.PutPools(map[string]Pool{"p": one(1, 3)}), s.PutPin("p", &Pin{Level: "x"}), s.Close())
+			s := opened(t, path)
+			must(t, s.SavePools(map[string]PoolState{"p": one(1, 3)}), s.SavePin("p", &DegradationPin{Level: "x"}), s.Close())
 			c.spoil(t, path)
 			s, had, aside, err := Open(path, "a")
-			if err != nil || !errors.Is(aside, c.cause) || !strings.Contains(aside.Error(), fileLearned+".aside-") {
+			if err != nil || !errors.Is(aside, c.cause) || !strings.Contains(aside.Error(), learnedFileName+".aside-") {
 				t.Fatalf("%v, set aside: %v", err, aside)
 			}
 			defer s.Close()
@@ -130,7 +130,7 @@
 			if left, _ := filepath.Glob(filepath.Join(path, "*.aside-*")); len(left) != 1 {
 				t.Errorf("set aside: %v", left)
 			}
-			must(t, s.PutPools(map[string]Pool{"p": one(1, 1)}))
+			must(t, s.SavePools(map[string]PoolState{"p": one(1, 1)}))
 		})
 	}
 }
@@ -144,12 +144,12 @@
 
 // Whatever byte of a file is wrong, it is not read.
 func TestAnyByteWrong(t *testing.T) {
-	text, err := encode(learnedFile{map[string]Pool{"p": one(1, 5)}}, "a")
+	text, err := encode(learnedState{map[string]PoolState{"p": one(1, 5)}}, "a")
 	must(t, err)
 	for at := range text {
 		spoilt := append([]byte(nil), text...)
 		spoilt[at] ^= 0x55
-		if _, err := decode(spoilt, "a", &learnedFile{}); !errors.Is(err, ErrDamaged) {
+		if _, err := decode(spoilt, "a", &learnedState{}); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("byte %d: %v", at, err)
 		}
 	}
@@ -157,22 +157,22 @@
 
 func TestTwoProcesses(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
-	s := opened(t, path, "a")
-	must(t, s.PutPin("p", &Pin{Level: "x"}))
-	if _, _, aside, err := Open(path, "a"); !errors.Is(err, ErrInUse) || aside != nil {
+	s := opened(t, path)
+	must(t, s.SavePin("p", &DegradationPin{Level: "x"}))
+	if _, _, aside, err := Open(path, "a"); !errors.Is(err, ErrLocked) || aside != nil {
 		t.Errorf("%v, %v", err, aside)
 	}
-	if err := Reset(path); !errors.Is(err, ErrInUse) {
+	if err := Clear(path); !errors.Is(err, ErrLocked) {
 		t.Error(err)
 	}
 	if c := contents(t, path); c.Pins["p"].Level != "x" { // to look is allowed
 		t.Errorf("%+v", c)
 	}
-	must(t, s.Close(), Reset(path))
-	if _, _, err := Peek(path); !errors.Is(err, os.ErrNotExist) {
+	must(t, s.Close(), Clear(path))
+	if _, _, err := Inspect(path); !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
-	if err := Reset(t.TempDir()); !errors.Is(err, os.ErrNotExist) {
+	if err := Clear(t.TempDir()); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a folder that is no instance's: %v", err)
 	}
 }
@@ -181,9 +181,9 @@
 func steps(s *Store) []func() error {
 	var list []func() error
 	for n := range 6 {
-		list = append(list, func() error { return s.PutPools(map[string]Pool{"p": one(float64(n), 40)}) })
-		list = append(list, func() error { return s.PutGood(&Generation{Hash: fmt.Sprint(n)}) })
-		list = append(list, func() error { return s.PutPin("p", &Pin{Level: fmt.Sprint(n)}) })
+		list = append(list, func() error { return s.SavePools(map[string]PoolState{"p": one(float64(n), 40)}) })
+		list = append(list, func() error { return s.SaveLastGood(&OperatorFile{Hash: fmt.Sprint(n)}) })
+		list = append(list, func() error { return s.SavePin("p", &DegradationPin{Level: fmt.Sprint(n)}) })
 	}
 	return list
 }
@@ -200,13 +200,15 @@
 		t.Skip("is run by TestCrashes")
 	}
 	var at int
-	fmt.Sscan(os.Getenv(crashAt), &at)
+	if _, err := fmt.Sscan(os.Getenv(crashAt), &at); err != nil {
+		t.Fatal(err)
+	}
 	s, _, _, err := Open(path, "a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	writes := 0
-	s.Before = func(string) error {
+	s.BeforeStep = func(string) error {
 		if writes++; writes == at {
 			os.Exit(7)
 		}
@@ -240,15 +242,19 @@
 				t.Errorf("killed at %d: half written %+v", at, p)
 			}
 		}
-		if c.Good != nil {
-			fmt.Sscan(c.Good.Hash, &seen[1])
+		if c.LastGood != nil {
+			if _, err := fmt.Sscan(c.LastGood.Hash, &seen[1]); err != nil {
+				t.Error(err)
+			}
 		}
 		if p, ok := c.Pins["p"]; ok {
-			fmt.Sscan(p.Level, &seen[2])
+			if _, err := fmt.Sscan(p.Level, &seen[2]); err != nil {
+				t.Error(err)
+			}
 		}
 		for kind, got := range seen {
 			said := (done-kind+2)/3 - 1 // the last of this kind that was said to be done
-			if got != said && !(got == said+1 && done%3 == kind) {
+			if got != said && (got != said+1 || done%3 != kind) {
 				t.Errorf("killed at %d, %d done: kind %d is at %d, want %d or the one under way", at, done, kind, got, said)
 			}
 		}
@@ -258,26 +264,26 @@
 // A write that fails, wherever, changes nothing until it is in place, and is told; the next one goes on.
 func TestFailingWrites(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
-	s := opened(t, path, "a")
-	must(t, s.PutPin("p", &Pin{Level: "before"}))
+	s := opened(t, path)
+	must(t, s.SavePin("p", &DegradationPin{Level: "before"}))
 	full := errors.New("no space left on device")
-	for _, where := range []string{fileHeld, fileHeld + ", half written", fileHeld + ", not yet in place"} {
-		s.Before = func(write string) error {
+	for _, where := range []string{durableFileName, durableFileName + ", half written", durableFileName + ", not yet in place"} {
+		s.BeforeStep = func(write string) error {
 			if write == where {
 				return full
 			}
 			return nil
 		}
-		if err := s.PutPin("p", &Pin{Level: "after"}); !errors.Is(err, full) {
+		if err := s.SavePin("p", &DegradationPin{Level: "after"}); !errors.Is(err, full) {
 			t.Errorf("%s: %v", where, err)
 		}
 		if got := contents(t, path).Pins["p"].Level; got != "before" {
 			t.Errorf("%s: %q", where, got)
 		}
 	}
-	s.Before = func(string) error { return nil }
-	must(t, s.PutGood(&Generation{Hash: "h"}))
-	if c := contents(t, path); c.Pins["p"].Level != "before" || c.Good.Hash != "h" {
+	s.BeforeStep = func(string) error { return nil }
+	must(t, s.SaveLastGood(&OperatorFile{Hash: "h"}))
+	if c := contents(t, path); c.Pins["p"].Level != "before" || c.LastGood.Hash != "h" {
 		t.Errorf("what failed came in with a later write: %+v", c)
 	}
 	if left, _ := os.ReadDir(path); len(left) != 2 {
@@ -288,20 +294,20 @@
 // A disk that hangs costs snapshots; who offers them never waits, and the last one is written in the end.
 func TestWriterDoesNotWait(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
-	s := opened(t, path, "a")
+	s := opened(t, path)
 	hangs, entered := make(chan struct{}), make(chan struct{}, 100)
-	s.Before = func(write string) error {
-		if write == fileLearned {
+	s.BeforeStep = func(write string) error {
+		if write == learnedFileName {
 			entered <- struct{}{}
 			<-hangs
 		}
 		return nil
 	}
 	w := NewWriter(s)
-	w.Offer(map[string]Pool{"p": one(0, 1)})
+	w.Enqueue(map[string]PoolState{"p": one(0, 1)})
 	<-entered
 	for n := range 50 {
-		w.Offer(map[string]Pool{"p": one(float64(n+1), 1)})
+		w.Enqueue(map[string]PoolState{"p": one(float64(n+1), 1)})
 	}
 	close(hangs)
 	w.Close()
@@ -315,7 +321,7 @@
 
 // Whatever a file holds, it is refused or its pools name all their servers, and what is written is read the same.
 func FuzzDecode(f *testing.F) {
-	text, err := encode(learnedFile{map[string]Pool{"p": one(3, 2)}}, "a")
+	text, err := encode(learnedState{map[string]PoolState{"p": one(3, 2)}}, "a")
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -323,7 +329,7 @@
 	f.Add([]byte(`{"schema":1,"instance":"a","body":{"pools":{"p":{"servers":["a"],"memory":{"Servers":[]}}}}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		for _, file := range [][]byte{text, summed(string(text))} {
-			var l learnedFile
+			var l learnedState
 			whose, err := decode(file, "", &l)
 			if err != nil {
 				continue
@@ -334,7 +340,7 @@
 				}
 			}
 			again, err := encode(l, whose)
-			var m learnedFile
+			var m learnedState
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/state/writer.go
+++ b/internal/state/writer.go
@@ -6,30 +6,30 @@
 	"sync/atomic"
 )
 
-// Writer writes what pools have learned, off the path of requests: one writes, one waits, and a newer one takes its place. A disk that is
-// slow or full costs snapshots and nothing else.
+// Writer saves snapshots of learned state in the background. At most one snapshot is pending, and a
+// newer one replaces it, so a slow or full disk costs snapshots and nothing else.
 type Writer struct {
-	store *Store
-	next  chan map[string]Pool
-	stop  chan struct{}
-	ended sync.WaitGroup
+	store      *Store
+	pending    chan map[string]PoolState
+	stop       chan struct{}
+	goroutines sync.WaitGroup
 
-	written, lost atomic.Uint64
-	failing       atomic.Bool
+	saved, dropped atomic.Uint64
+	failing        atomic.Bool
 }
 
-// NewWriter begins to write to a store. Close ends it.
+// NewWriter starts a writer for a store. Close stops it.
 func NewWriter(s *Store) *Writer {
-	w := &Writer{store: s, next: make(chan map[string]Pool, 1), stop: make(chan struct{})}
-	w.ended.Go(func() {
+	w := &Writer{store: s, pending: make(chan map[string]PoolState, 1), stop: make(chan struct{})}
+	w.goroutines.Go(func() {
 		for {
 			select {
-			case pools := <-w.next:
-				w.write(pools)
+			case pools := <-w.pending:
+				w.save(pools)
 			case <-w.stop:
 				select {
-				case pools := <-w.next: // the last word
-					w.write(pools)
+				case pools := <-w.pending:
+					w.save(pools)
 				default:
 				}
 				return
@@ -39,42 +39,43 @@
 	return w
 }
 
-func (w *Writer) write(pools map[string]Pool) {
-	err := w.store.PutPools(pools)
+func (w *Writer) save(pools map[string]PoolState) {
+	err := w.store.SavePools(pools)
 	if err == nil {
-		w.written.Add(1)
+		w.saved.Add(1)
 		if w.failing.Swap(false) {
 			slog.Info("state is kept again")
 		}
 		return
 	}
-	w.lost.Add(1)
-	if !w.failing.Swap(true) { // told once, not with each
+	w.dropped.Add(1)
+	if !w.failing.Swap(true) { // logged once, not for each snapshot
 		slog.Error("state is not kept", "err", err)
 	}
 }
 
-// Offer has a snapshot written when there is time for it. It never waits for the disk.
-func (w *Writer) Offer(pools map[string]Pool) {
+// Enqueue replaces the pending snapshot. It never waits for the disk.
+func (w *Writer) Enqueue(pools map[string]PoolState) {
 	for {
 		select {
-		case w.next <- pools:
+		case w.pending <- pools:
 			return
 		default:
 		}
 		select {
-		case <-w.next: // it has waited too long: this one is newer
-			w.lost.Add(1)
+		case <-w.pending:
+			w.dropped.Add(1)
 		default:
 		}
 	}
 }
 
-// Counts are the snapshots written, and those lost as the disk was slow or failed.
-func (w *Writer) Counts() (written, lost uint64) { return w.written.Load(), w.lost.Load() }
+// Counts returns the number of snapshots saved, and of those dropped because the disk was slow or
+// failed.
+func (w *Writer) Counts() (written, lost uint64) { return w.saved.Load(), w.dropped.Load() }
 
-// Close writes what was offered last and ends. It waits for the disk.
+// Close saves the pending snapshot and stops the writer. It waits for the disk.
 func (w *Writer) Close() {
 	close(w.stop)
-	w.ended.Wait()
+	w.goroutines.Wait()
 }
--- /dev/null
+++ b/internal/stats/decayingrate.go
@@ -0,0 +1,30 @@
+package stats
+
+import "math"
+
+// DecayingRate is an exponentially decaying rate per second. Times and spans are milliseconds. Weight
+// is the fraction of the span that was observed: without it, the first seconds would count as idle.
+// The zero value has observed nothing.
+type DecayingRate struct{ Sum, At, Weight float64 }
+
+// Add records n events.
+func (a *DecayingRate) Add(now, n, span float64) {
+	decay := 0.0
+	if a.At > 0 {
+		decay = math.Exp((a.At - now) / span)
+		a.Weight = 1 - decay + decay*a.Weight
+	}
+	a.Sum, a.At = decay*a.Sum+n*1000/span, now
+}
+
+// Rate returns the rate per second at the last event, with at least minWeight of the span counted as
+// observed.
+func (a *DecayingRate) Rate(minWeight float64) float64 { return a.Sum / max(a.Weight, minWeight) }
+
+// RateAt returns the rate per second, decayed since the last event.
+func (a *DecayingRate) RateAt(at, span, minWeight float64) float64 {
+	return a.Rate(minWeight) * math.Exp(min(0, (a.At-at)/span))
+}
+
+// SteadyRate returns a rate that has observed its whole span.
+func SteadyRate(rate, at float64) DecayingRate { return DecayingRate{Sum: rate, At: at, Weight: 1} }
--- a/internal/gauge/tally_test.go
+++ b/internal/stats/slidingcounter_test.go
@@ -1,4 +1,4 @@
-package gauge
+package stats
 
 import (
 	"testing"
@@ -9,7 +9,7 @@
 // Whatever comes when: the count is that of the entries from a time on, and what is held is bounded by it.
 func TestATallyCountsItsWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var tally Tally
+		var tally SlidingCounter
 		var all []float64
 		now, from := 0.0, 0.0
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
@@ -25,8 +25,8 @@
 					want++
 				}
 			}
-			if got := tally.Since(from); got != want || tally.Held() > 2*want+1 {
-				t.Fatalf("%d since %v with %d held, want %d", got, from, tally.Held(), want)
+			if got := tally.CountSince(from); got != want || tally.Len() > 2*want+1 {
+				t.Fatalf("%d since %v with %d held, want %d", got, from, tally.Len(), want)
 			}
 		}
 	})
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,10 +1,11 @@
-// Package subset chooses which servers of a large fleet one of several copies of a sidecar sends to, so that no copy has to
-// hold a connection to each server. It is free of I/O: copies that know the same servers choose, without a word to each other,
-// subsets that cover all servers and differ little when one comes or goes.
+// Package subset selects which servers of a large fleet a replica of the sidecar sends to, so that no
+// replica needs a connection to each server. It does no I/O: replicas that know the same servers
+// select, without communication, subsets that cover all servers and change little when a server is
+// added or removed.
 //
-// The servers of a zone stand on a ring in the order of a hash of their names. A copy takes an arc of it: copies begin at even
-// distances and take arcs of one length, so that each server is in as many arcs as any other, give or take one (after Twitter's
-// deterministic aperture; in terms of places on the ring, as the lists of all copies give them the same).
+// The servers of a zone form a ring in the order of the hashes of their names. Each replica takes an
+// arc of it: arcs start at even distances and have the same length, so that all servers are in the
+// same number of arcs, plus or minus one (deterministic aperture, as published by Twitter).
 package subset
 
 import (
@@ -12,128 +13,132 @@
 	"slices"
 	"time"
 
-	"whinknot/internal/spread"
+	"milletmast/internal/namehash"
 )
 
-// Spec says who chooses, and how many.
+// Spec describes a replica, and how many servers it is to select.
 type Spec struct {
-	Copies int // sidecars that send to these servers
-	Rank   int // of this one, from 0
-	Zones  int // 0 or 1 for none; copies are dealt out to zones in turn, by rank
-	Zone   int // of this copy
-	Size   int // servers that a copy sends to, at least
-	Spare  int // so many neighbours by rank may be gone without leaving a server to nobody
+	Replicas      int // number of sidecars that send to these servers
+	Rank          int // of this replica, from 0
+	Zones         int // number of zones, 0 or 1 for none; replicas are assigned to zones round-robin, by rank
+	Zone          int // of this replica
+	Size          int // minimum number of servers to select
+	SpareReplicas int // number of replicas adjacent by rank that may be lost while each server stays selected by one
 }
 
-// awayPart is the part of a subset that is taken from other zones, so that the loss of the own one leaves something.
-const awayPart = 8
+// remoteFraction is the reciprocal of the fraction of a subset that is taken from other zones, so that
+// the loss of the own zone leaves some servers.
+const remoteFraction = 8
 
-type point struct {
+type ringEntry struct {
 	hash uint64
 	id   string
 }
 
-func compare(a, b point) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.id, b.id)) }
+func compareEntries(a, b ringEntry) int {
+	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.id, b.id))
+}
 
-// Ring is the servers that can be chosen. The zero value is empty.
+// Ring holds the servers that can be selected. The zero value is empty.
 type Ring struct {
-	zones map[int][]point
-	zone  map[string]int // of each server
+	byZone map[int][]ringEntry
+	zoneOf map[string]int // of each server
 }
 
-// Len is the number of servers.
-func (r *Ring) Len() int { return len(r.zone) }
+// Len returns the number of servers.
+func (r *Ring) Len() int { return len(r.zoneOf) }
 
-// place is where a server stands on every ring.
-func place(id string) point { return point{spread.Name(id), id} }
+// entryOf returns the ring entry of a server.
+func entryOf(id string) ringEntry { return ringEntry{namehash.Hash(id), id} }
 
-// Add puts a server in, or into another zone.
+// Add adds a server, or moves it to another zone.
 func (r *Ring) Add(id string, zone int) {
-	if old, ok := r.zone[id]; ok {
+	if old, ok := r.zoneOf[id]; ok {
 		if old == zone {
 			return
 		}
 		r.Remove(id)
 	}
-	if r.zone == nil {
-		r.zone, r.zones = map[string]int{}, map[int][]point{}
+	if r.zoneOf == nil {
+		r.zoneOf, r.byZone = map[string]int{}, map[int][]ringEntry{}
 	}
-	p := place(id)
-	list := r.zones[zone]
-	i, _ := slices.BinarySearchFunc(list, p, compare)
-	r.zones[zone] = slices.Insert(list, i, p)
-	r.zone[id] = zone
+	p := entryOf(id)
+	list := r.byZone[zone]
+	i, _ := slices.BinarySearchFunc(list, p, compareEntries)
+	r.byZone[zone] = slices.Insert(list, i, p)
+	r.zoneOf[id] = zone
 }
 
-// Remove takes a server out.
+// Remove removes a server.
 func (r *Ring) Remove(id string) {
-	zone, ok := r.zone[id]
+	zone, ok := r.zoneOf[id]
 	if !ok {
 		return
 	}
-	list := r.zones[zone]
-	if i, found := slices.BinarySearchFunc(list, place(id), compare); found {
-		r.zones[zone] = slices.Delete(list, i, i+1)
+	list := r.byZone[zone]
+	if i, found := slices.BinarySearchFunc(list, entryOf(id), compareEntries); found {
+		r.byZone[zone] = slices.Delete(list, i, i+1)
 	}
-	delete(r.zone, id)
+	delete(r.zoneOf, id)
 }
 
-// Choose gives the servers that a copy sends to. It is all of them if there are no more than Size. Otherwise most are of its own
-// zone and some of others; a zone with too few servers is filled up from the others.
-func (r *Ring) Choose(s Spec) map[string]bool {
+// Select returns the servers that a replica sends to: all, if there are no more than Size. Otherwise
+// most are of its own zone and some of others; if the own zone has too few, more are taken from the
+// others.
+func (r *Ring) Select(s Spec) map[string]bool {
 	out := map[string]bool{}
 	if r.Len() <= s.Size {
-		for id := range r.zone {
+		for id := range r.zoneOf {
 			out[id] = true
 		}
 		return out
 	}
 	zones := max(s.Zones, 1)
-	own := r.zones[s.Zone]
+	own := r.byZone[s.Zone]
 	if zones == 1 {
-		own = r.others(-1)
+		own = r.outsideZone(-1)
 	}
-	// Copies of this zone, as ranks are dealt out.
-	copies, rank := max((s.Copies-s.Zone%zones+zones-1)/zones, 1), s.Rank/zones
+	// The replicas of this zone, as ranks are assigned.
+	copies, rank := max((s.Replicas-s.Zone%zones+zones-1)/zones, 1), s.Rank/zones
 	if zones == 1 {
-		copies, rank = max(s.Copies, 1), s.Rank
+		copies, rank = max(s.Replicas, 1), s.Rank
 	}
 	size := s.Size
 	if zones > 1 {
-		size -= max(s.Size/awayPart, 1)
+		size -= max(s.Size/remoteFraction, 1)
 	}
-	arc(own, rank%copies, copies, size, s.Spare, out)
+	takeArc(own, rank%copies, copies, size, s.SpareReplicas, out)
 	if missing := s.Size - len(out); zones > 1 && missing > 0 {
-		arc(r.others(s.Zone), s.Rank%max(s.Copies, 1), max(s.Copies, 1), missing, -1, out)
+		takeArc(r.outsideZone(s.Zone), s.Rank%max(s.Replicas, 1), max(s.Replicas, 1), missing, -1, out)
 	}
 	return out
 }
 
-// others are the servers of all zones but one, in the order of the ring.
-func (r *Ring) others(zone int) []point {
-	if len(r.zones) == 1 && zone < 0 {
-		for _, list := range r.zones {
+// outsideZone returns the servers of all zones but one, in ring order.
+func (r *Ring) outsideZone(zone int) []ringEntry {
+	if len(r.byZone) == 1 && zone < 0 {
+		for _, list := range r.byZone {
 			return list
 		}
 	}
-	var out []point
-	for z, list := range r.zones {
+	var out []ringEntry
+	for z, list := range r.byZone {
 		if z != zone {
 			out = append(out, list...)
 		}
 	}
-	slices.SortFunc(out, compare)
+	slices.SortFunc(out, compareEntries)
 	return out
 }
 
-// arc takes the arc of one of so many copies: so many servers, or as many as it takes for the arcs of all to cover the ring,
-// with spare copies gone. Spare under 0 is for arcs that need not cover it.
-func arc(ring []point, rank, copies, size, spare int, out map[string]bool) {
+// takeArc adds the arc of one replica to out. Its length is size servers, or more if the arcs of all
+// replicas would not cover the ring with spare replicas lost; a negative spare needs no cover.
+func takeArc(ring []ringEntry, rank, copies, size, spare int, out map[string]bool) {
 	n := len(ring)
 	if n == 0 {
 		return
 	}
-	// In units of 1/copies of a server, so that all copies agree to the last place.
+	// In units of 1/copies of a server, so that all replicas agree exactly.
 	from := rank * n
 	length := size * copies
 	if spare >= 0 {
@@ -145,55 +150,55 @@
 	}
 }
 
-// Keeper makes a copy's subset larger while too much of it is of no use: by a factor of two each time, up to all servers. A copy
-// that cannot send anywhere helps nobody, however even its part is.
-type Keeper struct {
+// Sizer doubles the size of a replica's subset, up to all servers, while too few servers of it are
+// usable. It halves it again once enough are.
+type Sizer struct {
 	Spec
-	grown int
-	since time.Time
-	calm  bool
+	growth    int
+	changedAt time.Time
+	healthy   bool
 }
 
 const (
-	growBelow   = 0.7              // usable share of a subset under which it grows: the module cuts 0.4 of its servers at most,
-	shrinkAbove = 0.9              // and over which it may shrink
-	growEvery   = time.Second      // between two steps up
-	shrinkAfter = 30 * time.Second // of a good subset, for a step down
-	mostGrown   = 16
+	growBelow    = 0.7              // usable fraction of a subset below which it grows: the module ejects at most 0.4 of its servers
+	shrinkAbove  = 0.9              // usable fraction above which it may shrink
+	growInterval = time.Second      // minimum time between two doublings
+	shrinkAfter  = 30 * time.Second // for which a subset has to be usable before it is halved
+	maxGrowth    = 16
 )
 
-// Now is the spec in force with so many servers known.
-func (k *Keeper) Now(known int) Spec {
+// Current returns the spec to use, given the number of known servers.
+func (k *Sizer) Current(known int) Spec {
 	s := k.Spec
-	if k.grown > 0 {
-		s.Size = min(max(s.Size, (1+s.Spare)*known/max(s.Copies, 1))<<k.grown, known)
+	if k.growth > 0 {
+		s.Size = min(max(s.Size, (1+s.SpareReplicas)*known/max(s.Replicas, 1))<<k.growth, known)
 	}
 	return s
 }
 
-// Step hears at a time how many servers a copy sends to, of how many that it knows, and how many of them are usable, and tells
-// whether the spec in force has changed.
-func (k *Keeper) Step(now time.Time, chosen, known, usable int) bool {
+// Update takes the numbers of servers that are selected, known, and selected and usable. It reports
+// whether the spec has changed.
+func (k *Sizer) Update(now time.Time, chosen, known, usable int) bool {
 	share := float64(usable) / float64(max(chosen, 1))
 	switch {
-	case share < growBelow && chosen < known && k.grown < mostGrown:
-		k.calm = false
-		if now.Sub(k.since) < growEvery {
+	case share < growBelow && chosen < known && k.growth < maxGrowth:
+		k.healthy = false
+		if now.Sub(k.changedAt) < growInterval {
 			return false
 		}
-		k.grown++
-	case share > shrinkAbove && k.grown > 0:
-		if !k.calm {
-			k.calm, k.since = true, now
+		k.growth++
+	case share > shrinkAbove && k.growth > 0:
+		if !k.healthy {
+			k.healthy, k.changedAt = true, now
 		}
-		if now.Sub(k.since) < shrinkAfter {
+		if now.Sub(k.changedAt) < shrinkAfter {
 			return false
 		}
-		k.grown--
+		k.growth--
 	default:
-		k.calm = false
+		k.healthy = false
 		return false
 	}
-	k.since = now
+	k.changedAt = now
 	return true
 }
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -21,7 +21,7 @@
 // cover counts the copies that chose each server.
 func cover(r *Ring, s Spec, alive func(rank int) bool) (count map[string]int, sizes []int) {
 	count = map[string]int{}
-	for rank := range s.Copies {
+	for rank := range s.Replicas {
 		if !alive(rank) {
 			continue
 		}
@@ -29,7 +29,7 @@
 		if s.Zones > 1 {
 			s.Zone = rank % s.Zones
 		}
-		chosen := r.Choose(s)
+		chosen := r.Select(s)
 		sizes = append(sizes, len(chosen))
 		for id := range chosen {
 			count[id]++
@@ -45,7 +45,7 @@
 func TestCoverageAndBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, copies := rapid.IntRange(1, 400).Draw(t, "servers"), rapid.IntRange(1, 40).Draw(t, "copies")
-		s := Spec{Copies: copies, Size: rapid.IntRange(1, 60).Draw(t, "size"), Spare: rapid.IntRange(0, 2).Draw(t, "spare")}
+		s := Spec{Replicas: copies, Size: rapid.IntRange(1, 60).Draw(t, "size"), SpareReplicas: rapid.IntRange(0, 2).Draw(t, "spare")}
 		r := ring(n, 1)
 		count, sizes := cover(r, s, all)
 		if len(count) != n {
@@ -56,7 +56,7 @@
 			t.Fatalf("servers are chosen by %d to %d copies", least, most)
 		}
 		for _, size := range sizes {
-			need := max(s.Size, ((1+s.Spare)*n+copies-1)/copies)
+			need := max(s.Size, ((1+s.SpareReplicas)*n+copies-1)/copies)
 			if size < min(s.Size, n) || size > min(need+1, n) {
 				t.Fatalf("a copy has %d servers, needs %d", size, need)
 			}
@@ -69,7 +69,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n, copies, spare := rapid.IntRange(1, 400).Draw(t, "servers"), rapid.IntRange(4, 40).Draw(t, "copies"), rapid.IntRange(1, 3).Draw(t, "spare")
 		gone := rapid.IntRange(0, copies-1).Draw(t, "first")
-		count, _ := cover(ring(n, 1), Spec{Copies: copies, Size: 1, Spare: spare}, func(rank int) bool { return (rank-gone+copies)%copies >= spare })
+		count, _ := cover(ring(n, 1), Spec{Replicas: copies, Size: 1, SpareReplicas: spare}, func(rank int) bool { return (rank-gone+copies)%copies >= spare })
 		if len(count) != n {
 			t.Fatalf("%d of %d servers are covered with %d of %d copies gone", len(count), n, spare, copies)
 		}
@@ -80,14 +80,14 @@
 func TestSmallChurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, copies := rapid.IntRange(2, 300).Draw(t, "servers"), rapid.IntRange(1, 40).Draw(t, "copies")
-		s := Spec{Copies: copies, Size: rapid.IntRange(1, 60).Draw(t, "size")}
+		s := Spec{Replicas: copies, Size: rapid.IntRange(1, 60).Draw(t, "size")}
 		for rank := range copies {
 			s.Rank = rank
 			r := ring(n, 1)
-			before := r.Choose(s)
+			before := r.Select(s)
 			id := fmt.Sprint("box-", rapid.IntRange(0, n-1).Draw(t, "gone"))
 			r.Remove(id)
-			after := r.Choose(s)
+			after := r.Select(s)
 			moved := 0
 			for k := range after {
 				if !before[k] {
@@ -103,7 +103,7 @@
 				t.Fatalf("%d others move with one of %d", moved, n)
 			}
 			r.Add(id, 0)
-			if !maps.Equal(r.Choose(s), before) {
+			if !maps.Equal(r.Select(s), before) {
 				t.Fatal("it is not as before once the server is back")
 			}
 		}
@@ -125,8 +125,8 @@
 		b.Remove(fmt.Sprint("x", i))
 		b.Remove("never there")
 	}
-	s := Spec{Copies: 7, Rank: 3, Zones: 3, Size: 20}
-	if !maps.Equal(a.Choose(s), b.Choose(s)) || a.Len() != b.Len() {
+	s := Spec{Replicas: 7, Rank: 3, Zones: 3, Size: 20}
+	if !maps.Equal(a.Select(s), b.Select(s)) || a.Len() != b.Len() {
 		t.Error("the order counts")
 	}
 }
@@ -137,10 +137,10 @@
 	r := ring(300, 3)
 	count := map[string]int{}
 	for rank := range 12 {
-		s := Spec{Copies: 12, Rank: rank, Zones: 3, Zone: rank % 3, Size: 40}
-		chosen, own := r.Choose(s), 0
+		s := Spec{Replicas: 12, Rank: rank, Zones: 3, Zone: rank % 3, Size: 40}
+		chosen, own := r.Select(s), 0
 		for id := range chosen {
-			if r.zone[id] == s.Zone {
+			if r.zoneOf[id] == s.Zone {
 				own++
 				count[id]++
 			}
@@ -157,25 +157,25 @@
 			r.Remove(fmt.Sprint("box-", i))
 		}
 	}
-	if got := r.Choose(Spec{Copies: 12, Rank: 4, Zones: 3, Zone: 1, Size: 40}); len(got) < 40 {
+	if got := r.Select(Spec{Replicas: 12, Rank: 4, Zones: 3, Zone: 1, Size: 40}); len(got) < 40 {
 		t.Errorf("%d servers with the own zone gone", len(got))
 	}
 	r.Add("last", 1)
-	if got := r.Choose(Spec{Copies: 12, Rank: 4, Zones: 3, Zone: 1, Size: 40}); len(got) < 40 || !got["last"] {
+	if got := r.Select(Spec{Replicas: 12, Rank: 4, Zones: 3, Zone: 1, Size: 40}); len(got) < 40 || !got["last"] {
 		t.Errorf("%d servers with one of the own zone", len(got))
 	}
 }
 
 // A subset all of whose servers die grows to others within seconds, and comes back slowly; one that is at its edge does not swing.
 func TestKeeper(t *testing.T) {
-	k := &Keeper{Spec: Spec{Copies: 10, Size: 8}}
+	k := &Sizer{Spec: Spec{Replicas: 10, Size: 8}}
 	now := time.Date(2026, 11, 1, 0, 0, 0, 0, time.UTC)
 	r := ring(200, 1)
-	size := func() int { return len(r.Choose(k.Now(200))) }
+	size := func() int { return len(r.Select(k.Current(200))) }
 	first := size()
 	for n := range 40 {
 		now = now.Add(100 * time.Millisecond)
-		k.Step(now, size(), 200, 3)
+		k.Update(now, size(), 200, 3)
 		if n == 0 && size() <= first {
 			t.Fatal("it does not grow at once")
 		}
@@ -186,7 +186,7 @@
 	grown := size()
 	for range 290 {
 		now = now.Add(100 * time.Millisecond)
-		if k.Step(now, size(), 200, size()) {
+		if k.Update(now, size(), 200, size()) {
 			t.Fatal("it shrinks before its time")
 		}
 	}
@@ -196,19 +196,19 @@
 		if n%100 == 0 {
 			usable = usable * 8 / 10 // neither bad nor good: the time begins anew
 		}
-		k.Step(now, size(), 200, usable)
+		k.Update(now, size(), 200, usable)
 	}
 	if size() != grown {
 		t.Errorf("it shrinks while it is not good for long: %d of %d", size(), grown)
 	}
 	for range 3000 {
 		now = now.Add(100 * time.Millisecond)
-		k.Step(now, size(), 200, size())
+		k.Update(now, size(), 200, size())
 	}
 	if size() != first {
 		t.Errorf("%d servers in the end, %d at first", size(), first)
 	}
-	if k.Step(now.Add(time.Hour), 200, 200, 0) {
+	if k.Update(now.Add(time.Hour), 200, 200, 0) {
 		t.Error("it grows beyond all servers")
 	}
 }
@@ -217,11 +217,11 @@
 	for _, n := range []int{400, 4000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := ring(n, 1)
-			s := Spec{Copies: n / 20, Rank: 3, Size: 60}
+			s := Spec{Replicas: n / 20, Rank: 3, Size: 60}
 			b.ReportAllocs()
 			for b.Loop() {
 				r.Add("new", 0)
-				r.Choose(s)
+				r.Select(s)
 				r.Remove("new")
 			}
 		})
--- /dev/null
+++ b/internal/testcluster/link.go
@@ -0,0 +1,307 @@
+package testcluster
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"milletmast/internal/freeport"
+)
+
+// Direction is one of the two directions of a link.
+type Direction int
+
+// The directions, as seen from the side that opens connections or sends first.
+const (
+	Forward Direction = iota
+	Backward
+)
+
+// Conditions are the conditions of one direction of a link. The zero value passes everything on at once.
+type Conditions struct {
+	Delay   time.Duration
+	Jitter  time.Duration // the greatest further delay, drawn by the seed; the bytes of a stream stay in order
+	Rate    int           // bytes a second; 0 for no limit
+	Blocked bool          // nothing passes, also no end of a connection; it passes once this is over
+	// Of datagrams only:
+	Loss      float64 // share that is lost
+	Duplicate float64 // share that arrives twice
+	Reorder   float64 // share that is delayed by reorderDelay
+}
+
+const (
+	dialTimeout   = 2 * time.Second
+	normalBacklog = 1024
+)
+
+// Observer is told what passes a link. Its functions may be nil, and are called by many goroutines.
+type Observer struct {
+	OnOpen func(conn uint64)
+	// OnReceived is called with bytes from the client, before any fault, and OnSent with bytes for the client, after all faults.
+	OnReceived func(conn uint64, p []byte)
+	OnSent     func(conn uint64, p []byte)
+	// OnClientClosed is called when the client has closed its side or reset the connection, and OnEnd when the client is told that
+	// the server has.
+	OnClientClosed func(conn uint64)
+	OnEnd          func(conn uint64)
+}
+
+// Link is a directed link: clients that open connections to its address, or send datagrams there, reach the target under the
+// conditions of the link. A link is for TCP, for a Unix socket or for UDP.
+type Link struct {
+	Name     string
+	observer Observer
+
+	listener listener     // nil for UDP
+	udp      *net.UDPConn // nil for others
+
+	mu         sync.Mutex
+	conditions [2]Conditions
+	changed    chan struct{} // closed at each change
+	mode       Mode
+	closed     bool
+	conns      map[uint64]*relayedConn
+	flows      map[string]*net.UDPConn
+	fillers    []net.Conn // that keep the backlog of an unreachable link full
+	target     string
+	next       uint64 // number of the latest connection
+	random     *rand.Rand
+	goroutines sync.WaitGroup
+}
+
+// listener is one of TCP or of a Unix socket.
+type listener interface {
+	net.Listener
+	syscall.Conn
+	SetDeadline(time.Time) error
+}
+
+// Mode is what becomes of new connections.
+type Mode int
+
+// The modes.
+const (
+	Accepting   Mode = iota
+	Unreachable      // connections are never established, as with a machine that is cut off
+	Refusing         // connections are refused, as if no process listened
+)
+
+// unixPrefix is the prefix of a target that is a Unix socket.
+const unixPrefix = "unix:"
+
+// Listen opens a link to a target: of TCP at a free loopback port, or for a target "unix:PATH" at a Unix socket of the cluster.
+func (r *Cluster) Listen(name, target string, seed uint64, observer Observer) (*Link, error) {
+	ln, err := r.listen(name, target)
+	if err != nil {
+		return nil, fmt.Errorf("link %s: %w", name, err)
+	}
+	l := newLink(name, target, seed)
+	l.listener, l.observer = ln, observer
+	l.goroutines.Go(l.accept)
+	r.OnClose(l.Close)
+	return l, nil
+}
+
+func (r *Cluster) listen(name, target string) (listener, error) {
+	if !strings.HasPrefix(target, unixPrefix) {
+		return listenByNumber()
+	}
+	ln, err := net.Listen("unix", filepath.Join(r.Dir, name+".link"))
+	if err != nil {
+		return nil, err
+	}
+	return ln.(listener), nil
+}
+
+// listenByNumber listens at a port that is reserved by its number, as Linux keeps only such a port for a socket that is shut down
+// (see Refusing).
+func listenByNumber() (listener, error) {
+	port, err := freeport.Reserve(1)
+	if err != nil {
+		return nil, err
+	}
+	defer port.Release()
+	ln, err := net.Listen("tcp4", port.Address())
+	if err != nil {
+		return nil, err
+	}
+	return ln.(listener), nil
+}
+
+// seedStream separates the draws of links from others with the same seed.
+const seedStream = 11
+
+func newLink(name, target string, seed uint64) *Link {
+	return &Link{
+		Name:    name,
+		target:  target,
+		changed: make(chan struct{}),
+		conns:   map[uint64]*relayedConn{},
+		flows:   map[string]*net.UDPConn{},
+		random:  rand.New(rand.NewPCG(seed, seedStream)),
+	}
+}
+
+// Addr returns the address at which clients reach the link.
+func (l *Link) Addr() string {
+	switch {
+	case l.udp != nil:
+		return l.udp.LocalAddr().String()
+	case l.isUnix():
+		return unixPrefix + l.listener.Addr().String()
+	}
+	return l.listener.Addr().String()
+}
+
+func (l *Link) isUnix() bool { return l.listener != nil && l.listener.Addr().Network() == "unix" }
+
+// SetConditions changes the conditions of a direction from now on, also for open connections and what waits in them.
+func (l *Link) SetConditions(d Direction, c Conditions) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.conditions[d] = c
+	l.notifyChange()
+}
+
+// notifyChange wakes up what waits for a change. The mutex is held.
+func (l *Link) notifyChange() {
+	close(l.changed)
+	l.changed = make(chan struct{})
+}
+
+// Conditions returns the conditions of a direction.
+func (l *Link) Conditions(d Direction) Conditions {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.conditions[d]
+}
+
+// Reset resets all open connections, and returns their number.
+func (l *Link) Reset() int {
+	l.mu.Lock()
+	all := make([]*relayedConn, 0, len(l.conns))
+	for _, c := range l.conns {
+		all = append(all, c)
+	}
+	l.mu.Unlock()
+	for _, c := range all {
+		c.resetBoth()
+	}
+	return len(all)
+}
+
+// SetTarget sets the target of new connections. So a link keeps its address when a process is started again at another port.
+func (l *Link) SetTarget(addr string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.target = addr
+}
+
+// SetMode sets what becomes of new connections of TCP.
+func (l *Link) SetMode(m Mode) error {
+	if l.listener == nil || l.isUnix() {
+		return fmt.Errorf("link %s: %w", l.Name, errors.ErrUnsupported)
+	}
+	l.mu.Lock()
+	previous := l.mode
+	l.mode = m
+	fillers := l.fillers
+	l.fillers = nil
+	l.notifyChange()
+	l.mu.Unlock()
+	if previous == m {
+		return nil
+	}
+	for _, c := range fillers {
+		c.Close()
+	}
+	if err := l.listener.SetDeadline(time.Now()); err != nil { // so that Accept returns
+		return fmt.Errorf("link %s: %w", l.Name, err)
+	}
+	switch m {
+	case Unreachable:
+		return l.fillBacklog()
+	case Refusing:
+		return l.onSocket(func(fd int) error { return unix.Shutdown(fd, unix.SHUT_RD) })
+	}
+	return l.setBacklog(normalBacklog)
+}
+
+const (
+	maxFillers        = 8 // one or two connections fill a backlog of zero, by the kernel's count
+	fillerDialTimeout = 20 * time.Millisecond
+)
+
+// fillBacklog makes the backlog of the listener short and fills it: then Linux drops further connection requests.
+func (l *Link) fillBacklog() error {
+	if err := l.setBacklog(0); err != nil {
+		return err
+	}
+	for range maxFillers {
+		c, err := net.DialTimeout("tcp4", l.Addr(), fillerDialTimeout)
+		if err != nil {
+			return nil
+		}
+		l.mu.Lock()
+		l.fillers = append(l.fillers, c)
+		l.mu.Unlock()
+	}
+	return fmt.Errorf("link %s: its queue does not fill", l.Name)
+}
+
+func (l *Link) setBacklog(n int) error {
+	return l.onSocket(func(fd int) error { return unix.Listen(fd, n) })
+}
+
+// onSocket calls do with the descriptor of the listener.
+func (l *Link) onSocket(do func(fd int) error) error {
+	raw, err := l.listener.SyscallConn()
+	if err != nil {
+		return fmt.Errorf("link %s: %w", l.Name, err)
+	}
+	var failed error
+	if err = errors.Join(raw.Control(func(fd uintptr) { failed = do(int(fd)) }), failed); err != nil {
+		return fmt.Errorf("link %s: %w", l.Name, err)
+	}
+	return nil
+}
+
+// OpenConns returns the number of open connections.
+func (l *Link) OpenConns() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.conns)
+}
+
+// Close closes the link and resets its connections.
+func (l *Link) Close() {
+	l.mu.Lock()
+	l.closed = true
+	l.mode = Accepting
+	l.notifyChange()
+	flows, fillers := l.flows, l.fillers
+	l.fillers, l.flows = nil, map[string]*net.UDPConn{}
+	l.mu.Unlock()
+	for _, c := range fillers {
+		c.Close()
+	}
+	for _, f := range flows {
+		f.Close()
+	}
+	if l.listener != nil {
+		l.listener.Close()
+	}
+	if l.udp != nil {
+		l.udp.Close()
+	}
+	l.Reset()
+	l.goroutines.Wait()
+}
--- a/internal/rig/relay_bench_test.go
+++ b/internal/testcluster/relay_bench_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"bufio"
@@ -16,14 +16,14 @@
 // BenchmarkRelay tells what a link adds to a request, and how many pass one after the other on 8 connections: ns/op is of one of them,
 // p50 and p99 are of single requests on one connection.
 func BenchmarkRelay(b *testing.B) {
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
 	defer server.Close()
 	r, err := New()
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer r.Close()
-	l, err := r.Listen("a>b", server.Listener.Addr().String(), 1, Sight{Came: func(uint64, []byte) {}, Went: func(uint64, []byte) {}})
+	l, err := r.Listen("a>b", server.Listener.Addr().String(), 1, Observer{OnReceived: func(uint64, []byte) {}, OnSent: func(uint64, []byte) {}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 						b.Error(err)
 						return
 					}
-					io.Copy(io.Discard, res.Body)
+					_, _ = io.Copy(io.Discard, res.Body)
 				}, func() { c.Close() }
 			}
 			ask, end := one()
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace keeps records of the attempts that sampled requests caused, one file for each sidecar, and joins the files of
-// several tiers into trees.
+// Package trace records the attempts of sampled requests in one file for each sidecar, and joins the files of several tiers
+// into trees of calls.
 package trace
 
 import (
@@ -8,17 +8,18 @@
 	"encoding/json"
 	"fmt"
 	"io"
+	"log/slog"
 	"os"
 	"slices"
 	"sync"
 	"sync/atomic"
 )
 
-// Attempt is one attempt at a server, as its sidecar saw it.
+// Attempt is the record of one attempt, as the calling sidecar saw it. The JSON names are the format of the file.
 type Attempt struct {
-	Root    string  `json:"root"`   // of the request of the outside
+	Root    string  `json:"root"`   // request that entered from outside
 	Parent  string  `json:"parent"` // attempt of the tier before; 00000000 for none
-	Call    string  `json:"call"`   // that it is an attempt of
+	Call    string  `json:"call"`   // call that this is an attempt of
 	ID      string  `json:"id"`
 	Sidecar string  `json:"sidecar"`
 	Hop     int     `json:"hop"`
@@ -29,47 +30,50 @@
 	Number  int     `json:"number"`
 	Outcome string  `json:"outcome"`
 	TookMS  float64 `json:"took_ms"`
-	Worth   float64 `json:"worth"`
+	Weight  float64 `json:"worth"`
 }
 
 const (
-	maxFile  = 16 << 20 // bytes; then the file is moved to NAME.1 and begun anew
-	maxQueue = 1024     // records that wait for the disk; more are dropped and counted
-	maxLine  = 8 << 10
+	maxFileBytes   = 16 << 20 // then the file is rotated
+	maxQueueLength = 1024     // records that wait for the disk; further ones are dropped and counted
+	maxLineBytes   = 8 << 10
 )
 
-// Writer appends records to a file. Adding never waits.
+// rotatedSuffix ends the name of the file before.
+const rotatedSuffix = ".1"
+
+// Writer appends records to a file in a goroutine of its own, until Close.
 type Writer struct {
-	path    string
-	queue   chan Attempt
-	dropped atomic.Uint64
-	done    sync.WaitGroup
-	mu      sync.RWMutex // held for closing the queue
-	closed  bool
+	path      string
+	queue     chan Attempt
+	dropped   atomic.Uint64
+	goroutine sync.WaitGroup
+	mu        sync.RWMutex // held for closing the queue
+	closed    bool
 }
 
-// NewWriter opens a file to append to.
+// NewWriter returns a writer that appends to a file.
 func NewWriter(path string) (*Writer, error) {
-	f, err := open(path)
+	f, err := openAppend(path)
 	if err != nil {
 		return nil, err
 	}
-	w := &Writer{path: path, queue: make(chan Attempt, maxQueue)}
-	w.done.Go(func() { w.run(f) })
+	w := &Writer{path: path, queue: make(chan Attempt, maxQueueLength)}
+	w.goroutine.Go(func() { w.run(f) })
 	return w, nil
 }
 
-func open(path string) (*os.File, error) {
+func openAppend(path string) (*os.File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 }
 
-// Path is the file's.
+// Path returns the path of the file.
 func (w *Writer) Path() string { return w.path }
 
-// Dropped is the number of records that found no room.
+// Dropped returns how many records were dropped, as the queue was full or the disk failed.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Add queues a record, or drops it.
+// Add queues a record, or drops it if the queue is full. It does not block.
 func (w *Writer) Add(a Attempt) {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -83,7 +87,7 @@
 	}
 }
 
-// Close writes what is queued and ends.
+// Close writes the queued records and closes the file.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	if !w.closed {
@@ -91,48 +95,58 @@
 		close(w.queue)
 	}
 	w.mu.Unlock()
-	w.done.Wait()
+	w.goroutine.Wait()
 }
 
-func (w *Writer) run(f *os.File) {
+// run writes the queued records until the queue is closed.
+func (w *Writer) run(file *os.File) {
 	size := int64(0)
-	if info, err := f.Stat(); err == nil {
+	if info, err := file.Stat(); err == nil {
 		size = info.Size()
 	}
-	out := bufio.NewWriter(f)
-	for a := range w.queue {
-		line, err := json.Marshal(&a)
+	out := bufio.NewWriter(file)
+	for attempt := range w.queue {
+		line, err := json.Marshal(&attempt)
 		if err != nil {
 			continue
 		}
-		if size += int64(len(line)) + 1; size > maxFile {
-			out.Flush()
-			f.Close()
-			os.Rename(w.path, w.path+".1")
-			if f, err = open(w.path); err != nil { // the next record tries again
-				size = maxFile
+		line = append(line, '\n')
+		if size += int64(len(line)); size > maxFileBytes {
+			_ = out.Flush() // what the disk does not take is lost
+			file.Close()
+			if file, err = w.rotate(); err != nil { // the next record tries again
+				size = maxFileBytes
 				w.dropped.Add(1)
 				continue
 			}
-			out.Reset(f)
-			size = int64(len(line)) + 1
+			out.Reset(file)
+			size = int64(len(line))
+		}
+		if _, err := out.Write(line); err != nil {
+			w.dropped.Add(1)
 		}
-		out.Write(line)
-		out.WriteByte('\n')
 		if len(w.queue) == 0 {
-			out.Flush()
+			_ = out.Flush() // after an error the next Write fails, and counts
 		}
 	}
-	out.Flush()
-	f.Close()
+	_ = out.Flush()
+	file.Close()
+}
+
+// rotate moves the file away and opens a new one.
+func (w *Writer) rotate() (*os.File, error) {
+	if err := os.Rename(w.path, w.path+rotatedSuffix); err != nil {
+		slog.Warn("rotate traces", "path", w.path, "err", err)
+	}
+	return openAppend(w.path)
 }
 
-// Read reads the records of a file; what is no record is an error that names its line. A last line that is cut is left out:
-// its writer may be at work.
+// Read reads the records of a file. An error names the line. A last line that is incomplete is left out, as its writer may
+// be at work.
 func Read(name string, r io.Reader) ([]Attempt, error) {
-	var list []Attempt
+	var attempts []Attempt
 	lines := bufio.NewScanner(r)
-	lines.Buffer(make([]byte, 0, maxLine), maxLine)
+	lines.Buffer(make([]byte, 0, maxLineBytes), maxLineBytes)
 	for n := 1; lines.Scan(); n++ {
 		var a Attempt
 		if err := json.Unmarshal(lines.Bytes(), &a); err != nil {
@@ -141,20 +155,20 @@
 			}
 			return nil, fmt.Errorf("%s:%d: %w", name, n, err)
 		}
-		list = append(list, a)
+		attempts = append(attempts, a)
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return list, nil
+	return attempts, nil
 }
 
-// Print writes the trees of attempts, one for each root, joined over tiers by the attempt that each call is part of. With a
-// root only that one.
-func Print(w io.Writer, list []Attempt, root string) error {
+// Print writes the attempts as trees, one for each root request: below each attempt the calls that the next tier made for it.
+// If root is not empty, it writes only that tree.
+func Print(w io.Writer, attempts []Attempt, root string) error {
 	byRoot := map[string][]Attempt{}
 	var roots []string // in the order in which they come
-	for _, a := range list {
+	for _, a := range attempts {
 		if root != "" && a.Root != root {
 			continue
 		}
@@ -173,40 +187,42 @@
 	return out.Flush()
 }
 
-// printTree writes the attempts of one root.
-func printTree(out *bufio.Writer, list []Attempt) {
-	fmt.Fprintf(out, "%s: attempts %d\n", list[0].Root, len(list))
-	below := map[string][]Attempt{} // by parent
+// printTree writes the attempts of one root request.
+func printTree(out *bufio.Writer, attempts []Attempt) {
+	fmt.Fprintf(out, "%s: attempts %d\n", attempts[0].Root, len(attempts))
+	children := map[string][]Attempt{} // by parent attempt
 	known := map[string]bool{}
-	for _, a := range list {
-		below[a.Parent] = append(below[a.Parent], a)
+	for _, a := range attempts {
+		children[a.Parent] = append(children[a.Parent], a)
 		known[a.ID] = true
 	}
-	var tops []string // parents that no file holds
-	for parent, calls := range below {
+	var roots []string // parents that have no record
+	for parent, calls := range children {
 		slices.SortStableFunc(calls, func(a, b Attempt) int { return cmp.Or(cmp.Compare(a.Call, b.Call), a.Number-b.Number) })
 		if !known[parent] {
-			tops = append(tops, parent)
+			roots = append(roots, parent)
 		}
 	}
-	shown := map[string]bool{} // a made-up file may hold a call below itself, or one attempt many times
-	var show func(parent, indent string, depth int)
-	show = func(parent, indent string, depth int) {
-		if depth > maxDepth || shown[parent] {
+	printed := map[string]bool{} // a forged file may have a call below itself, or an attempt several times
+	var printBelow func(parent, indent string, depth int)
+	printBelow = func(parent, indent string, depth int) {
+		if depth > maxDepth || printed[parent] {
 			return
 		}
-		shown[parent] = true
-		for _, a := range below[parent] {
-			fmt.Fprintf(out, "%s%s %s/%s at %s, attempt %d: %s, %.1f ms\n", indent, a.Sidecar, a.Pool, a.Class, a.Server, a.Number+1, a.Outcome, a.TookMS)
-			show(a.ID, indent+"  ", depth+1)
+		printed[parent] = true
+		for _, a := range children[parent] {
+			fmt.Fprintf(out, "%s%s %s/%s at %s, ", indent, a.Sidecar, a.Pool, a.Class, a.Server)
+			fmt.Fprintf(out, "attempt %d: %s, %.1f ms\n", a.Number+1, a.Outcome, a.TookMS)
+			printBelow(a.ID, indent+"  ", depth+1)
 		}
 	}
-	slices.Sort(tops)
-	for _, parent := range tops {
-		show(parent, "  ", 0)
+	slices.Sort(roots)
+	for _, parent := range roots {
+		printBelow(parent, "  ", 0)
 	}
 }
 
+// Bounds of what Print writes.
 const (
 	maxRoots = 1000
 	maxDepth = 32
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -17,7 +17,7 @@
 
 func sample(n int) Attempt {
 	return Attempt{Root: "0123456789abcdef", Parent: "00000000", Call: "11111111", ID: fmt.Sprintf("%08x", n), Sidecar: "front", Route: "r",
-		Pool: "p", Class: "c", Server: "127.0.0.1:1", Number: n, Outcome: "ok", TookMS: 1.5, Worth: 12}
+		Pool: "p", Class: "c", Server: "127.0.0.1:1", Number: n, Outcome: "ok", TookMS: 1.5, Weight: 12}
 }
 
 func TestWhatIsWrittenIsRead(t *testing.T) {
@@ -57,7 +57,7 @@
 
 func TestFileIsMovedWhenItIsLong(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "trace")
-	if err := os.WriteFile(path, bytes.Repeat([]byte("\n"), maxFile-100), 0o600); err != nil {
+	if err := os.WriteFile(path, bytes.Repeat([]byte("\n"), maxFileBytes-100), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	w, err := NewWriter(path)
@@ -67,7 +67,7 @@
 	w.Add(sample(1))
 	w.Close()
 	old, err := os.Stat(path + ".1")
-	if err != nil || old.Size() != maxFile-100 {
+	if err != nil || old.Size() != maxFileBytes-100 {
 		t.Fatal(old, err)
 	}
 	text, _ := os.ReadFile(path)
@@ -87,7 +87,7 @@
 	}
 	for text, want := range map[string]string{
 		good + "{\n" + good:                             "f:2:",
-		good + strings.Repeat("x", maxLine+1):           "token too long",
+		good + strings.Repeat("x", maxLineBytes+1):      "token too long",
 		good + `{"number":"one"}` + "\n" + good:         "f:2:",
 		strings.Repeat("[", 10_000) + "\n" + good:       "",
 		`{"root":5}` + "\n" + good + good + good + "\n": "f:1:",
--- a/internal/vhost/decide.go
+++ b/internal/vhost/decide.go
@@ -3,63 +3,65 @@
 import (
 	"net/http"
 	"strings"
+
+	"milletmast/internal/route"
 )
 
-// maxCycles is how often a location may be chosen anew for one request; more is an error of the configuration.
+// maxCycles is how often a location may be chosen again for one request. More is an error of the configuration.
 const maxCycles = 10
 
-// work is a request on its way through a table.
-type work struct {
+// decision is the state of a request while it is decided.
+type decision struct {
 	*Request
-	path    string // as rewritten
-	query   string
-	changed bool // the path or query is not as it came
-	inside  bool // it was rewritten, or stands in for another
-	site    *site
-	caps    *captures
+	path       string // as rewritten
+	query      string
+	changed    bool // whether the path or query differs from the request's
+	isInternal bool // whether it was rewritten, or replaces another request
+	site       *virtualServer
+	captures   *captureGroups
 }
 
-// Decide tells what becomes of a request.
+// Decide returns the outcome of a request.
 func (t *Table) Decide(r *Request) Outcome {
-	w := &work{Request: r, path: r.Path, query: r.Query}
-	w.site, w.caps = t.find(r.Host)
+	w := &decision{Request: r, path: r.Path, query: r.Query}
+	w.site, w.captures = t.findServer(r.Host)
 	if w.site == nil {
 		return Outcome{Answer: &Answer{Status: http.StatusNotFound}}
 	}
-	return w.visit().replaced()
+	return w.decideServer().withErrorPage()
 }
 
-// visit takes a request through its server from the first step on.
-func (w *work) visit() Outcome {
-	out := Outcome{Server: w.site.Name, Method: w.Method, at: w, pages: w.site.pages}
-	if out.Answer, _ = w.take(w.site.steps); out.Answer != nil {
+// decideServer runs the steps of the server of a request, and then those of its location.
+func (w *decision) decideServer() Outcome {
+	out := Outcome{Server: w.site.Name, Method: w.Method, decision: w, pages: w.site.pages}
+	if out.Answer, _ = w.runSteps(w.site.steps); out.Answer != nil {
 		return out
 	}
-	return w.locate(out)
+	return w.decideLocation(out)
 }
 
-// locate chooses the location of a request, anew each time that rewrites lead elsewhere.
-func (w *work) locate(out Outcome) Outcome {
+// decideLocation chooses the location of a request, again after each rewrite that requires it.
+func (w *decision) decideLocation(out Outcome) Outcome {
 	for range maxCycles + 1 {
-		p, _ := w.site.places.choose(w.path, &w.caps)
-		if p == nil || p.Internal && !w.inside {
+		p, _ := w.site.locations.choose(w.path, &w.captures)
+		if p == nil || p.Internal && !w.isInternal {
 			out.Answer = &Answer{Status: http.StatusNotFound}
 			return out
 		}
-		if w.enter(&out, p) {
+		if w.enterLocation(&out, p) {
 			return out
 		}
-		w.inside = true
+		w.isInternal = true
 	}
 	out.Answer = &Answer{Status: http.StatusInternalServerError}
 	return out
 }
 
-// enter takes a request into a location; false means that the location is to be chosen anew.
-func (w *work) enter(out *Outcome, p *place) bool {
+// enterLocation runs the steps and the action of a location. It returns false if the location has to be chosen again.
+func (w *decision) enterLocation(out *Outcome, p *location) bool {
 	out.Location, out.pages, out.intercepts = p.Name, p.pages, p.Intercept
 	before := w.path
-	answer, again := w.take(p.steps)
+	answer, again := w.runSteps(p.steps)
 	switch {
 	case answer != nil:
 		out.Answer = answer
@@ -68,13 +70,13 @@
 	case p.action == nil:
 		out.Answer = &Answer{Status: http.StatusNotFound}
 	default:
-		w.send(out, p, before != w.path)
+		w.setTarget(out, p, before != w.path)
 	}
 	return true
 }
 
-// take takes steps in order; again means that the location is to be chosen anew.
-func (w *work) take(steps []step) (answer *Answer, again bool) {
+// runSteps runs steps in order. again means that the location has to be chosen again.
+func (w *decision) runSteps(steps []compiledStep) (answer *Answer, again bool) {
 	for i := range steps {
 		s := &steps[i]
 		switch {
@@ -87,7 +89,7 @@
 		if m == nil {
 			continue
 		}
-		w.caps = capture(s.pattern, m, w.caps)
+		w.captures = capture(s.pattern, m, w.captures)
 		if s.Then == Redirect || s.Then == Moved {
 			status := http.StatusFound
 			if s.Then == Moved {
@@ -95,7 +97,7 @@
 			}
 			return &Answer{Status: status, Location: withQuery(s.to.expandURL(w), w.query)}, false
 		}
-		w.path, w.query = split(s.to.expand(w), w.query)
+		w.path, w.query = splitTarget(s.to.expand(w), w.query)
 		w.changed = true
 		switch s.Then {
 		case Last:
@@ -108,9 +110,8 @@
 	return nil, again
 }
 
-// split gives the path and query of a replacement: its own query goes ahead of the one that came, and a ? at the end drops
-// that.
-func split(to, query string) (string, string) {
+// splitTarget returns the path and query of a replacement. Its own query precedes that of the request, and a ? at the end drops the latter.
+func splitTarget(to, query string) (string, string) {
 	path, own, ok := strings.Cut(to, "?")
 	switch {
 	case !ok:
@@ -123,19 +124,20 @@
 	return path, own + "&" + query
 }
 
+// withQuery returns a replacement with the query of the request, as split joins them.
 func withQuery(to, query string) string {
-	path, query := split(to, query)
+	path, query := splitTarget(to, query)
 	if query == "" {
 		return path
 	}
 	return path + "?" + query
 }
 
-// send fills in how a request goes on to a pool.
-func (w *work) send(out *Outcome, p *place, rewritten bool) {
+// setTarget sets how a request is sent to a pool.
+func (w *decision) setTarget(out *Outcome, p *location, rewritten bool) {
 	a := p.action
 	out.Do, out.Class = a.Action, a.Class
-	if !safe(w.Method) {
+	if !isSafeMethod(w.Method) {
 		out.Class = a.Other
 	}
 	switch {
@@ -145,9 +147,9 @@
 			out.Target = "/" + out.Target
 		}
 	case a.Replace != "" && !rewritten:
-		out.Target = withQuery(a.Replace+Escape(w.path[len(p.Path):]), w.query)
+		out.Target = withQuery(a.Replace+route.EscapePath(w.path[len(p.Path):]), w.query)
 	case w.changed:
-		out.Target = withQuery(Escape(w.path), w.query)
+		out.Target = withQuery(route.EscapePath(w.path), w.query)
 	default:
 		out.Target = w.Raw
 	}
@@ -156,24 +158,7 @@
 	}
 }
 
-// safe tells whether a method is safe (RFC 9110, 9.2.1).
-func safe(method string) bool {
+// isSafeMethod reports whether a method is safe (RFC 9110, section 9.2.1).
+func isSafeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions || method == http.MethodTrace
 }
-
-// Escape percent-encodes those bytes of a decoded path that may not stand in one (RFC 3986, 3.3).
-func Escape(path string) string {
-	const hex = "0123456789ABCDEF"
-	var out strings.Builder
-	for i := 0; i < len(path); i++ {
-		switch c := path[i]; {
-		case 'a' <= c && c <= 'z', 'A' <= c && c <= 'Z', '0' <= c && c <= '9', strings.IndexByte("-._~!$&'()*+,;=:@/", c) >= 0:
-			out.WriteByte(c)
-		default:
-			out.WriteByte('%')
-			out.WriteByte(hex[c>>4])
-			out.WriteByte(hex[c&15])
-		}
-	}
-	return out.String()
-}
--- a/internal/vhost/template.go
+++ b/internal/vhost/template.go
@@ -6,16 +6,20 @@
 	"regexp"
 	"strconv"
 	"strings"
+
+	"milletmast/internal/route"
 )
 
-// captures are what expressions have captured of a request: by number those of the last one, by name of all.
-type captures struct {
+// captureGroups are the capture groups of the regular expressions that matched a request: by number those of the last one, by name those
+// of all.
+type captureGroups struct {
 	numbered []string
 	named    map[string]string
 }
 
-func capture(re *regexp.Regexp, m []string, before *captures) *captures {
-	c := &captures{numbered: m}
+// capture returns the captures after a match, with the named ones from before.
+func capture(re *regexp.Regexp, m []string, before *captureGroups) *captureGroups {
+	c := &captureGroups{numbered: m}
 	if before != nil {
 		c.named = before.named
 	}
@@ -36,32 +40,34 @@
 	return c
 }
 
-// template is a text with placeholders: {path}, {raw} (path and query as they came), {query}, {?query} (with a question mark,
-// if there is one), {host}, {method}, {scheme}, {caller}, {header:NAME}, {forwarded} (X-Forwarded-For with the caller put
-// behind), {1} to {9} and names for what expressions have captured. {{ stands for {.
-type template []part
+// template is a text with placeholders: {path}, {raw} (path and query of the request), {query}, {?query} (with a question mark, if there is
+// one), {host}, {method}, {scheme}, {caller}, {header:NAME}, {forwarded} (X-Forwarded-For with the caller appended), and {1} to {9} and
+// names for captures. {{ stands for {.
+type template []templatePart
 
-type part struct {
-	text string
-	of   func(*work) string // nil for the text
-	free bool               // what it gives may hold any byte, and is escaped where it goes into a URL
+// templatePart is a text or a placeholder.
+type templatePart struct {
+	text        string
+	value       func(*decision) string // value of a placeholder; nil for a text
+	needsEscape bool                   // whether the value may contain any byte, so that it is escaped in a URL
 }
 
-var fixed = map[string]func(*work) string{
-	"path":   func(w *work) string { return Escape(w.path) },
-	"raw":    func(w *work) string { return w.Raw },
-	"query":  func(w *work) string { return w.query },
-	"host":   func(w *work) string { return w.Host },
-	"method": func(w *work) string { return w.Method },
-	"scheme": func(w *work) string { return w.Scheme },
-	"caller": func(w *work) string { return w.Caller },
-	"?query": func(w *work) string {
+// fixedPlaceholders are the placeholders with fixed names.
+var fixedPlaceholders = map[string]func(*decision) string{
+	"path":   func(w *decision) string { return route.EscapePath(w.path) },
+	"raw":    func(w *decision) string { return w.Raw },
+	"query":  func(w *decision) string { return w.query },
+	"host":   func(w *decision) string { return w.Host },
+	"method": func(w *decision) string { return w.Method },
+	"scheme": func(w *decision) string { return w.Scheme },
+	"caller": func(w *decision) string { return w.Caller },
+	"?query": func(w *decision) string {
 		if w.query == "" {
 			return ""
 		}
 		return "?" + w.query
 	},
-	"forwarded": func(w *work) string {
+	"forwarded": func(w *decision) string {
 		if came := w.Header("X-Forwarded-For"); came != "" {
 			return came + ", " + w.Caller
 		}
@@ -69,9 +75,10 @@
 	},
 }
 
+// captureName matches the names of captures.
 var captureName = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]*$`)
 
-// parseTemplate reads a template.
+// parseTemplate parses a template.
 func parseTemplate(text string) (template, error) {
 	if strings.ContainsAny(text, "\r\n\x00") {
 		return nil, errors.New("line ends are not allowed")
@@ -80,13 +87,13 @@
 	for text != "" {
 		plain, rest, ok := strings.Cut(text, "{")
 		if plain != "" {
-			t = append(t, part{text: plain})
+			t = append(t, templatePart{text: plain})
 		}
 		if !ok {
 			break
 		}
 		if strings.HasPrefix(rest, "{") {
-			t, text = append(t, part{text: "{"}), rest[1:]
+			t, text = append(t, templatePart{text: "{"}), rest[1:]
 			continue
 		}
 		name, after, ok := strings.Cut(rest, "}")
@@ -97,56 +104,60 @@
 		if err != nil {
 			return nil, err
 		}
-		t, text = append(t, part{of: of, free: free}), after
+		t, text = append(t, templatePart{value: of, needsEscape: free}), after
 	}
 	return t, nil
 }
 
-// placeholder finds what a name stands for; free tells that it may hold any byte.
-func placeholder(name string) (of func(*work) string, free bool, err error) {
-	if of := fixed[name]; of != nil {
+// placeholder returns the value of a placeholder. free means that it may contain any byte.
+func placeholder(name string) (of func(*decision) string, free bool, err error) {
+	if of := fixedPlaceholders[name]; of != nil {
 		return of, name == "forwarded", nil
 	}
 	if n, err := strconv.Atoi(name); err == nil && n >= 0 && n <= 9 {
-		return func(w *work) string {
-			if w.caps == nil || n >= len(w.caps.numbered) {
+		return func(w *decision) string {
+			if w.captures == nil || n >= len(w.captures.numbered) {
 				return ""
 			}
-			return w.caps.numbered[n]
+			return w.captures.numbered[n]
 		}, true, nil
 	}
 	if header, ok := strings.CutPrefix(name, "header:"); ok && header != "" && !strings.ContainsAny(header, " \t:") {
-		return func(w *work) string { return w.Header(header) }, true, nil
+		return func(w *decision) string { return w.Header(header) }, true, nil
 	}
 	if captureName.MatchString(name) {
-		return func(w *work) string {
-			if w.caps == nil {
+		return func(w *decision) string {
+			if w.captures == nil {
 				return ""
 			}
-			return w.caps.named[name]
+			return w.captures.named[name]
 		}, true, nil
 	}
 	return nil, false, fmt.Errorf("{%s} is no placeholder", name)
 }
 
-func (t template) expand(w *work) string { return t.fill(w, func(s string) string { return s }) }
+// expand returns the text with the values of its placeholders.
+func (t template) expand(w *decision) string {
+	return t.expandWith(w, func(s string) string { return s })
+}
 
-// expandURL makes a part of a URL: what placeholders stand for is escaped.
-func (t template) expandURL(w *work) string { return t.fill(w, Escape) }
+// expandURL is expand for a part of a URL: values are escaped.
+func (t template) expandURL(w *decision) string { return t.expandWith(w, route.EscapePath) }
 
-func (t template) fill(w *work, escape func(string) string) string {
-	if len(t) == 1 && t[0].of == nil {
+// expandWith returns the text with escaped values.
+func (t template) expandWith(w *decision, escape func(string) string) string {
+	if len(t) == 1 && t[0].value == nil {
 		return t[0].text
 	}
 	var out strings.Builder
 	for _, p := range t {
 		switch {
-		case p.of == nil:
+		case p.value == nil:
 			out.WriteString(p.text)
-		case p.free:
-			out.WriteString(escape(p.of(w)))
+		case p.needsEscape:
+			out.WriteString(escape(p.value(w)))
 		default:
-			out.WriteString(p.of(w))
+			out.WriteString(p.value(w))
 		}
 	}
 	return out.String()
--- a/internal/vhost/vhost.go
+++ b/internal/vhost/vhost.go
@@ -1,11 +1,10 @@
-// Package vhost decides what becomes of a request by virtual servers and locations, as nginx documents them
-// (ngx_http_core_module: server_name, location; ngx_http_rewrite_module; "Server names", "How nginx processes a request").
-// The order of expressions counts there, unlike in package route. A Table is compiled once, is immutable and free of I/O,
-// and may be used by any number of goroutines.
+// Package vhost decides on requests by virtual servers and locations, as nginx documents them (ngx_http_core_module: server_name, location;
+// ngx_http_rewrite_module; "Server names", "How nginx processes a request"). The order of regular expressions counts, unlike in package
+// route. A Table is compiled once. It is immutable, does no I/O, and may be used by any number of goroutines.
 //
-// A server is chosen by host: an exact name, the longest wildcard that begins with *, the longest that ends with *, the first
-// expression, the default. A location is chosen by path: an equal one; else the longest prefix is remembered, and within it
-// the same search goes on; unless that prefix says otherwise, the first expression that matches goes before it.
+// The server is chosen by host: an exact name, the longest wildcard that begins with *, the longest that ends with *, the first regular
+// expression, the default. The location is chosen by path: an equal one; else the longest prefix is remembered, and the same search goes on
+// within it; the first regular expression that matches replaces it, unless the prefix excludes that.
 package vhost
 
 import (
@@ -14,77 +13,78 @@
 	"strings"
 )
 
-// Kind tells how a location's path is compared. A prefix is one of bytes, not of segments.
+// Kind is how a location's path is compared. A prefix is one of bytes, not of segments.
 type Kind uint8
 
 // The kinds of location.
 const (
-	Begins     Kind = iota // the longest prefix is remembered, expressions go before it
-	BeginsOnly             // no expression of its level is looked at if this is the longest prefix (^~)
-	Equals                 // ends the search (=)
-	Matches                // an expression (~), not anchored
-	MatchesAny             // likewise, whatever the case of letters (~*)
-	Named                  // reached by error pages only; its path is its name (@)
+	Begins     Kind = iota // a prefix; regular expressions take precedence over it
+	BeginsOnly             // a prefix; no regular expression of its level takes precedence if it is the longest (^~)
+	Equals                 // the path itself; ends the search (=)
+	Matches                // a regular expression (~), not anchored
+	MatchesAny             // a regular expression that ignores case (~*)
+	Named                  // used by error pages only; its path is its name (@)
 )
 
-func (k Kind) expression() bool { return k == Matches || k == MatchesAny }
+// isRegexp reports whether the path is a regular expression.
+func (k Kind) isRegexp() bool { return k == Matches || k == MatchesAny }
 
-// Then tells how a rewrite goes on.
+// Then is how the decision continues after a rewrite.
 type Then uint8
 
-// The ways to go on behind a rewrite that has matched.
+// The ways to continue after a rewrite that has matched.
 const (
-	Next     Then = iota // with the next step; if the path has changed at the end, the location is chosen anew
-	Last                 // the location is chosen anew at once
-	Break                // the location stays, and no further step is taken
+	Next     Then = iota // with the next step; if the path has changed at the end, the location is chosen again
+	Last                 // the location is chosen again at once
+	Break                // the location stays, without further steps
 	Redirect             // the answer is 302
 	Moved                // the answer is 301
 )
 
-// Step is one of those taken in order, once a server or location has been chosen. It rewrites if it has an expression,
-// stops there with Stop, and else answers.
+// Step is one of the steps that run in order after a server or location has been chosen. It rewrites if it has a regular expression, ends
+// the steps with Stop, and else answers.
 type Step struct {
 	Match string // compared with the path, not anchored
-	To    string // a template for the new path; what follows a ? goes ahead of the query, and one at the end drops that
+	To    string // a template for the new path; what follows a ? precedes the query, and a ? at the end drops the query
 	Then  Then
 	Stop  bool
 	Answer
 }
 
-// Answer is a fixed answer.
+// Answer is a fixed response.
 type Answer struct {
 	Status   int
 	Body     string // a template
 	Location string // a template, of a redirect
 }
 
-// Header is one that is set on its way to a server of the pool; an empty value takes it away.
+// Header is a header that is set in the request to a server of the pool. An empty value removes it.
 type Header struct{ Name, Value string } // the value is a template
 
-// Action is what becomes of a request in a location.
+// Action is what a location does with a request.
 type Action struct {
 	Pool  string
 	Class string // of safe methods (RFC 9110, 9.2.1)
 	Other string // of others
 
-	Replace string // stands for the part of the path that the location's prefix matches; "" for the path as it came
+	Replace string // replaces the part of the path that the location's prefix matches; "" for the path as it is
 	Target  string // a template for path and query together, instead
 	Headers []Header
 	MaxBody int64 // bytes; 0 for no limit of its own
 }
 
-// Location is one of a server, or within another.
+// Location is a location of a server, or within another.
 type Location struct {
 	Name   string // unique in a server
 	Kind   Kind
 	Path   string
 	Steps  []Step
-	Do     *Action // nil where there is nothing to send to: 404
+	Do     *Action // nil for none: 404
 	Within []Location
 
-	Internal  bool        // requests of the outside are answered 404 there
-	Errors    []ErrorPage // instead of those around it, if there are any
-	Intercept bool        // errors that servers answer are replaced too
+	Internal  bool        // whether requests of clients get 404 here
+	Errors    []ErrorPage // replace those of the enclosing location or server, if there are any
+	Intercept bool        // whether error responses of servers are replaced too
 }
 
 // Server is a virtual server.
@@ -97,79 +97,80 @@
 	Errors    []ErrorPage
 }
 
-// Request is what a decision sees of a request.
+// Request is what Decide uses of a request.
 type Request struct {
 	Method string
-	Host   string // as route.NormalizeHost gives it
+	Host   string // from route.NormalizeHost
 	Path   string // decoded, without empty and dot segments
-	Raw    string // path and query as they came
+	Raw    string // path and query of the request
 	Query  string
 	Caller string // address without port
 	Scheme string
 	Header func(name string) string // "" for none
 }
 
-// Outcome is what a table decides.
+// Outcome is the decision on a request.
 type Outcome struct {
 	Server, Location string
 	Do               *Action
 	Class            string
-	Target           string // path and query as they go on
+	Target           string // path and query for the server
 	Headers          []Header
-	Answer           *Answer // instead
-	Method           string  // as it goes on
+	Answer           *Answer // instead of an action
+	Method           string  // for the server
 	Status           int     // of the final answer, whatever the server's is: 0 for that of the error, Own, or this one
-	Page             bool    // a request of its own, without a body, stands in for the one that came
+	Page             bool    // whether a request without a body replaces that of the client
 
-	at    *work // where an error page goes on; nil where there is none
-	pages []page
+	decision *decision // from which an error page continues; nil for none
+	pages    []compiledPage
 
 	intercepts bool
 }
 
-// level is the locations of a server, or within a location.
-type level struct {
-	equal    map[string]*place
-	prefixes []*place // sorted by path
-	patterns []*place // in the order of the file
+// locationSet holds the locations of a server, or those within a location.
+type locationSet struct {
+	exact    map[string]*location
+	prefixes []*location // in the order of their paths
+	patterns []*location // in the order of the file
 }
 
-// place is a compiled location.
-type place struct {
+// location is a compiled location.
+type location struct {
 	*Location
-	pattern *regexp.Regexp
-	shorter *place // the longest other prefix of its level that it begins with
-	within  *level
-	steps   []step
-	action  *action
-	pages   []page // those in force here
+	pattern       *regexp.Regexp
+	shorterPrefix *location // the longest other prefix of its level that it begins with
+	within        *locationSet
+	steps         []compiledStep
+	action        *compiledAction
+	pages         []compiledPage // that apply here
 }
 
-// site is a compiled server.
-type site struct {
+// virtualServer is a compiled server.
+type virtualServer struct {
 	*Server
-	steps  []step
-	places *level
-	named  map[string]*place
-	pages  []page
+	steps     []compiledStep
+	locations *locationSet
+	named     map[string]*location
+	pages     []compiledPage
 }
 
 // Table is a compiled set of servers.
 type Table struct {
-	exact       map[string]*site
-	front, back map[string]*site // wildcards, by what is beside the *
-	patterns    []hostPattern    // in the order of the file
-	standard    *site
+	exactHosts                          map[string]*virtualServer
+	leadingWildcards, trailingWildcards map[string]*virtualServer // wildcards, by the name without the *
+	patterns                            []hostPattern             // in the order of the file
+	defaultServer                       *virtualServer
 }
 
+// hostPattern is a regular expression for hosts.
 type hostPattern struct {
 	*regexp.Regexp
-	site *site
+	site *virtualServer
 }
 
-// find chooses the server of a host, with what an expression has captured.
-func (t *Table) find(host string) (*site, *captures) {
-	if s := t.exact[host]; s != nil {
+// findServer returns the server of a host, and the captures of a regular expression.
+func (t *Table) findServer(host string) (*virtualServer, *captureGroups) {
+	if s := t.exactHosts[host]; s != nil {
 		return s, nil
 	}
 	for rest := host; ; {
@@ -177,7 +178,7 @@
 		if !ok {
 			break
 		}
-		if s := t.front[after]; s != nil {
+		if s := t.leadingWildcards[after]; s != nil {
 			return s, nil
 		}
 		rest = after
@@ -187,8 +188,8 @@
 		if dot < 0 {
 			break
 		}
-		if rest = rest[:dot]; t.back[rest] != nil {
-			return t.back[rest], nil
+		if rest = rest[:dot]; t.trailingWildcards[rest] != nil {
+			return t.trailingWildcards[rest], nil
 		}
 	}
 	for _, p := range t.patterns {
@@ -196,14 +197,14 @@
 			return p.site, capture(p.Regexp, m, nil)
 		}
 	}
-	return t.standard, nil
+	return t.defaultServer, nil
 }
 
-// longest is the longest prefix of the level that a path begins with.
-func (l *level) longest(path string) *place {
-	// The last one that is not behind the path in order, or one that it begins with: what lies between a prefix of the path
-	// and the path itself begins with that prefix too.
-	n, found := slices.BinarySearchFunc(l.prefixes, path, func(p *place, path string) int { return strings.Compare(p.Path, path) })
+// longestPrefix returns the longest prefix of the level that a path begins with, or nil.
+func (l *locationSet) longestPrefix(path string) *location {
+	// This is the last one that is not after the path in order, or one that it begins with: all that is between a prefix of the path and the
+	// path itself in order begins with that prefix too.
+	n, found := slices.BinarySearchFunc(l.prefixes, path, func(p *location, path string) int { return strings.Compare(p.Path, path) })
 	if !found {
 		n--
 	}
@@ -212,21 +213,21 @@
 	}
 	p := l.prefixes[n]
 	for p != nil && !strings.HasPrefix(path, p.Path) {
-		p = p.shorter
+		p = p.shorterPrefix
 	}
 	return p
 }
 
-// choose finds the location of a path in a level and those within; final means that no expression outside goes before it.
-// What an expression captures is put into caps.
-func (l *level) choose(path string, caps **captures) (found *place, final bool) {
+// choose returns the location of a path in a level and those within it. final means that no regular expression of an enclosing level takes
+// precedence. The captures of a regular expression are stored in caps.
+func (l *locationSet) choose(path string, caps **captureGroups) (found *location, final bool) {
 	if l == nil {
 		return nil, false
 	}
-	if p := l.equal[path]; p != nil {
+	if p := l.exact[path]; p != nil {
 		return p, true
 	}
-	remembered := l.longest(path)
+	remembered := l.longestPrefix(path)
 	if found = remembered; remembered != nil {
 		if inner, final := remembered.within.choose(path, caps); inner != nil {
 			if found = inner; final {
--- a/internal/vhost/vhost_test.go
+++ b/internal/vhost/vhost_test.go
@@ -87,7 +87,7 @@
 		if l.Kind == MatchesAny {
 			text = "(?i)" + text
 		}
-		if l.Kind.expression() && regexp.MustCompile(text).MatchString(path) {
+		if l.Kind.isRegexp() && regexp.MustCompile(text).MatchString(path) {
 			if inner, _ := refer(l.Within, path); inner != nil {
 				return inner, true
 			}
@@ -122,7 +122,7 @@
 		*number++
 		l := Location{Name: fmt.Sprint("l", *number), Kind: Kind(rapid.IntRange(0, 4).Draw(t, "kind")), Do: &Action{Pool: "p"}}
 		switch {
-		case l.Kind.expression():
+		case l.Kind.isRegexp():
 			l.Path = rapid.SampledFrom([]string{`\.gif$`, `^/a`, `b`, `^/(a|b)/`, `A`, `/a/b$`}).Draw(t, "expression")
 		default:
 			l.Path = under + strings.TrimPrefix(drawPath(t), "/")
@@ -137,7 +137,7 @@
 		}
 		if l.Kind != Equals && depth < 3 {
 			inside := under
-			if !l.Kind.expression() {
+			if !l.Kind.isRegexp() {
 				inside = l.Path
 			}
 			l.Within = drawLocations(t, depth+1, number, inside)
@@ -295,7 +295,7 @@
 		{"path", []Server{{Name: "s", Locations: []Location{{Name: "a", Path: "/"}, {Name: "b", Kind: BeginsOnly, Path: "/"}}}}},
 		{"path", []Server{{Name: "s", Locations: []Location{{Name: "a"}}}}},
 		{"path", []Server{{Name: "s", Locations: []Location{{Name: "a", Kind: Matches, Path: `(?=x)`}}}}},
-		{"path", []Server{{Name: "s", Locations: []Location{{Name: "a", Kind: Matches, Path: strings.Repeat("x", MaxPattern+1)}}}}},
+		{"path", []Server{{Name: "s", Locations: []Location{{Name: "a", Kind: Matches, Path: strings.Repeat("x", MaxPatternBytes+1)}}}}},
 		{"hosts", []Server{{Name: "s", Hosts: []string{"a"}}, {Name: "t", Hosts: []string{"A"}}}},
 		{"hosts", []Server{{Name: "s", Hosts: []string{"a.*.b"}}}},
 		{"hosts", []Server{{Name: "s", Hosts: []string{`~(`}}}},
--- /dev/null
+++ b/internal/warmstart/decay.go
@@ -0,0 +1,105 @@
+// Package warmstart decays what a decision module has learned, by its age, so that a new module can start from it. It has no
+// I/O and no clock. The rules:
+//
+//   - What is as old as MaxAge, or comes from the future as a clock was set, is dropped.
+//   - The load and pace of a server move linearly with age to the mean of all servers, so that old differences fade.
+//   - A server that was cut off stays so for half of MaxAge; after that it counts as not measured.
+//   - The capacity, and the least mean latency that it is judged by, are kept for MaxCapacityAge only: they describe a load,
+//     not servers.
+//
+// Which incarnation of a server a measurement belongs to, and that a server that warms up has none, are rules of the module.
+package warmstart
+
+import (
+	"math"
+	"time"
+
+	"milletmast/balancer"
+)
+
+// The ages from which learned values are dropped.
+const (
+	MaxAge         = 60 * time.Second
+	MaxCapacityAge = 15 * time.Second
+)
+
+// Decay returns what is left of a memory at the time now, in ms, and its age. Nothing is left if the age is out of range.
+// Impossible values count as not learned.
+func Decay(m balancer.Memory, now float64) (balancer.Memory, time.Duration) {
+	age := now - m.At
+	none := balancer.Memory{At: now}
+	if !(age >= 0) || age >= ms(MaxAge) {
+		return none, 0
+	}
+	decayed := balancer.Memory{At: now, Demand: positive(m.Demand), Sent: positive(m.Sent)}
+	fade := math.Exp(-age / rateDecayTime)
+	decayed.Demand *= fade
+	decayed.Sent *= fade
+	if age < ms(MaxCapacityAge) {
+		decayed.Room, decayed.Typical, decayed.Calm = positive(m.Room), positive(m.Typical), positive(m.Calm)
+	}
+	for _, c := range m.Classes {
+		decayed.Classes = append(
+			decayed.Classes,
+			balancer.ClassMemory{Latency: positive(c.Latency), Share: ratio(c.Share), Served: ratio(c.Served)},
+		)
+	}
+	trust := 1 - age/ms(MaxAge)
+	load, pace := meanLoadAndPace(m.Servers)
+	for _, s := range m.Servers {
+		server := balancer.ServerMemory{
+			Server: s.Server, Started: positive(s.Started),
+			Load: moveToward(load, positive(s.Load), trust), MaxLoad: positive(s.MaxLoad) * trust,
+			Pace: moveToward(pace, positive(s.Pace), trust), Run: positive(s.Run) * trust,
+		}
+		if server.Cut = s.Cut && trust > 0.5; s.Cut && !server.Cut {
+			server = balancer.ServerMemory{Server: server.Server, Started: server.Started, Run: server.Run}
+		}
+		decayed.Servers = append(decayed.Servers, server)
+	}
+	return decayed, time.Duration(age * float64(time.Millisecond))
+}
+
+// rateDecayTime is the time constant in ms with which a rate decays, as in the module.
+const rateDecayTime = 2000.0
+
+// ms returns a duration in milliseconds.
+func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+
+// moveToward returns a learned value moved to the mean as trust falls from 1 to 0; 0 if it was not learned.
+func moveToward(mean, value, trust float64) float64 {
+	if value == 0 {
+		return 0
+	}
+	return mean + (value-mean)*trust
+}
+
+// meanLoadAndPace returns the mean load and the mean pace of the servers for which they were learned.
+func meanLoadAndPace(list []balancer.ServerMemory) (load, pace float64) {
+	loads, paces := 0.0, 0.0
+	for _, s := range list {
+		if v := positive(s.Load); v > 0 {
+			load += v
+			loads++
+		}
+		if v := positive(s.Pace); v > 0 {
+			pace += v
+			paces++
+		}
+	}
+	return load / math.Max(loads, 1), pace / math.Max(paces, 1)
+}
+
+// maxValue is above any value that a module learns.
+const maxValue = 1e15
+
+// positive returns a value, or 0 if it is negative, too large or NaN.
+func positive(v float64) float64 {
+	if v > 0 && v < maxValue {
+		return v
+	}
+	return 0
+}
+
+// ratio returns a value between 0 and 1.
+func ratio(v float64) float64 { return min(positive(v), 1) }
--- a/internal/learned/learned_test.go
+++ b/internal/warmstart/decay_test.go
@@ -1,4 +1,4 @@
-package learned
+package warmstart
 
 import (
 	"math"
@@ -6,39 +6,39 @@
 
 	"pgregory.net/rapid"
 
-	"whinknot"
+	"milletmast/balancer"
 )
 
-func sample() whinknot.Memory {
-	return whinknot.Memory{
-		At: 1e6, Room: 3, Typical: 0.4, Calm: 0.3, Demand: 100, Sent: 90, Classes: []whinknot.ClassMemory{{Latency: 30, Share: 1, Served: 0.9}},
-		Servers: []whinknot.ServerMemory{{Server: 1, Load: 100, MaxLoad: 200, Pace: 0.2}, {Server: 2, Load: 20, Pace: 0.6, Run: 2}, {Server: 3, Started: 5, Cut: true, Run: 4}},
+func sample() balancer.Memory {
+	return balancer.Memory{
+		At: 1e6, Room: 3, Typical: 0.4, Calm: 0.3, Demand: 100, Sent: 90, Classes: []balancer.ClassMemory{{Latency: 30, Share: 1, Served: 0.9}},
+		Servers: []balancer.ServerMemory{{Server: 1, Load: 100, MaxLoad: 200, Pace: 0.2}, {Server: 2, Load: 20, Pace: 0.6, Run: 2}, {Server: 3, Started: 5, Cut: true, Run: 4}},
 	}
 }
 
-func TestAt(t *testing.T) {
+func TestDecay(t *testing.T) {
 	m := sample()
-	now, age := At(m, m.At)
+	now, age := Decay(m, m.At)
 	if age != 0 || now.Room != 3 || now.Demand != 100 || now.Servers[0] != m.Servers[0] || now.Servers[1] != m.Servers[1] || now.Servers[2] != m.Servers[2] {
 		t.Errorf("at age 0: %+v, %v", now, age)
 	}
-	half, _ := At(m, m.At+29_000)
+	half, _ := Decay(m, m.At+29_000)
 	if half.Room != 0 || half.Calm != 0 || half.Servers[0].Load >= 100 || half.Servers[0].Load <= 60 || half.Servers[1].Load <= 20 || !half.Servers[2].Cut {
 		t.Errorf("after 29 s: %+v", half)
 	}
-	late, _ := At(m, m.At+40_000)
+	late, _ := Decay(m, m.At+40_000)
 	if s := late.Servers[2]; s.Cut || s.Load != 0 || s.Run == 0 || s.Run >= 4 || s.Started != 5 {
 		t.Errorf("a cut one after 40 s: %+v", s)
 	}
 	for _, at := range []float64{m.At - 1, m.At - 86_400_000, m.At + 60_000, m.At + 3e10, math.NaN(), math.Inf(1)} {
-		if none, age := At(m, at); len(none.Servers) > 0 || len(none.Classes) > 0 || none.Room != 0 || none.Demand != 0 || age != 0 {
+		if none, age := Decay(m, at); len(none.Servers) > 0 || len(none.Classes) > 0 || none.Room != 0 || none.Demand != 0 || age != 0 {
 			t.Errorf("at %v: %+v, %v", at, none, age)
 		}
 	}
 }
 
-// Belief falls with age and never comes back; nothing that comes out is negative or no number, whatever goes in.
-func TestMonotone(t *testing.T) {
+// Trust in a value only falls with age, and no result is negative or not finite, whatever the input.
+func TestTrustOnlyFalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := sample()
 		odd := rapid.SampledFrom([]float64{0, 1, -3, 1e300, math.NaN(), math.Inf(1), math.Inf(-1), 50})
@@ -49,12 +49,12 @@
 		m.Room, m.Demand, m.Classes[0].Share = odd.Draw(t, "room"), odd.Draw(t, "demand"), odd.Draw(t, "share")
 		a := rapid.Float64Range(0, 70_000).Draw(t, "age")
 		b := a + rapid.Float64Range(0, 30_000).Draw(t, "more")
-		young, _ := At(m, m.At+a)
-		old, _ := At(m, m.At+b)
+		young, _ := Decay(m, m.At+a)
+		old, _ := Decay(m, m.At+b)
 		if old.Room > young.Room || old.Demand > young.Demand || len(old.Servers) > len(young.Servers) {
 			t.Fatalf("%+v grew to %+v", young, old)
 		}
-		load, pace := means(m.Servers)
+		load, pace := meanLoadAndPace(m.Servers)
 		for i, o := range old.Servers {
 			y := young.Servers[i]
 			if o.Cut && !y.Cut || o.Run > y.Run || o.MaxLoad > y.MaxLoad {
@@ -64,7 +64,7 @@
 				t.Fatalf("server %+v is believed more as %+v", y, o)
 			}
 		}
-		for _, k := range []whinknot.Memory{young, old} {
+		for _, k := range []balancer.Memory{young, old} {
 			for _, s := range k.Servers {
 				for _, v := range []float64{k.Room, k.Demand, k.Sent, s.Load, s.MaxLoad, s.Pace, s.Run, s.Started} {
 					if !(v >= 0) || math.IsInf(v, 0) {
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"whinknot"
+	"milletmast/balancer"
 )
 
 // recorder keeps what a batch delivers.
@@ -16,7 +16,7 @@
 	started  map[uint16]uint64
 	settings string
 	stopped  []uint16
-	events   []whinknot.Event
+	events   []balancer.Event
 	insts    []uint16
 }
 
@@ -30,9 +30,9 @@
 
 func (r *recorder) Stop(inst uint16) { r.stopped = append(r.stopped, inst) }
 
-func (r *recorder) Event(inst uint16, _ float64, ev *whinknot.Event) error {
+func (r *recorder) Event(inst uint16, _ float64, ev *balancer.Event) error {
 	kept := *ev
-	kept.Servers = append([]whinknot.ServerEntry(nil), ev.Servers...)
+	kept.Servers = append([]balancer.ServerEntry(nil), ev.Servers...)
 	r.insts = append(r.insts, inst)
 	r.events = append(r.events, kept)
 	return nil
@@ -99,10 +99,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []whinknot.Event{
-		{Kind: whinknot.EvRequest, Request: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, Due: 8652.25, Hint: 12},
-		{Kind: whinknot.EvTimer, Token: 77},
-		{Kind: whinknot.EvGone, Request: 0x0e6f2b19},
+	want := []balancer.Event{
+		{Kind: balancer.EvRequest, Request: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, Due: 8652.25, Hint: 12},
+		{Kind: balancer.EvTimer, Token: 77},
+		{Kind: balancer.EvGone, Request: 0x0e6f2b19},
 	}
 	for i, w := range want {
 		got := rec.events[i]
@@ -119,9 +119,9 @@
 
 func TestExampleReply(t *testing.T) {
 	var r Reply
-	r.Add(3, &whinknot.Action{Kind: whinknot.ActSend, Request: 0x5d3a91c4, Server: 0x03124a07, Until: 8492.25})
-	r.Add(3, &whinknot.Action{Kind: whinknot.ActTimer, After: 500, Token: 77})
-	r.Add(5, &whinknot.Action{Kind: whinknot.ActLog, Text: "two servers known"})
+	r.Add(3, &balancer.Action{Kind: balancer.ActSend, Request: 0x5d3a91c4, Server: 0x03124a07, Until: 8492.25})
+	r.Add(3, &balancer.Action{Kind: balancer.ActTimer, After: 500, Token: 77})
+	r.Add(5, &balancer.Action{Kind: balancer.ActLog, Text: "two servers known"})
 	var out bytes.Buffer
 	if err := r.WriteTo(&out, 12); err != nil {
 		t.Fatal(err)
@@ -140,21 +140,21 @@
 func TestGoldenActions(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		action whinknot.Action
+		action balancer.Action
 		inst   uint16
 		want   string
 	}{
-		{"refuse", whinknot.Action{Kind: whinknot.ActRefuse, Request: 0x0e6f2b19, After: 250}, 3,
+		{"refuse", balancer.Action{Kind: balancer.ActRefuse, Request: 0x0e6f2b19, After: 250}, 3,
 			"0200 0300 192b6f0e 0000000000406f40 0000000000000000"},
-		{"fail", whinknot.Action{Kind: whinknot.ActFail, Request: 0x0e6f2b19}, 3,
+		{"fail", balancer.Action{Kind: balancer.ActFail, Request: 0x0e6f2b19}, 3,
 			"0300 0300 192b6f0e 00000000000000000000000000000000"},
-		{"cancel", whinknot.Action{Kind: whinknot.ActCancel, Request: 0x5d3a91c4}, 3,
+		{"cancel", balancer.Action{Kind: balancer.ActCancel, Request: 0x5d3a91c4}, 3,
 			"0400 0300 c4913a5d 0000 0000000000000000000000000000"},
-		{"probe", whinknot.Action{Kind: whinknot.ActProbe, Server: 0x2c9011f2}, 3,
+		{"probe", balancer.Action{Kind: balancer.ActProbe, Server: 0x2c9011f2}, 3,
 			"0600 0300 f211902c 00000000000000000000000000000000"},
-		{"close", whinknot.Action{Kind: whinknot.ActClose, Server: 0x2c9011f2}, 3,
+		{"close", balancer.Action{Kind: balancer.ActClose, Server: 0x2c9011f2}, 3,
 			"0700 0300 f211902c 00000000000000000000000000000000"},
-		{"watch", whinknot.Action{Kind: whinknot.ActWatch}, 3,
+		{"watch", balancer.Action{Kind: balancer.ActWatch}, 3,
 			"0b00 0300 01 00000000000000000000000000000000000000"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -182,19 +182,19 @@
 		t.Fatal(err)
 	}
 	servers := rec.events[0].Servers
-	if rec.events[0].List != whinknot.ListCached || len(servers) != 2 {
+	if rec.events[0].List != balancer.ListCached || len(servers) != 2 {
 		t.Fatalf("list event %+v", rec.events[0])
 	}
 	if servers[0].Server != 0x03124a07 || servers[0].Weight != 1 || servers[1].Weight != 1.5 || servers[1].Started != 6100 {
 		t.Errorf("servers %+v", servers)
 	}
-	if e := rec.events[1]; e.Kind != whinknot.EvFirst || e.Server != 0x03124a07 || e.Took != 9.25 {
+	if e := rec.events[1]; e.Kind != balancer.EvFirst || e.Server != 0x03124a07 || e.Took != 9.25 {
 		t.Errorf("first %+v", e)
 	}
-	if e := rec.events[2]; e.Kind != whinknot.EvOutcome || e.Outcome != whinknot.OK || e.Took != 18.5 || !e.Done {
+	if e := rec.events[2]; e.Kind != balancer.EvOutcome || e.Outcome != balancer.OK || e.Took != 18.5 || !e.Done {
 		t.Errorf("outcome %+v", e)
 	}
-	if e := rec.events[3]; e.Kind != whinknot.EvProbe || e.Server != 0x2c9011f2 || e.Took != 1.4 {
+	if e := rec.events[3]; e.Kind != balancer.EvProbe || e.Server != 0x2c9011f2 || e.Took != 1.4 {
 		t.Errorf("probe %+v", e)
 	}
 	if len(rec.stopped) != 1 || rec.stopped[0] != 3 {
@@ -211,7 +211,7 @@
 	}{
 		{"short header", "batch header", whole[:10]},
 		{"short body", "bytes missing", whole[:40]},
-		{"no body", "bytes missing", whole[:batchHeader]},
+		{"no body", "bytes missing", whole[:batchHeaderSize]},
 		{"records over length", "do not fit", append(append([]byte{}, whole[:16]...), append([]byte{9, 0, 0, 0}, whole[20:]...)...)},
 		{"huge length", "over the limit", unhex(t, "01000000 ffffffff 00000000206ec040 00000000")},
 		{"clock", "no number", unhex(t, "01000000 00000000 000000000000f87f 00000000")},
@@ -238,8 +238,8 @@
 }
 
 func TestCleanEnd(t *testing.T) {
-	if _, err := new(Decoder).Read(bytes.NewReader(nil)); err != io.EOF {
-		t.Errorf("error %v, want io.EOF", err)
+	if _, err := new(Decoder).Read(bytes.NewReader(nil)); !errors.Is(err, io.EOF) || err.Error() != io.EOF.Error() {
+		t.Errorf("error %v, want io.EOF itself", err)
 	}
 }
 
@@ -280,10 +280,10 @@
 		t.Fatal(err)
 	}
 	c := set.Classes[0]
-	if c.Effect != whinknot.Keyed || c.Group != whinknot.GroupZone || c.Window != 2000 || c.Worth != 1 {
+	if c.Effect != balancer.Keyed || c.Group != balancer.GroupZone || c.Window != 2000 || c.Worth != 1 {
 		t.Errorf("class %+v", c)
 	}
-	if d := set.Classes[1]; d.Effect != whinknot.Unsafe || d.Worth != 0 {
+	if d := set.Classes[1]; d.Effect != balancer.Unsafe || d.Worth != 0 {
 		t.Errorf("an absent effect must be the strictest, a worth of 0 kept: %+v", d)
 	}
 	if set.Copies != 4 || set.Rank != 2 || set.Stage != 1 || set.Stages != 2 || set.Zone != 1 ||
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -5,22 +5,22 @@
 	"fmt"
 	"slices"
 
-	"whinknot"
+	"milletmast/balancer"
 )
 
-// envSettings mirrors the settings object of the wire; unknown keys are ignored.
-type envSettings struct {
-	Balancers      int        `json:"balancers"`
-	Rank           int        `json:"rank"`
-	Stage          int        `json:"stage"`
-	Stages         []string   `json:"stages"`
-	Locality       int        `json:"locality"`
-	Zones          []string   `json:"zones"`
-	Kinds          []string   `json:"kinds"`
-	Membership     string     `json:"membershipMode"`
-	WorthBy        string     `json:"worthBy"`
-	OverShareWorth *float64   `json:"overShareWorth"`
-	Classes        []envClass `json:"classes"`
+// settingsJSON is the settings object of the wire. Unknown keys are ignored.
+type settingsJSON struct {
+	Balancers      int         `json:"balancers"`
+	Rank           int         `json:"rank"`
+	Stage          int         `json:"stage"`
+	Stages         []string    `json:"stages"`
+	Locality       int         `json:"locality"`
+	Zones          []string    `json:"zones"`
+	Kinds          []string    `json:"kinds"`
+	Membership     string      `json:"membershipMode"`
+	WorthBy        string      `json:"worthBy"`
+	OverShareWorth *float64    `json:"overShareWorth"`
+	Classes        []classJSON `json:"classes"`
 	Parties        []struct {
 		Name      string  `json:"name"`
 		QuotaPerS float64 `json:"quotaPerS"`
@@ -63,7 +63,8 @@
 	} `json:"feedback"`
 }
 
-type envClass struct {
+// classJSON is one class of the settings object.
+type classJSON struct {
 	Name        string   `json:"name"`
 	Worth       *float64 `json:"worth"`
 	LateWorth   float64  `json:"lateWorth"`
@@ -76,103 +77,105 @@
 	Stream      bool     `json:"stream"`
 }
 
-var effects = map[string]whinknot.Effect{
-	"read_like":       whinknot.Safe,
-	"idempotency_key": whinknot.Keyed,
-	"non_idempotent":  whinknot.Unsafe,
+// effects maps the names of effects.
+var effects = map[string]balancer.Effect{
+	"read_like":       balancer.Safe,
+	"idempotency_key": balancer.Keyed,
+	"non_idempotent":  balancer.Unsafe,
 }
 
-var groups = map[string]whinknot.Group{
-	"all":  whinknot.GroupAll,
-	"zone": whinknot.GroupZone,
-	"cell": whinknot.GroupCell,
+// groups maps the names of the groups that remember a key.
+var groups = map[string]balancer.Group{
+	"all":  balancer.GroupAll,
+	"zone": balancer.GroupZone,
+	"cell": balancer.GroupCell,
 }
 
-// Site is the settings object with the names that the module knows by number only.
+// Site is the settings object together with the names of the zones and kinds, which the decision module knows by number only.
 type Site struct {
-	Settings     whinknot.Settings
+	Settings     balancer.Settings
 	Zones, Kinds []string
 }
 
-// ParseSettings reads the settings object that a start event carries.
-func ParseSettings(text []byte) (whinknot.Settings, error) {
+// ParseSettings parses the settings object of an instance that starts.
+func ParseSettings(text []byte) (balancer.Settings, error) {
 	site, err := ParseSite(text)
 	return site.Settings, err
 }
 
-// ParseSite reads the same object for a host that meets zones and kinds by name.
+// ParseSite parses the same object for a host that knows zones and kinds by name.
 func ParseSite(text []byte) (Site, error) {
-	var env envSettings
-	if err := json.Unmarshal(text, &env); err != nil {
+	var parsed settingsJSON
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return Site{}, fmt.Errorf("settings: %w", err)
 	}
-	l, s := env.Limits, env.Safety
-	set := whinknot.Settings{
-		Copies:         env.Balancers,
-		Rank:           env.Rank,
-		Stage:          env.Stage,
-		Stages:         len(env.Stages),
-		Zone:           env.Locality,
-		ListOnRequest:  env.Membership == "on_request",
-		WorthByWork:    env.WorthBy == "work",
-		ProbePrice:     env.Prices.Probe,
-		HeldField:      1 + slices.Index(env.Feedback.Fields, "busy_reqs"),
-		OverShareWorth: orDefault(env.OverShareWorth, 1),
-		Limits: whinknot.Limits{
-			MaxAttempts: l.MaxAttempts, MaxOpen: l.OpenCap, Cancel: l.Cancel,
-			SecondCopies: l.SecondCopies, Probes: l.Probing, RetryAfter: l.RetryAfter,
-			MaxRetryAfter: l.MaxRetryAfter, ConnectTimeout: l.ConnectTimeout,
-			ConnIdle: l.ConnIdle, Streams: l.StreamsPerConn,
+	limits, safety := parsed.Limits, parsed.Safety
+	settings := balancer.Settings{
+		Copies:         parsed.Balancers,
+		Rank:           parsed.Rank,
+		Stage:          parsed.Stage,
+		Stages:         len(parsed.Stages),
+		Zone:           parsed.Locality,
+		ListOnRequest:  parsed.Membership == "on_request",
+		WorthByWork:    parsed.WorthBy == "work",
+		ProbePrice:     parsed.Prices.Probe,
+		HeldField:      1 + slices.Index(parsed.Feedback.Fields, "busy_reqs"),
+		OverShareWorth: orDefault(parsed.OverShareWorth, 1),
+		Limits: balancer.Limits{
+			MaxAttempts: limits.MaxAttempts, MaxOpen: limits.OpenCap, Cancel: limits.Cancel,
+			SecondCopies: limits.SecondCopies, Probes: limits.Probing, RetryAfter: limits.RetryAfter,
+			MaxRetryAfter: limits.MaxRetryAfter, ConnectTimeout: limits.ConnectTimeout,
+			ConnIdle: limits.ConnIdle, Streams: limits.StreamsPerConn,
 		},
-		Safety: whinknot.Safety{
-			AnswerSlack: s.AnswerSlack, DrainGrace: s.DrainGrace, ColdFrom: s.ColdFrom,
-			Ramp: s.RampTime, FallMultiple: s.FallMultiple, FallAfter: s.TipAfter, AskEvery: s.AskEvery,
-			DrainClose: s.DrainClose, BudgetFree: s.BudgetFree, BudgetShare: s.RepeatRatio, BudgetWindow: s.LookBack,
+		Safety: balancer.Safety{
+			AnswerSlack: safety.AnswerSlack, DrainGrace: safety.DrainGrace, ColdFrom: safety.ColdFrom,
+			Ramp: safety.RampTime, FallMultiple: safety.FallMultiple, FallAfter: safety.TipAfter, AskEvery: safety.AskEvery,
+			DrainClose: safety.DrainClose, BudgetFree: safety.BudgetFree, BudgetShare: safety.RepeatRatio, BudgetWindow: safety.LookBack,
 		},
 	}
-	if all := env.Goal.Whole + env.Goal.WorstWindow; all > 0 {
-		set.WorstClass = max(env.Goal.WorstClass, 0) / all
+	if all := parsed.Goal.Whole + parsed.Goal.WorstWindow; all > 0 {
+		settings.WorstClass = max(parsed.Goal.WorstClass, 0) / all
 	}
-	for i, c := range env.Classes {
-		class, err := c.class()
+	for i := range parsed.Classes {
+		class, err := parsed.Classes[i].toClass()
 		if err != nil {
 			return Site{}, fmt.Errorf("settings: classes[%d]: %w", i, err)
 		}
-		set.Classes = append(set.Classes, class)
+		settings.Classes = append(settings.Classes, class)
 	}
-	for _, p := range env.Parties {
-		set.Tenants = append(set.Tenants, whinknot.Tenant{Name: p.Name, Quota: p.QuotaPerS})
+	for _, party := range parsed.Parties {
+		settings.Tenants = append(settings.Tenants, balancer.Tenant{Name: party.Name, Quota: party.QuotaPerS})
 	}
-	return Site{Settings: set, Zones: env.Zones, Kinds: env.Kinds}, nil
+	return Site{Settings: settings, Zones: parsed.Zones, Kinds: parsed.Kinds}, nil
 }
 
-// class turns one class of the settings into the module's; an absent effect is
-// read as unsafe and an absent group as the cell, the strictest of each.
-func (c envClass) class() (whinknot.Class, error) {
-	effect, ok := effects[c.Effect]
+// toClass converts a class of the settings. An absent effect is read as unsafe and an absent group as the cell: the strictest of each.
+func (c *classJSON) toClass() (balancer.Class, error) {
+	effect, found := effects[c.Effect]
 	if c.Effect == "" {
-		effect, ok = whinknot.Unsafe, true
+		effect, found = balancer.Unsafe, true
 	}
-	if !ok {
-		return whinknot.Class{}, fmt.Errorf("effect %q is unknown", c.Effect)
+	if !found {
+		return balancer.Class{}, fmt.Errorf("effect %q is unknown", c.Effect)
 	}
-	group, ok := groups[c.Group]
+	group, found := groups[c.Group]
 	if c.Group == "" {
-		group, ok = whinknot.GroupCell, true
+		group, found = balancer.GroupCell, true
 	}
-	if !ok {
-		return whinknot.Class{}, fmt.Errorf("group %q is unknown", c.Group)
+	if !found {
+		return balancer.Class{}, fmt.Errorf("group %q is unknown", c.Group)
 	}
-	return whinknot.Class{
+	return balancer.Class{
 		Name: c.Name, Worth: orDefault(c.Worth, 1), LateWorth: c.LateWorth,
 		Aim: c.Aim, AimStretch: c.AimStretch, GiveUp: c.GiveUp,
 		Effect: effect, Group: group, Window: c.DedupWindow, Stream: c.Stream,
 	}, nil
 }
 
-func orDefault(v *float64, d float64) float64 {
-	if v == nil {
-		return d
+// orDefault returns the value, or a default for an absent one.
+func orDefault(value *float64, defaultValue float64) float64 {
+	if value == nil {
+		return defaultValue
 	}
-	return *v
+	return *value
 }
