--- a/internal/fakeserver/server.go
+++ b/internal/fakeserver/server.go
@@ -12,6 +12,8 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"milletmast/internal/freeport"
 )
 
 // Fault is a way in which a server misbehaves.
@@ -77,20 +79,21 @@
 		conns:      map[net.Conn]bool{},
 		maxStreams: defaultMaxStreams,
 	}
-	return s, s.listen("127.0.0.1:0")
-}
-
-func (s *Server) listen(addr string) error {
-	ln, err := net.Listen("tcp", addr)
+	ln, err := freeport.Listen()
 	if err != nil {
-		return fmt.Errorf("fake server %s: %w", s.Name, err)
+		return nil, fmt.Errorf("fake server %s: %w", s.Name, err)
 	}
+	s.start(ln)
+	return s, nil
+}
+
+// start accepts connections of a listener until Close.
+func (s *Server) start(ln net.Listener) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.mu.Lock()
 	s.ln, s.addr, s.cancel = ln, ln.Addr().String(), cancel
 	s.mu.Unlock()
 	s.running.Go(func() { s.accept(ctx, ln) })
-	return nil
 }
 
 // Addr returns the address, also while the server is closed.
@@ -188,7 +191,14 @@
 }
 
 // Restart starts the server again after Close, at the same address.
-func (s *Server) Restart() error { return s.listen(s.Addr()) }
+func (s *Server) Restart() error {
+	ln, err := net.Listen("tcp", s.Addr())
+	if err != nil {
+		return fmt.Errorf("fake server %s: %w", s.Name, err)
+	}
+	s.start(ln)
+	return nil
+}
 
 func (s *Server) accept(ctx context.Context, ln net.Listener) {
 	for {
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -4,6 +4,9 @@
 // outgoing connection or listener of any process. Ports are therefore reserved below the range from which the kernel chooses
 // (ip_local_port_range, see ip(7)), and a listener at an address that nothing else uses claims each number, so that two test
 // processes never reserve the same one.
+//
+// No socket that listens at a reserved address is ever opened here, not even to close it again: a process that the caller starts at
+// that moment has copies of all descriptors until its exec, and a copy of a listener keeps the port in use.
 package freeport
 
 import (
@@ -13,6 +16,7 @@
 	"strconv"
 
 	"github.com/joomcode/errorx"
+	"golang.org/x/sys/unix"
 )
 
 const (
@@ -20,7 +24,7 @@
 	firstPort, lastPort = 20000, 32767
 	// claimIP is the loopback address whose listeners mark a port as reserved.
 	claimIP = "127.255.255.254"
-	// loopbackIP is where a reserved port must not be in use by anyone who does not reserve.
+	// loopbackIP is where servers listen at reserved ports.
 	loopbackIP = "127.0.0.1"
 	// maxTries bounds the draws of one reservation.
 	maxTries = 1000
@@ -61,17 +65,28 @@
 			return false
 		}
 		r.claims = append(r.claims, claim)
-		probe, err := net.Listen("tcp4", address(loopbackIP, port))
-		if err != nil {
-			return false
-		}
-		if probe.Close() != nil {
+		if !isUnused(port) {
 			return false
 		}
 	}
 	return true
 }
 
+// isUnused says whether a server could listen at the port of 127.0.0.1, which one that does not reserve may do already. It binds a
+// socket, but does not listen: with SO_REUSEADDR, as package net sets it too, such a socket keeps no other from listening.
+func isUnused(port int) bool {
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, unix.IPPROTO_TCP)
+	if err != nil {
+		return false
+	}
+	defer unix.Close(fd)
+	if unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) != nil {
+		return false
+	}
+	loopback := [4]byte(net.ParseIP(loopbackIP).To4())
+	return unix.Bind(fd, &unix.SockaddrInet4{Addr: loopback, Port: port}) == nil
+}
+
 // Address returns the first port at 127.0.0.1.
 func (r *Reservation) Address() string { return address(loopbackIP, r.First) }
 
@@ -83,6 +98,21 @@
 	r.claims = nil
 }
 
+// Listen listens at a free port of 127.0.0.1 from the range of the reserved ones. Such a port can be listened at again after the
+// listener was closed: no outgoing connection gets it meanwhile.
+func Listen() (*net.TCPListener, error) {
+	r, err := Reserve(1)
+	if err != nil {
+		return nil, err
+	}
+	defer r.Release()
+	ln, err := net.Listen("tcp4", r.Address())
+	if err != nil {
+		return nil, err
+	}
+	return ln.(*net.TCPListener), nil
+}
+
 func address(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
 // TestingT is what a reservation for a test needs of testing.TB.
--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"net"
+	"os/exec"
+	"sync"
+	"sync/atomic"
 	"testing"
 
 	"github.com/joomcode/errorx"
@@ -65,3 +68,63 @@
 		t.Errorf("got %v, want %v", err, ErrExhausted)
 	}
 }
+
+// TestReservedPortWhileProcessesStart listens at reserved ports while the test process starts others. Until its exec, a process
+// that was just forked has copies of all descriptors, so that nothing that Reserve opened may block a port after Reserve returns.
+func TestReservedPortWhileProcessesStart(t *testing.T) {
+	const starters, listeners, portsEach = 2, 2, 200
+	var done atomic.Bool
+	var starting, listening sync.WaitGroup
+	for range starters {
+		starting.Go(func() {
+			for !done.Load() {
+				if err := exec.Command("true").Run(); err != nil {
+					t.Error(err)
+					return
+				}
+			}
+		})
+	}
+	for range listeners {
+		listening.Go(func() {
+			for range portsEach {
+				r, err := Reserve(1)
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				ln, err := net.Listen("tcp4", r.Address())
+				if err != nil {
+					t.Error(err)
+				} else {
+					ln.Close()
+				}
+				r.Release()
+			}
+		})
+	}
+	listening.Wait()
+	done.Store(true)
+	starting.Wait()
+}
+
+// TestListenAgain closes a listener and listens at its address once more, beside connections that the kernel gives ports.
+func TestListenAgain(t *testing.T) {
+	ln, err := Listen()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if port := ln.Addr().(*net.TCPAddr).Port; port < firstPort || port > lastPort {
+		t.Errorf("port %d is out of range", port)
+	}
+	if err := ln.Close(); err != nil {
+		t.Fatal(err)
+	}
+	again, err := net.Listen("tcp4", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := again.Close(); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -112,7 +112,8 @@
 
 func (r *Cluster) listen(name, target string) (listener, error) {
 	if !strings.HasPrefix(target, unixPrefix) {
-		return listenByNumber()
+		// Linux keeps a port for a socket that is shut down (see Refusing) only if it was asked for by its number.
+		return freeport.Listen()
 	}
 	ln, err := net.Listen("unix", filepath.Join(r.Dir, name+".link"))
 	if err != nil {
@@ -121,21 +122,6 @@
 	return ln.(listener), nil
 }
 
-// listenByNumber listens at a port that is reserved by its number, as Linux keeps only such a port for a socket that is shut down
-// (see Refusing).
-func listenByNumber() (listener, error) {
-	port, err := freeport.Reserve(1)
-	if err != nil {
-		return nil, err
-	}
-	defer port.Release()
-	ln, err := net.Listen("tcp4", port.Address())
-	if err != nil {
-		return nil, err
-	}
-	return ln.(listener), nil
-}
-
 // seedStream separates the draws of links from others with the same seed.
 const seedStream = 11
 
