--- a/internal/sidecar/persistence.go
+++ b/internal/sidecar/persistence.go
@@ -30,10 +30,14 @@
 // settingsHash returns a hash of the settings that measurements depend on: latencies are relative to the aims of the classes,
 // loads to the number of replicas. It is "" if they cannot be encoded.
 func settingsHash(set *balancer.Settings) string {
-	text, err := json.Marshal(struct {
-		Copies  int
-		Classes []balancer.Class
-	}{max(set.Copies, 1), set.Classes})
+	r := settingsRecord{Replicas: max(set.Copies, 1)}
+	for _, c := range set.Classes {
+		r.Classes = append(r.Classes, classRecord{
+			Name: c.Name, PriorityWeight: c.Worth, LateShare: c.LateWorth, LatencyTarget: c.Aim, TargetPerWork: c.AimStretch,
+			Timeout: c.GiveUp, Effect: c.Effect, DedupGroup: c.Group, DedupWindow: c.Window, Streaming: c.Stream,
+		})
+	}
+	text, err := json.Marshal(r)
 	if err != nil { // an infinite number
 		return ""
 	}
@@ -41,6 +45,26 @@
 	return hex.EncodeToString(sum[:settingsHashBytes])
 }
 
+// settingsRecord is what is hashed. The names and the order of its encoded fields, and of those of classRecord, keep their form: with
+// another hash, what an earlier version of the program has learned would not be used.
+type settingsRecord struct {
+	Replicas int `json:"Copies"`
+	Classes  []classRecord
+}
+
+type classRecord struct {
+	Name           string
+	PriorityWeight float64 `json:"Worth"`
+	LateShare      float64 `json:"LateWorth"`
+	LatencyTarget  float64 `json:"Aim"`
+	TargetPerWork  float64 `json:"AimStretch"`
+	Timeout        float64 `json:"GiveUp"`
+	Effect         balancer.Effect
+	DedupGroup     balancer.Group `json:"Group"`
+	DedupWindow    float64        `json:"Window"`
+	Streaming      bool           `json:"Stream"`
+}
+
 // settingsHashBytes is the length of a settings hash, in bytes.
 const settingsHashBytes = 8
 
--- a/internal/sidecar/persistence_test.go
+++ b/internal/sidecar/persistence_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"milletmast/balancer"
 	"milletmast/internal/fakeserver"
 	"milletmast/internal/operator"
 	"milletmast/internal/state"
@@ -160,3 +161,21 @@
 	cancel()
 	<-ended
 }
+
+// The hash of a pool's settings is on disk beside what the pool has learned. These were computed before the fields were renamed.
+func TestSettingsHashKeepsItsForm(t *testing.T) {
+	for _, c := range []struct {
+		settings balancer.Settings
+		want     string
+	}{
+		{balancer.Settings{Copies: 3, Classes: []balancer.Class{
+			{Name: "look", Worth: 2, LateWorth: 0.5, Aim: 80, AimStretch: 1.5, GiveUp: 200, Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 5000},
+			{Name: "watch", Worth: 1, Aim: 400, GiveUp: 1000, Effect: balancer.Unsafe, Stream: true},
+		}}, "7cb67bd5049978ca"},
+		{balancer.Settings{Classes: []balancer.Class{{Name: "look", Aim: 80, GiveUp: 200}}}, "c4831b003733f9a3"},
+	} {
+		if got := settingsHash(&c.settings); got != c.want {
+			t.Errorf("hash %s of %v, want %s", got, c.settings, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/state/poolrecord.go
@@ -0,0 +1,82 @@
+package state
+
+import (
+	"encoding/json"
+
+	"milletmast/balancer"
+)
+
+// poolRecord is PoolState as it is on disk. The names of its fields and of the types in it are part of the file format.
+type poolRecord struct {
+	ModuleSettings string        `json:"module"`
+	Servers        []string      `json:"servers"`
+	Learned        learnedRecord `json:"memory"`
+}
+
+type learnedRecord struct {
+	At               float64
+	ConcurrencyLimit float64        `json:"Room"`
+	LatencyRatio     float64        `json:"Typical"`
+	BaseLatencyRatio float64        `json:"Calm"`
+	ArrivalRate      float64        `json:"Demand"`
+	SendRate         float64        `json:"Sent"`
+	Classes          []classRecord  `json:"Classes"`
+	Servers          []serverRecord `json:"Servers"`
+}
+
+type classRecord struct {
+	Latency      float64
+	RequestShare float64 `json:"Share"`
+	OnTimeShare  float64 `json:"Served"`
+}
+
+type serverRecord struct {
+	Number       uint32  `json:"Server"`
+	StartedAt    float64 `json:"Started"`
+	Load         float64
+	MaxLoad      float64
+	LatencyRatio float64 `json:"Pace"`
+	FailureRun   float64 `json:"Run"`
+	Ejected      bool    `json:"Cut"`
+}
+
+// MarshalJSON encodes the state in the form of the file.
+func (p PoolState) MarshalJSON() ([]byte, error) {
+	m := &p.Memory
+	r := poolRecord{ModuleSettings: p.ModuleSettings, Servers: p.Servers, Learned: learnedRecord{
+		At: m.At, ConcurrencyLimit: m.Room, LatencyRatio: m.Typical, BaseLatencyRatio: m.Calm, ArrivalRate: m.Demand, SendRate: m.Sent,
+	}}
+	for _, c := range m.Classes {
+		r.Learned.Classes = append(r.Learned.Classes, classRecord{Latency: c.Latency, RequestShare: c.Share, OnTimeShare: c.Served})
+	}
+	for _, s := range m.Servers {
+		r.Learned.Servers = append(r.Learned.Servers, serverRecord{
+			Number: s.Server, StartedAt: s.Started, Load: s.Load, MaxLoad: s.MaxLoad,
+			LatencyRatio: s.Pace, FailureRun: s.Run, Ejected: s.Cut,
+		})
+	}
+	return json.Marshal(r)
+}
+
+// UnmarshalJSON decodes what MarshalJSON wrote. The state is unchanged after an error.
+func (p *PoolState) UnmarshalJSON(encoded []byte) error {
+	var r poolRecord
+	if err := json.Unmarshal(encoded, &r); err != nil {
+		return err
+	}
+	l := &r.Learned
+	m := balancer.Memory{
+		At: l.At, Room: l.ConcurrencyLimit, Typical: l.LatencyRatio, Calm: l.BaseLatencyRatio, Demand: l.ArrivalRate, Sent: l.SendRate,
+	}
+	for _, c := range l.Classes {
+		m.Classes = append(m.Classes, balancer.ClassMemory{Latency: c.Latency, Share: c.RequestShare, Served: c.OnTimeShare})
+	}
+	for _, s := range l.Servers {
+		m.Servers = append(m.Servers, balancer.ServerMemory{
+			Server: s.Number, Started: s.StartedAt, Load: s.Load, MaxLoad: s.MaxLoad,
+			Pace: s.LatencyRatio, Run: s.FailureRun, Cut: s.Ejected,
+		})
+	}
+	*p = PoolState{ModuleSettings: r.ModuleSettings, Servers: r.Servers, Memory: m}
+	return nil
+}
--- a/internal/state/record.go
+++ b/internal/state/record.go
@@ -16,9 +16,9 @@
 // PoolState is the learned state of a pool's decision module. Servers are named by their ids, as
 // their numbers mean nothing to another process.
 type PoolState struct {
-	ModuleSettings string          `json:"module"`  // hash of the module's settings: what was learned under others is not comparable
-	Servers        []string        `json:"servers"` // ids, in the order of Memory.Servers
-	Memory         balancer.Memory `json:"memory"`
+	ModuleSettings string   // hash of the module's settings: what was learned under others is not comparable
+	Servers        []string // ids, in the order of Memory.Servers
+	Memory         balancer.Memory
 }
 
 // DegradationPin is a degradation level that operators have pinned.
