--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -100,15 +100,15 @@
 		t.Fatal(err)
 	}
 	want := []balancer.Event{
-		{Kind: balancer.EvRequest, Request: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, Due: 8652.25, Hint: 12},
+		{Kind: balancer.EvRequest, Request: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, Deadline: 8652.25, WorkHint: 12},
 		{Kind: balancer.EvTimer, Token: 77},
-		{Kind: balancer.EvGone, Request: 0x0e6f2b19},
+		{Kind: balancer.EvRequestAbandoned, Request: 0x0e6f2b19},
 	}
 	for i, w := range want {
 		got := rec.events[i]
 		got.Servers = nil
-		if got.Kind != w.Kind || got.Request != w.Request || got.Key != w.Key || got.Due != w.Due ||
-			got.Hint != w.Hint || got.Token != w.Token {
+		if got.Kind != w.Kind || got.Request != w.Request || got.Key != w.Key || got.Deadline != w.Deadline ||
+			got.WorkHint != w.WorkHint || got.Token != w.Token {
 			t.Errorf("event %d: %+v, want %+v", i, got, w)
 		}
 	}
@@ -119,8 +119,8 @@
 
 func TestExampleReply(t *testing.T) {
 	var r Reply
-	r.Add(3, &balancer.Action{Kind: balancer.ActSend, Request: 0x5d3a91c4, Server: 0x03124a07, Until: 8492.25})
-	r.Add(3, &balancer.Action{Kind: balancer.ActTimer, After: 500, Token: 77})
+	r.Add(3, &balancer.Action{Kind: balancer.ActSend, Request: 0x5d3a91c4, Server: 0x03124a07, Deadline: 8492.25})
+	r.Add(3, &balancer.Action{Kind: balancer.ActTimer, Delay: 500, Token: 77})
 	r.Add(5, &balancer.Action{Kind: balancer.ActLog, Text: "two servers known"})
 	var out bytes.Buffer
 	if err := r.WriteTo(&out, 12); err != nil {
@@ -144,7 +144,7 @@
 		inst   uint16
 		want   string
 	}{
-		{"refuse", balancer.Action{Kind: balancer.ActRefuse, Request: 0x0e6f2b19, After: 250}, 3,
+		{"refuse", balancer.Action{Kind: balancer.ActReject, Request: 0x0e6f2b19, Delay: 250}, 3,
 			"0200 0300 192b6f0e 0000000000406f40 0000000000000000"},
 		{"fail", balancer.Action{Kind: balancer.ActFail, Request: 0x0e6f2b19}, 3,
 			"0300 0300 192b6f0e 00000000000000000000000000000000"},
@@ -152,9 +152,9 @@
 			"0400 0300 c4913a5d 0000 0000000000000000000000000000"},
 		{"probe", balancer.Action{Kind: balancer.ActProbe, Server: 0x2c9011f2}, 3,
 			"0600 0300 f211902c 00000000000000000000000000000000"},
-		{"close", balancer.Action{Kind: balancer.ActClose, Server: 0x2c9011f2}, 3,
+		{"close", balancer.Action{Kind: balancer.ActCloseIdle, Server: 0x2c9011f2}, 3,
 			"0700 0300 f211902c 00000000000000000000000000000000"},
-		{"watch", balancer.Action{Kind: balancer.ActWatch}, 3,
+		{"watch", balancer.Action{Kind: balancer.ActSubscribe}, 3,
 			"0b00 0300 01 00000000000000000000000000000000000000"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -185,16 +185,16 @@
 	if rec.events[0].List != balancer.ListCached || len(servers) != 2 {
 		t.Fatalf("list event %+v", rec.events[0])
 	}
-	if servers[0].Server != 0x03124a07 || servers[0].Weight != 1 || servers[1].Weight != 1.5 || servers[1].Started != 6100 {
+	if servers[0].ID != 0x03124a07 || servers[0].Weight != 1 || servers[1].Weight != 1.5 || servers[1].StartedAt != 6100 {
 		t.Errorf("servers %+v", servers)
 	}
-	if e := rec.events[1]; e.Kind != balancer.EvFirst || e.Server != 0x03124a07 || e.Took != 9.25 {
+	if e := rec.events[1]; e.Kind != balancer.EvFirstByte || e.Server != 0x03124a07 || e.Elapsed != 9.25 {
 		t.Errorf("first %+v", e)
 	}
-	if e := rec.events[2]; e.Kind != balancer.EvOutcome || e.Outcome != balancer.OK || e.Took != 18.5 || !e.Done {
+	if e := rec.events[2]; e.Kind != balancer.EvAttemptEnded || e.Outcome != balancer.OK || e.Elapsed != 18.5 || !e.RequestEnded {
 		t.Errorf("outcome %+v", e)
 	}
-	if e := rec.events[3]; e.Kind != balancer.EvProbe || e.Server != 0x2c9011f2 || e.Took != 1.4 {
+	if e := rec.events[3]; e.Kind != balancer.EvProbeResult || e.Server != 0x2c9011f2 || e.Elapsed != 1.4 {
 		t.Errorf("probe %+v", e)
 	}
 	if len(rec.stopped) != 1 || rec.stopped[0] != 3 {
@@ -280,20 +280,20 @@
 		t.Fatal(err)
 	}
 	c := set.Classes[0]
-	if c.Effect != balancer.Keyed || c.Group != balancer.GroupZone || c.Window != 2000 || c.Worth != 1 {
+	if c.Effect != balancer.Keyed || c.DedupGroup != balancer.DedupZone || c.DedupWindow != 2000 || c.PriorityWeight != 1 {
 		t.Errorf("class %+v", c)
 	}
-	if d := set.Classes[1]; d.Effect != balancer.Unsafe || d.Worth != 0 {
+	if d := set.Classes[1]; d.Effect != balancer.Unsafe || d.PriorityWeight != 0 {
 		t.Errorf("an absent effect must be the strictest, a worth of 0 kept: %+v", d)
 	}
-	if set.Copies != 4 || set.Rank != 2 || set.Stage != 1 || set.Stages != 2 || set.Zone != 1 ||
-		!set.ListOnRequest || !set.WorthByWork || set.OverShareWorth != 1 || set.WorstClass != 0.25 || set.Tenants[0].Quota != 94 ||
-		set.Limits.MaxAttempts != 3 || set.Safety.Ramp != 22000 || set.Safety.AskEvery != 10000 {
+	if set.Replicas != 4 || set.Rank != 2 || set.Tier != 1 || set.Tiers != 2 || set.Zone != 1 ||
+		!set.PollsList || !set.WeightByWork || set.OverQuotaShare != 1 || set.WorstClassWeight != 0.25 || set.Tenants[0].Quota != 94 ||
+		set.Limits.MaxAttempts != 3 || set.Safety.SlowStartTime != 22000 || set.Safety.ListInterval != 10000 {
 		t.Errorf("settings %+v", set)
 	}
 	f := set.Safety
-	if f.DrainClose != 1500 || f.BudgetFree != 2 || f.BudgetShare != 0.15 || f.BudgetWindow != 9000 ||
-		set.Limits.ConnIdle != 5000 || set.Limits.Streams != 7 {
+	if f.DrainCloseTime != 1500 || f.RetryBudgetMin != 2 || f.RetryBudgetShare != 0.15 || f.RetryBudgetWindow != 9000 ||
+		set.Limits.ConnIdleTimeout != 5000 || set.Limits.StreamsPerConn != 7 {
 		t.Errorf("safety %+v, limits %+v", f, set.Limits)
 	}
 	for _, bad := range []string{`{`, `{"classes": 3}`, `{"classes": [{"effect": "maybe"}]}`,
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -28,11 +28,11 @@
 		code = actionSend
 		put.PutUint32(record[4:], action.Request)
 		put.PutUint32(record[8:], action.Server)
-		putFloat64(record[12:], action.Until)
-	case balancer.ActRefuse:
+		putFloat64(record[12:], action.Deadline)
+	case balancer.ActReject:
 		code = actionRefuse
 		put.PutUint32(record[4:], action.Request)
-		putFloat64(record[8:], action.After)
+		putFloat64(record[8:], action.Delay)
 	case balancer.ActFail:
 		code = actionFail
 		put.PutUint32(record[4:], action.Request)
@@ -42,7 +42,7 @@
 		put.PutUint16(record[8:], action.Attempt)
 	case balancer.ActTimer:
 		code = actionTimer
-		putFloat64(record[4:], action.After)
+		putFloat64(record[4:], action.Delay)
 		put.PutUint64(record[12:], action.Token)
 	case balancer.ActLog:
 		code = actionLog
@@ -50,10 +50,10 @@
 	case balancer.ActProbe:
 		code = actionProbe
 		put.PutUint32(record[4:], action.Server)
-	case balancer.ActClose:
+	case balancer.ActCloseIdle:
 		code = actionClose
 		put.PutUint32(record[4:], action.Server)
-	case balancer.ActWatch:
+	case balancer.ActSubscribe:
 		code = actionWatch
 		record[4] = 1
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -85,10 +85,10 @@
 }
 
 // groups maps the names of the groups that remember a key.
-var groups = map[string]balancer.Group{
-	"all":  balancer.GroupAll,
-	"zone": balancer.GroupZone,
-	"cell": balancer.GroupCell,
+var groups = map[string]balancer.DedupGroup{
+	"all":  balancer.DedupAll,
+	"zone": balancer.DedupZone,
+	"cell": balancer.DedupCell,
 }
 
 // Site is the settings object together with the names of the zones and kinds, which the decision module knows by number only.
@@ -111,30 +111,30 @@
 	}
 	limits, safety := parsed.Limits, parsed.Safety
 	settings := balancer.Settings{
-		Copies:         parsed.Balancers,
-		Rank:           parsed.Rank,
-		Stage:          parsed.Stage,
-		Stages:         len(parsed.Stages),
-		Zone:           parsed.Locality,
-		ListOnRequest:  parsed.Membership == "on_request",
-		WorthByWork:    parsed.WorthBy == "work",
-		ProbePrice:     parsed.Prices.Probe,
-		HeldField:      1 + slices.Index(parsed.Feedback.Fields, "busy_reqs"),
-		OverShareWorth: orDefault(parsed.OverShareWorth, 1),
+		Replicas:         parsed.Balancers,
+		Rank:             parsed.Rank,
+		Tier:             parsed.Stage,
+		Tiers:            len(parsed.Stages),
+		Zone:             parsed.Locality,
+		PollsList:        parsed.Membership == "on_request",
+		WeightByWork:     parsed.WorthBy == "work",
+		ProbeCost:        parsed.Prices.Probe,
+		QueueLengthField: 1 + slices.Index(parsed.Feedback.Fields, "busy_reqs"),
+		OverQuotaShare:   orDefault(parsed.OverShareWorth, 1),
 		Limits: balancer.Limits{
-			MaxAttempts: limits.MaxAttempts, MaxOpen: limits.OpenCap, Cancel: limits.Cancel,
-			SecondCopies: limits.SecondCopies, Probes: limits.Probing, RetryAfter: limits.RetryAfter,
+			MaxAttempts: limits.MaxAttempts, MaxRequests: limits.OpenCap, CanCancel: limits.Cancel,
+			CanHedge: limits.SecondCopies, CanProbe: limits.Probing, RetryAfter: limits.RetryAfter,
 			MaxRetryAfter: limits.MaxRetryAfter, ConnectTimeout: limits.ConnectTimeout,
-			ConnIdle: limits.ConnIdle, Streams: limits.StreamsPerConn,
+			ConnIdleTimeout: limits.ConnIdle, StreamsPerConn: limits.StreamsPerConn,
 		},
 		Safety: balancer.Safety{
-			AnswerSlack: safety.AnswerSlack, DrainGrace: safety.DrainGrace, ColdFrom: safety.ColdFrom,
-			Ramp: safety.RampTime, FallMultiple: safety.FallMultiple, FallAfter: safety.TipAfter, AskEvery: safety.AskEvery,
-			DrainClose: safety.DrainClose, BudgetFree: safety.BudgetFree, BudgetShare: safety.RepeatRatio, BudgetWindow: safety.LookBack,
+			ResponseSlack: safety.AnswerSlack, DrainGrace: safety.DrainGrace, SlowStartShare: safety.ColdFrom,
+			SlowStartTime: safety.RampTime, OverloadMultiple: safety.FallMultiple, OverloadTime: safety.TipAfter, ListInterval: safety.AskEvery,
+			DrainCloseTime: safety.DrainClose, RetryBudgetMin: safety.BudgetFree, RetryBudgetShare: safety.RepeatRatio, RetryBudgetWindow: safety.LookBack,
 		},
 	}
 	if all := parsed.Goal.Whole + parsed.Goal.WorstWindow; all > 0 {
-		settings.WorstClass = max(parsed.Goal.WorstClass, 0) / all
+		settings.WorstClassWeight = max(parsed.Goal.WorstClass, 0) / all
 	}
 	for i := range parsed.Classes {
 		class, err := parsed.Classes[i].toClass()
@@ -160,15 +160,15 @@
 	}
 	group, found := groups[c.Group]
 	if c.Group == "" {
-		group, found = balancer.GroupCell, true
+		group, found = balancer.DedupCell, true
 	}
 	if !found {
 		return balancer.Class{}, fmt.Errorf("group %q is unknown", c.Group)
 	}
 	return balancer.Class{
-		Name: c.Name, Worth: orDefault(c.Worth, 1), LateWorth: c.LateWorth,
-		Aim: c.Aim, AimStretch: c.AimStretch, GiveUp: c.GiveUp,
-		Effect: effect, Group: group, Window: c.DedupWindow, Stream: c.Stream,
+		Name: c.Name, PriorityWeight: orDefault(c.Worth, 1), LateShare: c.LateWorth,
+		LatencyTarget: c.Aim, TargetPerWork: c.AimStretch, Timeout: c.GiveUp,
+		Effect: effect, DedupGroup: group, DedupWindow: c.DedupWindow, Streaming: c.Stream,
 	}, nil
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -66,8 +66,8 @@
 
 // outcomes maps the codes of outcomes.
 var outcomes = map[byte]balancer.Outcome{
-	0: balancer.OK, 255: balancer.Error, 254: balancer.Full, 253: balancer.Timeout,
-	252: balancer.ConnectFailed, 251: balancer.Reset, 250: balancer.Cancelled, 249: balancer.NotSent,
+	0: balancer.OK, 255: balancer.Error, 254: balancer.NotExecuted, 253: balancer.Timeout,
+	252: balancer.ConnectFailed, 251: balancer.Reset, 250: balancer.Canceled, 249: balancer.NotSent,
 }
 
 func readUint16(b []byte) uint16   { return binary.LittleEndian.Uint16(b) }
