--- a/balancer/credits.go
+++ b/balancer/credits.go
@@ -47,7 +47,7 @@
 }
 
 // evenShare returns what a serving server is sent, those that warm up counted by their minimum; if all do,
-// the demand on each. Demand counts rejected requests too: in an overload its share would fill a cold server.
+// the demand on each. Demand counts rejected requests too: in an overload its share would fill a server that warms up.
 func (b *Balancer) evenShare() float64 {
 	if !b.hasWarm {
 		return b.arrivalRate.Rate(minRateWeight) / float64(max(len(b.usable), 1))
--- a/balancer/decision_bench_test.go
+++ b/balancer/decision_bench_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// steady gives a step, a request and an outcome, of a balancer that has measured its servers.
+// steady returns a step, a request and an outcome, of a balancer that has measured its servers.
 func steady(b *testing.B, servers int) (step func()) {
 	m, err := New(plain(), 7, 1000)
 	if err != nil {
--- a/balancer/memory_test.go
+++ b/balancer/learned_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// taught is a balancer that has served for 40 s: server 100 is quick, 101 slow, 102 fails.
+// taught returns a balancer that has served for 40 s: server 100 is fast, 101 is slow and 102 fails.
 func taught(t *testing.T, entries ...ServerEntry) *harness {
 	t.Helper()
 	h := start(t, plain(), entries...)
@@ -30,12 +30,12 @@
 		}
 	}
 	if h.b.EjectedServers() != 1 || h.b.measuredCount < 2 {
-		t.Fatalf("%d cut, %d measured", h.b.EjectedServers(), h.b.measuredCount)
+		t.Fatalf("%d ejected, %d measured", h.b.EjectedServers(), h.b.measuredCount)
 	}
 	return h
 }
 
-// given is a balancer that begins with what another has learned.
+// given returns a balancer that starts with what another has learned.
 func given(t *testing.T, m LearnedState, now float64, entries ...ServerEntry) *Balancer {
 	t.Helper()
 	b, err := New(plain(), 7, now)
@@ -47,7 +47,8 @@
 	return b
 }
 
-// At age 0 what was learned decides as it did: the same loads, the same server cut, the same room, and the same server chosen.
+// TestImportDecidesAsTheOriginal: at age 0 what was learned has the same effects: the same loads, ejected
+// server and concurrency limit, and the same choice.
 func TestImportDecidesAsTheOriginal(t *testing.T) {
 	entries := ids(6)
 	h := taught(t, entries...)
@@ -55,11 +56,11 @@
 	for _, e := range entries {
 		s, o := b.servers[e.ID], h.b.servers[e.ID]
 		if s.ejected != o.ejected || math.Abs(b.currentLoad(s)-h.b.currentLoad(o)) > 1e-9 || s.latencyRatio != o.latencyRatio || s.failureRun != o.failureRun {
-			t.Errorf("server %d: cut %v, load %v, pace %v; was %v, %v, %v", e.ID, s.ejected, b.currentLoad(s), s.latencyRatio, o.ejected, h.b.currentLoad(o), o.latencyRatio)
+			t.Errorf("server %d: ejected %v, load %v, latency ratio %v; was %v, %v, %v", e.ID, s.ejected, b.currentLoad(s), s.latencyRatio, o.ejected, h.b.currentLoad(o), o.latencyRatio)
 		}
 	}
 	if math.Abs(b.concurrencyLimit-h.b.concurrencyLimit) > 1e-9 || b.meanRatio != h.b.meanRatio || math.Abs(b.baseRatio/h.b.baseRatio-1) > 2*baseRatioDrift || b.EjectedServers() != 1 {
-		t.Errorf("room %v, typical %v, calm %v; was %v, %v, %v", b.concurrencyLimit, b.meanRatio, b.baseRatio, h.b.concurrencyLimit, h.b.meanRatio, h.b.baseRatio)
+		t.Errorf("concurrency limit %v, typical %v, calm %v; was %v, %v, %v", b.concurrencyLimit, b.meanRatio, b.baseRatio, h.b.concurrencyLimit, h.b.meanRatio, h.b.baseRatio)
 	}
 	if again := b.Export(); len(again.Servers) != len(h.b.Export().Servers) || !reflect.DeepEqual(again.Classes, h.b.Export().Classes) {
 		t.Errorf("exported again: %+v", again)
@@ -83,14 +84,15 @@
 	}
 }
 
-// Of a server that has started since, or that the memory does not name, nothing counts; a cold one stays cold.
-func TestImportIsOfOneLife(t *testing.T) {
+// TestImportIsOfOneIncarnation: nothing counts of a server that has started since or that was not learned;
+// one that warms up goes on to.
+func TestImportIsOfOneIncarnation(t *testing.T) {
 	entries := ids(6)
 	h := taught(t, entries...)
 	m := h.b.Export()
 	next := append([]ServerEntry(nil), entries...)
-	next[0].StartedAt = h.now - 100     // started anew, cold
-	next[2].StartedAt = h.now - 1000000 // started anew, warm by now; it was cut
+	next[0].StartedAt = h.now - 100     // restarted, warming up
+	next[2].StartedAt = h.now - 1000000 // started anew, warm by now; it was ejected
 	next = append(next, ServerEntry{ID: 900, Weight: 1})
 	b := given(t, m, h.now, next...)
 	for _, n := range []uint32{100, 102, 900} {
@@ -102,9 +104,9 @@
 		t.Errorf("server 101: measured %v, pace %v", s.measured, s.latencyRatio)
 	}
 	if b.EjectedServers() != 0 || len(b.learnedServers) != 0 && b.learnedServers[100].ID != 0 {
-		t.Errorf("%d cut, %d remembered", b.EjectedServers(), len(b.learnedServers))
+		t.Errorf("%d ejected, %d not named yet", b.EjectedServers(), len(b.learnedServers))
 	}
-	// In a later list it is the same life still, and what is known by then stays.
+	// A later list names the same incarnation, and what is known by then stays.
 	b.servers[101].latencyRatio = 0.123
 	b.Handle(h.now+50, &Event{Kind: EvServerList, List: ListFull, Servers: next}, nil)
 	if b.servers[101].latencyRatio != 0.123 {
@@ -112,22 +114,23 @@
 	}
 }
 
-// A copy that began with no server and nothing to remember sends to the first one that it hears of at once.
+// TestFirstServerAfterNone: a replica that began without a server and without learned state sends to the
+// first server at once.
 func TestFirstServerAfterNone(t *testing.T) {
 	h := start(t, plain())
 	h.now += 300
 	h.do(Event{Kind: EvServerList, List: ListDelta, Servers: ids(1)})
 	h.now += 5
 	if got := h.request(1, 0); len(got) != 1 || got[0].Kind != ActSend {
-		t.Errorf("%+v, room %v", got, h.b.concurrencyLimit)
+		t.Errorf("%+v, concurrency limit %v", got, h.b.concurrencyLimit)
 	}
 }
 
-// Nothing to remember is the same as nothing imported.
+// TestImportOfNothing: importing an empty state is the same as importing none.
 func TestImportOfNothing(t *testing.T) {
 	a := given(t, LearnedState{}, 5000, ids(4)...)
 	o := start(t, plain(), ids(4)...).b
 	if a.concurrencyLimit != o.concurrencyLimit || !math.IsInf(a.baseRatio, 1) || a.measuredCount != 0 || a.initialLimit != o.initialLimit {
-		t.Errorf("room %v, calm %v, %d measured", a.concurrencyLimit, a.baseRatio, a.measuredCount)
+		t.Errorf("concurrency limit %v, calm %v, %d measured", a.concurrencyLimit, a.baseRatio, a.measuredCount)
 	}
 }
--- a/balancer/lists_test.go
+++ b/balancer/lists_test.go
@@ -9,8 +9,9 @@
 	"milletmast/internal/namehash"
 )
 
-// What a list leaves behind is kept up by its changes; after each it has to be what a plain reading of all servers gives.
-func TestListsAreKeptByTheirChanges(t *testing.T) {
+// TestListsFollowTheirChanges: what is kept of the list is updated by its changes; after each it equals what
+// is computed from all servers.
+func TestListsFollowTheirChanges(t *testing.T) {
 	for seed := range uint64(30) {
 		set, r := plain(), rand.New(rand.NewPCG(seed, 5))
 		set.Replicas, set.Rank, set.Zone = 6, int(seed%6), int(seed%3)
@@ -48,7 +49,7 @@
 	}
 }
 
-// checkLists holds what the balancer keeps against the entries told last.
+// checkLists compares what the balancer keeps with the entries that it was told last.
 func checkLists(t *testing.T, b *Balancer, told map[uint32]ServerEntry) {
 	t.Helper()
 	var live, homes []uint32
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// call is what the world knows of a request that it handed to the balancer.
+// request is what the world knows of a request that it gave to the balancer.
 type call struct {
 	class    uint16
 	due      float64
@@ -36,7 +36,7 @@
 	now     float64
 	nextID  uint32
 	calls   map[uint32]*call
-	order   []uint32 // open calls, in the order of arrival
+	order   []uint32 // open requests, in the order of arrival
 	servers []ServerEntry
 	timers  []pending
 	trace   []Action
@@ -74,7 +74,7 @@
 	return w
 }
 
-// hand gives the balancer one event and checks every action that comes back.
+// hand gives the balancer an event and checks each action.
 func (w *world) hand(ev Event) {
 	w.t.Helper()
 	for _, a := range w.b.Handle(w.now, &ev, nil) {
@@ -126,7 +126,7 @@
 		w.further = append(w.further, w.now)
 		from, f := w.now-w.set.Safety.RetryBudgetWindow, &w.set.Safety
 		if made := count(w.further, from); made > f.RetryBudgetMin+f.RetryBudgetShare*count(w.taken, from+1e-6)+1e-9 {
-			w.t.Fatalf("%v: %v further attempts, %v requests taken", w.now, made, count(w.taken, from))
+			w.t.Fatalf("%v: %v retries, %v requests taken", w.now, made, count(w.taken, from))
 		}
 	}
 	first := 0.0
@@ -153,7 +153,7 @@
 	c.attempts = append(c.attempts, try{server: a.Server, sentAt: w.now, open: true})
 }
 
-// count is how many times lie at or after from.
+// count returns how many times are not before from.
 func count(times []float64, from float64) (n float64) {
 	for _, at := range times {
 		if at >= from {
@@ -175,7 +175,7 @@
 	if a.Kind == ActReject && w.set.Classes[c.class].Effect != Safe {
 		for _, p := range c.attempts {
 			if p.open || p.maybe {
-				w.t.Fatalf("%v: request %d refused though it may have run", w.now, a.Request)
+				w.t.Fatalf("%v: request %d rejected though it may have run", w.now, a.Request)
 			}
 		}
 	}
@@ -188,7 +188,7 @@
 	c.answers++
 }
 
-// step advances the clock and lets one thing happen.
+// step advances the clock and plays one random event.
 func (w *world) step() {
 	w.t.Helper()
 	w.advance(w.now + w.rng.Float64()*10)
@@ -314,7 +314,7 @@
 	w.hand(Event{Kind: EvServerList, List: ListDelta, Servers: []ServerEntry{*e}})
 }
 
-// sweep fails the test for a call that nobody answered and forgets the finished ones.
+// sweep fails the test for a request without a final answer, and forgets ended ones.
 func (w *world) sweep() {
 	for server, at := range w.used {
 		if w.now > at+w.set.Safety.DrainCloseTime {
@@ -329,7 +329,7 @@
 			open = open || p.open
 		}
 		if !c.over && w.now > c.due+20 {
-			w.t.Fatalf("%v: request %d, due at %v, has no answer", w.now, id, c.due)
+			w.t.Fatalf("%v: request %d, due at %v, has no response", w.now, id, c.due)
 		}
 		if c.over && !open {
 			delete(w.calls, id)
@@ -340,7 +340,7 @@
 	w.order = kept
 }
 
-// The rules hold for any legal order of events, with one server or several.
+// TestRulesHoldForRandomEvents: the rules hold for any legal order of events, with one server or several.
 func TestRulesHoldForRandomEvents(t *testing.T) {
 	sends := 0
 	for seed := range uint64(24) {
@@ -356,7 +356,7 @@
 			}
 		}
 		if len(w.order) != 0 || len(w.b.requests) != 0 || w.b.inFlight != 0 {
-			t.Errorf("seed %d: %d calls open, %d held, %d out", seed, len(w.order), len(w.b.requests), w.b.inFlight)
+			t.Errorf("seed %d: %d requests open, %d held, %d out", seed, len(w.order), len(w.b.requests), w.b.inFlight)
 		}
 	}
 	if sends < 5000 {
@@ -364,7 +364,7 @@
 	}
 }
 
-// FuzzHandle feeds raw events; none may panic, and no call may be held for ever.
+// FuzzHandle feeds raw events; none may panic, and no request may be held for ever.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{1, 0, 2, 3, 9, 5, 3, 1, 7, 3, 4, 4, 200, 1, 2, 5, 1, 1})
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -384,7 +384,7 @@
 		}
 		b.Handle(now+1e6, &Event{Kind: EvTimer}, nil)
 		if len(b.queue) != 0 {
-			t.Errorf("%d calls still wait", len(b.queue))
+			t.Errorf("%d requests still wait", len(b.queue))
 		}
 	})
 }
--- a/balancer/host_test.go
+++ b/balancer/sidecarinputs_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Where the host wishes so, a call is ended at once for want of any server: one that comes, one that waits when the
-// last server goes, and one whose only attempt proves that it never ran.
-func TestNoServerRefusesAtOnce(t *testing.T) {
+// TestNoServerRejectsAtOnce: with RejectWithoutServers a request ends at once without a server: one that
+// comes, one that is queued when the last server goes, and one whose only attempt was not executed.
+func TestNoServerRejectsAtOnce(t *testing.T) {
 	set := plain()
 	set.Limits.RejectWithoutServers, set.Limits.MaxAttempts = true, 3
 	h := start(t, set)
@@ -27,7 +27,7 @@
 		}
 	}
 	if waits == 0 {
-		t.Fatal("no call waits: the server took all of them")
+		t.Fatal("no request waits: the server took all of them")
 	}
 	refused := false
 	for _, a := range h.do(Event{Kind: EvServerList, List: ListFull}) {
@@ -36,11 +36,11 @@
 		}
 	}
 	if !refused {
-		t.Errorf("call %d still waits though no server is left", waits)
+		t.Errorf("request %d still waits though no server is left", waits)
 	}
 	got := h.do(Event{Kind: EvAttemptEnded, Request: 10, Server: 100, Outcome: ConnectFailed, Elapsed: 1})
 	if len(got) != 1 || got[0].Kind != ActReject || got[0].Request != 10 {
-		t.Errorf("a call that never ran, with no server left: %+v, want a refusal", got)
+		t.Errorf("a request that never ran, with no server left: %+v, want a refusal", got)
 	}
 	set.Limits.RejectWithoutServers = false
 	if got := start(t, set).request(1, 0); len(got) != 0 {
@@ -48,8 +48,9 @@
 	}
 }
 
-// A call whose bytes are gone has no second attempt, whatever its class allows; it is refused only where that is safe.
-func TestSpentCallEnds(t *testing.T) {
+// TestNotRepeatableRequestEnds: a request whose body is gone has no second attempt, whatever its class
+// allows; it is rejected only where that is safe.
+func TestNotRepeatableRequestEnds(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		class   uint16
@@ -75,25 +76,26 @@
 	}
 }
 
-// The host's limit on open calls holds from when it is told.
-func TestLimitMoves(t *testing.T) {
+// TestMaxRequestsChanges: the limit of open requests holds from its event on.
+func TestMaxRequestsChanges(t *testing.T) {
 	h := start(t, plain(), ids(8)...)
 	h.do(Event{Kind: EvMaxRequests, MaxRequests: 1})
 	if got := h.request(1, 0); len(got) != 1 || got[0].Kind != ActSend {
-		t.Fatalf("first call: %+v, want a send", got)
+		t.Fatalf("first request: %+v, want a send", got)
 	}
 	if got := h.request(2, 0); len(got) != 1 || got[0].Kind != ActReject {
-		t.Errorf("second call under a limit of one: %+v, want a refusal", got)
+		t.Errorf("second request under a limit of one: %+v, want a refusal", got)
 	}
 	h.do(Event{Kind: EvMaxRequests, MaxRequests: 3})
 	if got := h.request(3, 0); len(got) != 1 || got[0].Kind != ActSend {
-		t.Errorf("third call under a limit of three: %+v, want a send", got)
+		t.Errorf("third request under a limit of three: %+v, want a send", got)
 	}
 }
 
-// Streams that are bound take no room, are shared evenly, teach nothing by how long they last, and end with their attempt.
-// One that breaks counts against its server.
-func TestBoundStreamsTakeNoRoom(t *testing.T) {
+// TestLongLivedStreamsAreNotInFlight: long-lived streams do not count for the concurrency limit, are shared
+// evenly, teach nothing by their duration, and end with their attempt. One that fails counts against its
+// server.
+func TestLongLivedStreamsAreNotInFlight(t *testing.T) {
 	set := plain()
 	set.Classes[2].Streaming = true
 	h := start(t, set, ids(4)...)
@@ -110,7 +112,7 @@
 		h.now += 10
 	}
 	if h.b.inFlight != 0 {
-		t.Errorf("%d calls are counted out", h.b.inFlight)
+		t.Errorf("%d requests are counted out", h.b.inFlight)
 	}
 	for server, n := range open {
 		if n < 90 || n > 110 {
@@ -140,16 +142,16 @@
 	}
 	got := h.do(Event{Kind: EvAttemptEnded, Request: 202, Server: servers[202], Outcome: NotExecuted, Elapsed: 1, NotRepeatable: true})
 	if len(got) != 1 || got[0].Kind != ActReject {
-		t.Errorf("a stream that was refused: %+v, want a refusal", got)
+		t.Errorf("a stream that was rejected: %+v, want a refusal", got)
 	}
 	if again := h.do(Event{Kind: EvFirstByte, Request: 203, Server: servers[203], LongLived: true}); len(again) != 0 || h.b.servers[servers[203]].longLivedStreams < 0 {
 		t.Error("told twice")
 	}
 }
 
-// A call that the host's level of service turns away is refused at once, whatever room there is, and leaves no trace in what the
-// module has learned.
-func TestShedByTheHost(t *testing.T) {
+// TestShedRequestIsRejected: a request that the degradation level of the sidecar sheds is rejected at once,
+// whatever capacity there is, and nothing is learned from it.
+func TestShedRequestIsRejected(t *testing.T) {
 	for class := range uint16(3) {
 		h := start(t, plain(), ids(2)...)
 		before, classes := h.b.arrivalRate, append([]classState(nil), h.b.classes...)
@@ -166,9 +168,9 @@
 	}
 }
 
-// A server that is cut before any is measured gets trial calls by the demand that there is, and is back within seconds: none of
-// the others has a load yet from which a share could be taken.
-func TestCutBeforeAnyIsMeasured(t *testing.T) {
+// TestEjectedBeforeAnyIsMeasured: a server that is ejected before any is measured gets trial requests by the
+// demand, and is back within seconds: none of the others has a load yet of which it could get a share.
+func TestEjectedBeforeAnyIsMeasured(t *testing.T) {
 	h := start(t, plain(), ids(4)...)
 	id, burst := uint32(0), []Action(nil)
 	for range 40 { // what comes first is out at once, and all that one server has fails
@@ -185,10 +187,10 @@
 	}
 	s := h.b.servers[100]
 	if !s.ejected || h.b.measuredCount > 1 {
-		t.Fatalf("%d calls out: cut %v, %d servers measured", len(burst), s.ejected, h.b.measuredCount)
+		t.Fatalf("%d requests in flight: ejected %v, %d servers measured", len(burst), s.ejected, h.b.measuredCount)
 	}
 	for tried := 0; s.ejected; {
-		h.now += 10 // 100 calls a second
+		h.now += 10 // 100 requests a second
 		id++
 		for _, a := range h.request(id, 0) {
 			if a.Kind == ActSend {
@@ -199,30 +201,31 @@
 			}
 		}
 		if h.now > 6000 {
-			t.Fatalf("cut for 4.4 s, with %d trial calls", tried)
+			t.Fatalf("ejected for 4.4 s, with %d trial requests", tried)
 		}
 	}
 }
 
-// A host that tells the module of a part of the servers only says how many copies share these: each may have that much more out.
-func TestCopiesOfAPart(t *testing.T) {
+// TestReplicasOfASubset: a sidecar whose list is a subset says how many replicas share these servers: each
+// may have that much more in flight.
+func TestReplicasOfASubset(t *testing.T) {
 	set := plain()
 	set.Replicas, set.Tenants = 50, []Tenant{{Name: "t", Quota: 100}}
 	h := start(t, set, ids(10)...)
 	if h.b.initialLimit != minConcurrency {
-		t.Errorf("room %v with 50 copies at 10 servers", h.b.initialLimit)
+		t.Errorf("concurrency limit %v with 50 replicas at 10 servers", h.b.initialLimit)
 	}
 	h.do(Event{Kind: EvServerList, List: ListDelta, Replicas: 2})
 	if h.b.initialLimit != initialConcurrency*10/2 || h.b.tenantQuotas[0].Rate != 2 {
-		t.Errorf("room %v with 2 copies, quota %v of one of 50", h.b.initialLimit, h.b.tenantQuotas[0].Rate)
+		t.Errorf("concurrency limit %v with 2 replicas, quota %v of one of 50", h.b.initialLimit, h.b.tenantQuotas[0].Rate)
 	}
 	h.do(Event{Kind: EvServerList, List: ListDelta, Replicas: 4, Rank: 3})
 	if h.b.settings.Replicas != 4 || h.b.settings.Rank != 2 || h.b.homes[0].homeShare != 0 || h.b.homes[5].homeShare != 1 {
-		t.Errorf("third of 4 copies: rank %d, the first server's part %v, the sixth's %v", h.b.settings.Rank, h.b.homes[0].homeShare, h.b.homes[5].homeShare)
+		t.Errorf("third of 4 replicas: rank %d, the first server's part %v, the sixth's %v", h.b.settings.Rank, h.b.homes[0].homeShare, h.b.homes[5].homeShare)
 	}
 	h.do(Event{Kind: EvServerList, List: ListDelta, Replicas: 2})
 	h.do(Event{Kind: EvServerList, List: ListDelta, Replicas: -1, Rank: -1})
 	if h.b.settings.Replicas != 2 {
-		t.Errorf("%d copies when nothing is told", h.b.settings.Replicas)
+		t.Errorf("%d replicas when nothing is told", h.b.settings.Replicas)
 	}
 }
