--- a/balancer/credits.go
+++ b/balancer/credits.go
@@ -46,8 +46,9 @@
 	return load
 }
 
-// evenShare returns what a serving server is sent, those that warm up counted by their minimum; if all do,
-// the demand on each. Demand counts rejected requests too: in an overload its share would fill a server that warms up.
+// evenShare returns what a serving server is sent, those that warm up counted by their minimum; if all warm
+// up, the demand on each. Demand counts rejected requests too: in an overload a share of it would be all that
+// a new server can do.
 func (b *Balancer) evenShare() float64 {
 	if !b.hasWarm {
 		return b.arrivalRate.Rate(minRateWeight) / float64(max(len(b.usable), 1))
