--- a/cmd/milletmast/command_test.go
+++ b/cmd/milletmast/command_test.go
@@ -153,7 +153,7 @@
 	}
 	killAtEnd(t, cmd)
 	lines := bufio.NewScanner(stderr)
-	addr := logged(t, lines, `listening listener=public addr=(\S+)`)
+	addr := logged(t, lines, `INFO listen listener=public addr=(\S+)`)
 	get := func(path string) int {
 		res, err := http.Get("http://" + addr + path)
 		if err != nil {
@@ -172,9 +172,9 @@
 		text, signs string
 		status      int // of /new
 	}{
-		{strings.Replace(string(text), `exact = "/robots.txt"`, `exact = "/new"`, 1), `reloaded.* generation=(2)`, 200},
-		{strings.Replace(string(text), `effect = "safe"`, `effect = "mild"`, 1), `configuration kept.*(operator.toml:\d+: pool\[0\].class\[0\].effect)`, 200},
-		{strings.Replace(string(text), `exact = "/robots.txt"`, `exact = "/new"`, 1) + "# other\n", `reloaded.* generation=(3)`, 200},
+		{strings.Replace(string(text), `exact = "/robots.txt"`, `exact = "/new"`, 1), `reload configuration.* generation=(2)`, 200},
+		{strings.Replace(string(text), `effect = "safe"`, `effect = "mild"`, 1), `reject configuration.*(operator.toml:\d+: pool\[0\].class\[0\].effect)`, 200},
+		{strings.Replace(string(text), `exact = "/robots.txt"`, `exact = "/new"`, 1) + "# other\n", `reload configuration.* generation=(3)`, 200},
 	} {
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
--- a/cmd/milletmast/level_test.go
+++ b/cmd/milletmast/level_test.go
@@ -31,7 +31,7 @@
 	}
 	killAtEnd(t, cmd)
 	lines := bufio.NewScanner(stderr)
-	logged(t, lines, `listening listener=(public)`)
+	logged(t, lines, `INFO listen listener=(public)`)
 	for {
 		if _, err := os.Stat(socket); err == nil {
 			break
--- a/cmd/milletmast/main_test.go
+++ b/cmd/milletmast/main_test.go
@@ -77,7 +77,7 @@
 // The program serves where it is told to, and SIGTERM is a clean exit, not a crash.
 func TestProgram(t *testing.T) {
 	cmd, lines := program(t, env(t, strings.Replace(good, "127.0.0.1:8443", "127.0.0.1:0", 1)))
-	addr := logged(t, lines, `serving.* listen=(\S+)`)
+	addr := logged(t, lines, `INFO serve .*listen=(\S+)`)
 	res, err := http.Get("http://" + addr + "/-/ready")
 	if err != nil || res.StatusCode != http.StatusOK {
 		t.Fatalf("ready: %v, %v", res, err)
@@ -95,11 +95,11 @@
 func TestHangupMovesDiscovery(t *testing.T) {
 	getenv := env(t, strings.Replace(good, "127.0.0.1:8443", "127.0.0.1:0", 1))
 	cmd, lines := program(t, getenv)
-	logged(t, lines, `(serving)`)
+	logged(t, lines, `(INFO serve )`)
 	for _, c := range []struct{ text, signs string }{
-		{"{", `(configuration kept)`},
-		{strings.Replace(good, "127.0.0.1:8500", "127.0.0.1:8501", 1), `discovery moves.* addr=(127.0.0.1:8501)`},
-		{strings.Replace(good, "127.0.0.1:8500", "127.0.0.1:8502", 1), `discovery moves.* addr=(127.0.0.1:8502)`},
+		{"{", `(reject configuration)`},
+		{strings.Replace(good, "127.0.0.1:8500", "127.0.0.1:8501", 1), `change discovery address.* addr=(127.0.0.1:8501)`},
+		{strings.Replace(good, "127.0.0.1:8500", "127.0.0.1:8502", 1), `change discovery address.* addr=(127.0.0.1:8502)`},
 	} {
 		if err := os.WriteFile(getenv("RELAY_CONFIG"), []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
@@ -145,7 +145,7 @@
 		serving := make(chan bool)
 		lines := bufio.NewScanner(stderr)
 		go func() {
-			logged(t, lines, `(serving)`)
+			logged(t, lines, `(INFO serve )`)
 			close(serving)
 		}()
 		for up := false; !up; {
@@ -163,7 +163,7 @@
 			t.Fatal(err)
 		}
 		sendSignal(t, cmd, syscall.SIGHUP)
-		logged(t, lines, `(configuration kept)`)
+		logged(t, lines, `(reject configuration)`)
 		sendSignal(t, cmd, syscall.SIGTERM)
 		for lines.Scan() {
 		}
--- a/cmd/milletmast/members.go
+++ b/cmd/milletmast/members.go
@@ -49,13 +49,13 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	slog.Info("members listen", "name", members.Name, "addr", group.Address(), "cluster", members.Cluster)
+	slog.Info("join members", "name", members.Name, "addr", group.Address(), "cluster", members.Cluster)
 	var running sync.WaitGroup
 	running.Go(func() { followMembers(ctx, group, instance, pending) })
 	return group, func() {
 		running.Wait()
 		if err := group.Leave(); err != nil {
-			slog.Warn("members", "err", err)
+			slog.Warn("leave members", "err", err)
 		}
 	}, nil
 }
@@ -64,7 +64,7 @@
 func handleSummary(instance *sidecar.Instance, message []byte) {
 	pool, summary, err := loadshed.Unmarshal(message)
 	if err != nil {
-		slog.Debug("members", "err", err)
+		slog.Debug("ignore invalid summary", "err", err)
 		return
 	}
 	instance.HandleSummary(pool, summary)
--- a/cmd/milletmast/members_test.go
+++ b/cmd/milletmast/members_test.go
@@ -54,8 +54,8 @@
 			t.Fatal(err)
 		}
 	}
-	address := regexp.MustCompile(`members listen.* addr=(\S+)`)
-	last := regexp.MustCompile(`(?s).*standing=(\w+ copies=\d+)`)
+	address := regexp.MustCompile(`join members.* addr=(\S+)`)
+	last := regexp.MustCompile(`(?s).*confidence=(\w+ replicas=\d+)`)
 	var all []*testcluster.Process
 	seed := ""
 	for i := range 4 {
@@ -69,7 +69,7 @@
 	agree := func(copies int, procs ...*testcluster.Process) func() bool {
 		return func() bool {
 			for _, p := range procs {
-				if p.Output.Find(last) != fmt.Sprint("agreed copies=", copies) {
+				if p.Output.Find(last) != fmt.Sprint("agreed replicas=", copies) {
 					return false
 				}
 			}
@@ -98,7 +98,7 @@
 		t.Errorf("of one that has left:\n%s", told)
 	}
 	none := start("none", "")
-	wait("the one without members listens", func() bool { return strings.Contains(none.Output.String(), "listening") })
+	wait("the one without members listens", func() bool { return strings.Contains(none.Output.String(), "listen listener=") })
 	if strings.Contains(none.Output.String(), "members") {
 		t.Errorf("without the table: %s", none.Output)
 	}
--- a/cmd/milletmast/platform.go
+++ b/cmd/milletmast/platform.go
@@ -54,7 +54,7 @@
 	cfg, err := loadPlatformConfig(os.Getenv)
 	s.CountReload(err)
 	if err != nil {
-		slog.Error("configuration kept", "err", err)
+		slog.Error("reject configuration", "err", err)
 		return
 	}
 	s.SetDiscoveryAddr(cfg.Discovery)
--- a/cmd/milletmast/serve.go
+++ b/cmd/milletmast/serve.go
@@ -68,7 +68,7 @@
 		return err
 	}
 	for name, addr := range instance.Addresses() {
-		slog.Info("listening", "listener", name, "addr", addr)
+		slog.Info("listen", "listener", name, "addr", addr)
 	}
 	members, leave, err := joinMembers(ctx, cfg, instance)
 	if err != nil {
@@ -141,7 +141,7 @@
 			}
 		case <-reminder.C:
 			if r.isLastGood {
-				slog.Warn("the last good operator file is in force, not the one that was given", "given", r.path, "hash", r.hash[:shortHashLength])
+				slog.Warn("use last good configuration", "given", r.path, "hash", r.hash[:shortHashLength])
 			}
 		}
 	}
@@ -155,10 +155,10 @@
 	}
 	store, contents, setAside, err := state.Open(cfg.State.Path, cfg.Name)
 	if setAside != nil {
-		slog.Error("state", "err", setAside)
+		slog.Error("set aside unreadable state", "err", setAside)
 	}
 	if err != nil {
-		slog.Error("nothing is kept", "err", err)
+		slog.Error("open state folder", "err", err)
 		return nil
 	}
 	return &sidecar.Persistence{Store: store, Loaded: contents, Interval: time.Duration(cfg.State.Every)}
@@ -178,8 +178,8 @@
 	if err != nil {
 		return nil, errors.Join(cause, fmt.Errorf("the last good file cannot be used either: %w", err))
 	}
-	slog.Warn("the last good operator file is in force, not the one that was given",
-		"cause", cause, "kept", good.AppliedAt, "hash", cfg.Hash[:shortHashLength])
+	slog.Warn("use last good configuration",
+		"cause", cause, "applied", good.AppliedAt, "hash", cfg.Hash[:shortHashLength])
 	return cfg, nil
 }
 
@@ -190,12 +190,12 @@
 	if err == nil {
 		var generation uint64
 		if generation, err = instance.Reload(cfg); err == nil {
-			slog.Info("reloaded", "generation", generation, "hash", cfg.Hash[:shortHashLength])
+			slog.Info("reload configuration", "generation", generation, "hash", cfg.Hash[:shortHashLength])
 			return true
 		}
 	}
 	for line := range strings.SplitSeq(err.Error(), "\n") {
-		slog.Error("configuration kept", "err", line)
+		slog.Error("reject configuration", "err", line)
 	}
 	return false
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -148,7 +148,7 @@
 // audit appends an event to the audit log. A full disk does not stop the agent.
 func (a *Agent) audit(who, what string) {
 	if err := a.store.AppendEvent(time.Now(), who, what); err != nil {
-		slog.Error("audit log", "err", err)
+		slog.Error("write audit log", "err", err)
 	}
 }
 
@@ -182,13 +182,13 @@
 	}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(ln) }()
-	slog.Info("agent serves", "name", a.cfg.Name, "addr", ln.Addr(), "instances", len(a.instances), "boot", a.boot)
+	slog.Info("serve", "name", a.cfg.Name, "addr", ln.Addr(), "instances", len(a.instances), "boot", a.boot)
 	select {
 	case err = <-served:
 	case <-ctx.Done():
 		server.Stop()
 		if err := <-served; err != nil { // Serve returns nil after Stop
-			slog.Warn("serve", "err", err)
+			slog.Warn("stop serving", "err", err)
 		}
 	}
 	stop()
--- a/internal/agent/instance.go
+++ b/internal/agent/instance.go
@@ -109,7 +109,7 @@
 		}
 		m.reachable, m.rejectedHash, m.polledAt = false, "", time.Now()
 		m.mu.Unlock()
-		slog.Warn("instance ended", "instance", m.spec.Name, "err", err, "again", backoff)
+		slog.Warn("restart ended instance", "instance", m.spec.Name, "err", err, "backoff", backoff)
 		m.agent.audit("agent", fmt.Sprintf("%s ended: %v", m.spec.Name, err))
 		select {
 		case <-ctx.Done():
@@ -132,7 +132,7 @@
 	if !running || pid <= 1 {
 		return nil
 	}
-	slog.Info("adopted", "instance", m.spec.Name, "pid", pid)
+	slog.Info("adopt process", "instance", m.spec.Name, "pid", pid)
 	tick := time.NewTicker(adoptPollInterval)
 	defer tick.Stop()
 	for syscall.Kill(pid, 0) == nil {
@@ -309,7 +309,7 @@
 		return
 	case intent.Hash != "" && hash == intent.Hash: // it has applied the change, and the response was lost
 		if err := m.commitChange(hash); err != nil {
-			slog.Error("not kept", "instance", m.spec.Name, "err", err)
+			slog.Error("persist configuration", "instance", m.spec.Name, "err", err)
 		}
 		return
 	case desired.Hash == "" || hash == desired.Hash || rejectedHash == desired.Hash:
@@ -319,7 +319,7 @@
 	if err != nil || len(text) == 0 {
 		return
 	}
-	slog.Info("reconciling", "instance", m.spec.Name, "from", shortHash(hash), "to", shortHash(desired.Hash))
+	slog.Info("reconcile configuration", "instance", m.spec.Name, "from", shortHash(hash), "to", shortHash(desired.Hash))
 	m.agent.audit("agent", fmt.Sprintf("%s runs %s: brought back to %s", m.spec.Name, shortHash(hash), shortHash(desired.Hash)))
 	if reply, err := m.apply(ctx, text); err == nil && reply.Refused != "" {
 		m.mu.Lock()
--- a/internal/faultdrill/rogue_test.go
+++ b/internal/faultdrill/rogue_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	slog.Info("listening", "listener", "in", "addr", ln.Addr().String())
+	slog.Info("listen", "listener", "in", "addr", ln.Addr().String())
 	r := &rogue{wrong: os.Getenv(rogueVariable), cfg: cfg}
 	for {
 		c, err := ln.Accept()
--- a/internal/faultdrill/sidecar.go
+++ b/internal/faultdrill/sidecar.go
@@ -230,8 +230,8 @@
 
 // The lines in which a sidecar says where it listens.
 var (
-	membersPattern   = regexp.MustCompile(`members listen"? .*addr=(\S+)`)
-	listeningPattern = regexp.MustCompile(`listening"? .*addr=(\S+)`)
+	membersPattern   = regexp.MustCompile(`(?:join members|members listen)"? .*addr=(\S+)`)
+	listeningPattern = regexp.MustCompile(`listen(?:ing)?"? listener=\S+ addr=(\S+)`)
 )
 
 // start starts the process and waits until it listens.
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -106,6 +106,6 @@
 type logWriter struct{}
 
 func (*logWriter) Write(p []byte) (int, error) {
-	slog.Debug("members", "library", string(p))
+	slog.Debug("log library message", "text", string(p))
 	return len(p), nil
 }
--- a/internal/gossip/group.go
+++ b/internal/gossip/group.go
@@ -168,19 +168,13 @@
 		if now.Sub(loggedAt) >= minLogInterval {
 			loggedAt = now
 			slog.Info(
-				"members",
-				"standing",
-				v.Confidence,
-				"copies",
-				v.Replicas,
-				"rank",
-				v.Rank,
-				"why",
-				v.Reason,
-				"hash",
-				fmt.Sprintf("%016x", v.Hash),
-				"epoch",
-				v.Epoch,
+				"change membership view",
+				"confidence", v.Confidence,
+				"replicas", v.Replicas,
+				"rank", v.Rank,
+				"reason", v.Reason,
+				"hash", fmt.Sprintf("%016x", v.Hash),
+				"epoch", v.Epoch,
 			)
 		}
 	}
@@ -214,7 +208,7 @@
 		g.mu.Unlock()
 		if len(addresses) > 0 {
 			if _, err := g.list.Join(addresses); err != nil {
-				slog.Debug("members: nobody answers", "err", err)
+				slog.Debug("contact members", "err", err)
 			}
 		}
 		select {
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -45,7 +45,7 @@
 			return
 		}
 		if err := g.list.SendBestEffort(n, message); err != nil {
-			slog.Debug("members", "to", n.Name, "err", err)
+			slog.Debug("send message", "to", n.Name, "err", err)
 		}
 	}
 }
--- a/internal/hotrestart/sharedstate.go
+++ b/internal/hotrestart/sharedstate.go
@@ -176,7 +176,7 @@
 	}
 	state, err := s.read()
 	if err != nil {
-		slog.Error("shared state is written anew from what is known", "err", err)
+		slog.Error("rewrite shared state", "err", err)
 	}
 	state = change(state)
 	text, err := state.encode()
@@ -210,7 +210,7 @@
 		if isAlive := s.IsAnotherAlive(); fileChanged || isAlive != anotherAlive || !reported {
 			state, err := s.Read()
 			if err != nil {
-				slog.Error("shared state kept as it was known", "err", err)
+				slog.Error("keep last shared state", "err", err)
 			}
 			anotherAlive, reported = isAlive, true
 			changed(state, anotherAlive)
--- a/internal/sidecar/calltree.go
+++ b/internal/sidecar/calltree.go
@@ -117,13 +117,13 @@
 			return nil, nil
 		}
 		if n := ts.invalidContexts.Add(1); isPowerOfTwo(n) {
-			slog.Warn("a context cannot be read", "cause", err, "count", n)
+			slog.Warn("ignore invalid context", "cause", err, "count", n)
 		}
 		return nil, &contextError{status: http.StatusBadRequest, text: err.Error()}
 	}
 	if c.Contains(ts.id) || c.Hops() >= budget.MaxHops {
 		if n := ts.loops.Add(1); isPowerOfTwo(n) {
-			slog.Warn("a call has come back", "route", rule.Name, "path", strings.Join(c.Path, "."), "count", n)
+			slog.Warn("reject call loop", "route", rule.Name, "path", strings.Join(c.Path, "."), "count", n)
 		}
 		text := fmt.Sprintf("loop: %s > %s (%s), by route %s", strings.Join(c.Path, " > "), ts.id, ts.name, rule.Name)
 		return nil, &contextError{statusLoop, text, outcomeLoop}
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -208,7 +208,7 @@
 	d.mu.Lock()
 	latest := number == d.latestWatch
 	d.mu.Unlock()
-	slog.Info("watch ended", "addr", addr, "latest", latest, "err", err)
+	slog.Info("end watch", "addr", addr, "latest", latest, "err", err)
 	if latest {
 		d.onFailure()
 	}
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -89,7 +89,7 @@
 		}
 		shedder, err := loadshed.NewShedder(loadshed.DefaultConfig(f.name, weights))
 		if err != nil {
-			slog.Error("allot", "pool", p.Name, "err", err) // not for a file that was checked
+			slog.Error("create load shedder", "pool", p.Name, "err", err) // not for a file that was checked
 			return
 		}
 		a = &fleetShedding{pool: p.Name, shedder: shedder}
@@ -120,9 +120,8 @@
 	d := a.shedder.Current()
 	if ended := d.AdmitsAll(); ended == a.isActive && now.Sub(a.loggedAt) >= minShedLogInterval {
 		a.isActive, a.loggedAt = !ended, now
-		slog.Warn("overload of the fleet", "pool", a.pool, "over", ended,
-			"price", d.MinWeightPerSecond, "reach", d.Level, "demand", d.Demand, "refused", d.RejectedRatio, "members", d.Replicas,
-			"pass", d.AdmitRatio)
+		slog.Warn("change fleet overload", "pool", a.pool, "ended", ended, "min_weight", d.MinWeightPerSecond, "level", d.Level,
+			"demand", d.Demand, "rejected", d.RejectedRatio, "replicas", d.Replicas, "admit", d.AdmitRatio)
 	}
 	l.scheduleExchange(a, loadshed.Interval)
 }
--- a/internal/sidecar/generation.go
+++ b/internal/sidecar/generation.go
@@ -48,7 +48,7 @@
 	if next.previous != nil {
 		i.releaseGeneration(next.previous)
 	}
-	slog.Info("generation in force", "number", next.number, "file", cfg.Path, "hash", cfg.Hash[:12],
+	slog.Info("apply generation", "number", next.number, "file", cfg.Path, "hash", cfg.Hash[:12],
 		"listeners", len(next.routers), "pools", len(next.pools), "routes", len(cfg.Routes))
 	return nil
 }
--- a/internal/sidecar/instance.go
+++ b/internal/sidecar/instance.go
@@ -73,7 +73,7 @@
 	}
 	if persistence != nil {
 		if err := i.saveLastGood(cfg); err != nil {
-			slog.Error("generation", "err", err)
+			slog.Error("save last good configuration", "err", err)
 		}
 		i.startPersisting()
 	}
@@ -100,7 +100,7 @@
 		return current.number, err
 	}
 	if err := i.saveLastGood(cfg); err != nil { // the file is in force all the same
-		slog.Error("generation", "err", err)
+		slog.Error("save last good configuration", "err", err)
 	}
 	return current.number + 1, nil
 }
--- a/internal/sidecar/levels.go
+++ b/internal/sidecar/levels.go
@@ -89,7 +89,7 @@
 	if s.controller.Update(now, r, s.meter.Demand(now)) {
 		st := s.controller.Status(0)
 		c := st.Changes[len(st.Changes)-1]
-		slog.Warn("level of service", "pool", s.pool, "from", c.From, "to", c.To, "by", c.By, "why", c.Reason)
+		slog.Warn("change degradation level", "pool", s.pool, "from", c.From, "to", c.To, "by", c.By, "reason", c.Reason)
 	}
 	heap.Push(&l.timers, &timedTask{at: l.now() + inMillis(levelInterval), run: l.updateLevels, onlyFor: s})
 }
@@ -239,7 +239,7 @@
 		if err := m.Pin(name, now, now.Add(ttl)); err != nil {
 			return err
 		}
-		slog.Warn("level of service pinned", "pool", pool, "level", name, "for", ttl)
+		slog.Warn("pin degradation level", "pool", pool, "level", name, "ttl", ttl)
 		return nil
 	})
 }
@@ -248,7 +248,7 @@
 func (i *Instance) Unpin(pool string) error {
 	if err := i.withLevels(pool, func(m *degradation.Controller) error {
 		m.Unpin(time.Now())
-		slog.Warn("level of service released", "pool", pool)
+		slog.Warn("unpin degradation level", "pool", pool)
 		return nil
 	}); err != nil {
 		return err
--- a/internal/sidecar/listenerprotocol.go
+++ b/internal/sidecar/listenerprotocol.go
@@ -42,7 +42,7 @@
 	c.drainsItself = true
 	i.clients.mu.Unlock()
 	if err := l.grpc.Serve(c, c.reader); err != nil {
-		slog.Debug("connection of a caller ended", "cause", err)
+		slog.Debug("close client connection", "cause", err)
 	}
 }
 
--- a/internal/sidecar/mux.go
+++ b/internal/sidecar/mux.go
@@ -151,7 +151,7 @@
 	})
 	u.goroutines.Go(func() {
 		if err := c.mux.Run(); err != nil {
-			slog.Debug("connection to a server ended", "server", e.addr, "cause", err)
+			slog.Debug("close server connection", "server", e.addr, "cause", err)
 		}
 	})
 	if err := c.mux.WaitSettings(limited); err != nil {
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -28,7 +28,7 @@
 	l.counts.held.Store(int64(len(set.Held)))
 	var list List
 	for _, uid := range changed {
-		slog.Info("held out by hand", "endpoint", uid, "out", set.IsHeld(uid))
+		slog.Info("override endpoint", "endpoint", uid, "held", set.IsHeld(uid))
 		if t, ok := l.targets[uid]; ok {
 			list.Targets = append(list.Targets, t)
 		}
--- a/internal/sidecar/persistence.go
+++ b/internal/sidecar/persistence.go
@@ -111,7 +111,7 @@
 	if age, used := p.importLearned(s); used {
 		i.learnedAge.Store(max(i.learnedAge.Load(), int64(age))) // under the reload mutex
 		i.startedWarm.Store(true)
-		slog.Info("pool starts warm", "pool", p.name, "age", age.Round(time.Millisecond), "servers", len(s.Servers))
+		slog.Info("restore learned state", "pool", p.name, "age", age.Round(time.Millisecond), "servers", len(s.Servers))
 	}
 }
 
@@ -122,7 +122,7 @@
 		for name, pin := range k.Loaded.Pins {
 			if left := time.Until(pin.Until); left > 0 {
 				if err := i.pin(name, pin.Level, left); err != nil {
-					slog.Warn("pin of before is not in force", "pool", name, "level", pin.Level, "err", err)
+					slog.Warn("restore pin", "pool", name, "level", pin.Level, "err", err)
 				}
 			}
 		}
@@ -133,7 +133,7 @@
 		defer func() {
 			w.Close()
 			if err := k.Store.Close(); err != nil {
-				slog.Error("state", "err", err)
+				slog.Error("persist learned state", "err", err)
 			}
 		}()
 		tick := time.NewTicker(k.Interval)
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -118,7 +118,7 @@
 	<-p.loop.stopped
 	p.loop.attempts.Wait()
 	p.upstream.close()
-	slog.Info("pool ended", "pool", p.name)
+	slog.Info("close pool", "pool", p.name)
 }
 
 // targets converts servers of an operator file to a list for the loop.
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -168,7 +168,7 @@
 	return &Reply{Status: a.status, Header: a.header, Body: a.body, RetryAfter: a.retryAfter}
 }
 
-// Memory returns what the decision module has learned of its servers.
+// LearnedState returns what the decision module has learned of its servers.
 func (s *Service) LearnedState() (m balancer.LearnedState) {
 	s.loop.do(func() { m = s.loop.balancer.Export() })
 	return m
@@ -196,7 +196,7 @@
 	<-s.loop.stopped
 	s.loop.attempts.Wait()
 	s.upstream.close()
-	slog.Debug("service ended")
+	slog.Debug("close service")
 }
 
 // shutdownPollInterval is the time between two checks whether a request is left.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -133,7 +133,7 @@
 		s.frontend.serve(s.listener)
 		ended <- net.ErrClosed
 	}()
-	slog.Info("serving", "listen", s.listener.Addr(), "known", len(s.cfg.InitialList.Targets), "rev", s.cfg.InitialList.Rev)
+	slog.Info("serve", "listen", s.listener.Addr(), "servers", len(s.cfg.InitialList.Targets), "revision", s.cfg.InitialList.Rev)
 	select {
 	case err := <-ended:
 		return fmt.Errorf("serve: %w", err)
@@ -161,7 +161,7 @@
 func (s *Sidecar) SetDiscoveryAddr(addr string) {
 	s.loop.post(func() {
 		if s.discovery.setAddr(addr) {
-			slog.Info("discovery moves", "addr", addr)
+			slog.Info("change discovery address", "addr", addr)
 			s.loop.startWatch()
 		}
 	})
--- a/internal/sidecar/source.go
+++ b/internal/sidecar/source.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		if text := err.Error(); text != w.lastError {
 			w.lastError = text
-			slog.Error("servers kept", "err", err)
+			slog.Error("reject server file", "err", err)
 		}
 		return
 	}
--- a/internal/sidecar/subset.go
+++ b/internal/sidecar/subset.go
@@ -124,7 +124,7 @@
 	p := l.subset
 	usable := max(l.usable-l.balancer.EjectedServers(), 0)
 	if p.sizer.Update(time.Now(), len(l.listed), p.ring.Len(), usable) {
-		slog.Warn("subset changes", "servers", len(l.listed), "usable", usable, "least", p.sizer.Current(p.ring.Len()).Size)
+		slog.Warn("change subset", "servers", len(l.listed), "usable", usable, "size", p.sizer.Current(p.ring.Len()).Size)
 		l.applyList(List{}, balancer.ListDelta)
 	}
 	heap.Push(&l.timers, &timedTask{at: l.now() + inMillis(subsetInterval), run: l.updateSubset})
--- a/internal/sidecar/upgrade.go
+++ b/internal/sidecar/upgrade.go
@@ -94,7 +94,7 @@
 	if s.cfg.OnMemoryShare != nil {
 		s.cfg.OnMemoryShare(float64(memory))
 	}
-	slog.Info("limits", "part", float64(share), "callers", clients, "endpoints", endpoints)
+	slog.Info("set connection limits", "share", float64(share), "clients", clients, "endpoints", endpoints)
 }
 
 // applySharedState applies the shared state, and whether another process is alive.
@@ -103,7 +103,7 @@
 	defer s.sharedMu.Unlock()
 	state, err := s.shared.Read() // again, as this process may have changed it meanwhile
 	if err != nil {
-		slog.Error("shared state kept as it was known", "err", err)
+		slog.Error("keep last shared state", "err", err)
 	}
 	s.loop.post(func() { s.loop.setOverrides(state.Held) })
 	s.replaced.Store(isAnotherAlive && s.serving.Load() && state.Serving != s.shared.ID())
@@ -179,7 +179,7 @@
 			st.Serving = s.shared.ID()
 			return st
 		}); err != nil {
-			slog.Error("the process before is not told", "err", err)
+			slog.Error("notify replaced process", "err", err)
 		}
 	}
 	s.serving.Store(true)
@@ -196,7 +196,7 @@
 // directConnections has the kernel direct new connections to the listener in a slot.
 func (s *Sidecar) directConnections(slot uint32) {
 	if err := hotrestart.DirectConnections(s.listener, slot); err != nil {
-		slog.Warn("connections are dealt out by the kernel", "err", err)
+		slog.Warn("direct new connections", "err", err)
 	}
 }
 
--- a/internal/state/poolrecord.go
+++ b/internal/state/poolrecord.go
@@ -14,24 +14,24 @@
 }
 
 type learnedRecord struct {
-	At               float64
-	ConcurrencyLimit float64        `json:"Room"`
-	LatencyRatio     float64        `json:"Typical"`
-	BaseLatencyRatio float64        `json:"Calm"`
-	ArrivalRate      float64        `json:"Demand"`
-	SendRate         float64        `json:"Sent"`
-	Classes          []classRecord  `json:"Classes"`
-	Servers          []serverRecord `json:"Servers"`
+	At                   float64
+	ConcurrencyPerServer float64 `json:"Room"`
+	LatencyRatio         float64 `json:"Typical"`
+	BaseLatencyRatio     float64 `json:"Calm"`
+	ArrivalRate          float64 `json:"Demand"`
+	SendRate             float64 `json:"Sent"`
+	Classes              []classRecord
+	Servers              []serverRecord
 }
 
 type classRecord struct {
-	Latency      float64
+	MeanLatency  float64 `json:"Latency"`
 	RequestShare float64 `json:"Share"`
 	OnTimeShare  float64 `json:"Served"`
 }
 
 type serverRecord struct {
-	Number       uint32  `json:"Server"`
+	ID           uint32  `json:"Server"`
 	StartedAt    float64 `json:"Started"`
 	Load         float64
 	MaxLoad      float64
@@ -44,16 +44,18 @@
 func (p PoolState) MarshalJSON() ([]byte, error) {
 	m := &p.Learned
 	r := poolRecord{ModuleSettings: p.ModuleSettings, Servers: p.Servers, Learned: learnedRecord{
-		At: m.At, ConcurrencyLimit: m.ConcurrencyPerServer, LatencyRatio: m.LatencyRatio, BaseLatencyRatio: m.BaseLatencyRatio, ArrivalRate: m.ArrivalRate, SendRate: m.SendRate,
+		At:                   m.At,
+		ConcurrencyPerServer: m.ConcurrencyPerServer,
+		LatencyRatio:         m.LatencyRatio,
+		BaseLatencyRatio:     m.BaseLatencyRatio,
+		ArrivalRate:          m.ArrivalRate,
+		SendRate:             m.SendRate,
 	}}
 	for _, c := range m.Classes {
-		r.Learned.Classes = append(r.Learned.Classes, classRecord{Latency: c.MeanLatency, RequestShare: c.RequestShare, OnTimeShare: c.OnTimeShare})
+		r.Learned.Classes = append(r.Learned.Classes, classRecord(c))
 	}
 	for _, s := range m.Servers {
-		r.Learned.Servers = append(r.Learned.Servers, serverRecord{
-			Number: s.ID, StartedAt: s.StartedAt, Load: s.Load, MaxLoad: s.MaxLoad,
-			LatencyRatio: s.LatencyRatio, FailureRun: s.FailureRun, Ejected: s.Ejected,
-		})
+		r.Learned.Servers = append(r.Learned.Servers, serverRecord(s))
 	}
 	return json.Marshal(r)
 }
@@ -66,16 +68,18 @@
 	}
 	l := &r.Learned
 	m := balancer.LearnedState{
-		At: l.At, ConcurrencyPerServer: l.ConcurrencyLimit, LatencyRatio: l.LatencyRatio, BaseLatencyRatio: l.BaseLatencyRatio, ArrivalRate: l.ArrivalRate, SendRate: l.SendRate,
+		At:                   l.At,
+		ConcurrencyPerServer: l.ConcurrencyPerServer,
+		LatencyRatio:         l.LatencyRatio,
+		BaseLatencyRatio:     l.BaseLatencyRatio,
+		ArrivalRate:          l.ArrivalRate,
+		SendRate:             l.SendRate,
 	}
 	for _, c := range l.Classes {
-		m.Classes = append(m.Classes, balancer.LearnedClass{MeanLatency: c.Latency, RequestShare: c.RequestShare, OnTimeShare: c.OnTimeShare})
+		m.Classes = append(m.Classes, balancer.LearnedClass(c))
 	}
 	for _, s := range l.Servers {
-		m.Servers = append(m.Servers, balancer.LearnedServer{
-			ID: s.Number, StartedAt: s.StartedAt, Load: s.Load, MaxLoad: s.MaxLoad,
-			LatencyRatio: s.LatencyRatio, FailureRun: s.FailureRun, Ejected: s.Ejected,
-		})
+		m.Servers = append(m.Servers, balancer.LearnedServer(s))
 	}
 	*p = PoolState{ModuleSettings: r.ModuleSettings, Servers: r.Servers, Learned: m}
 	return nil
--- a/internal/state/writer.go
+++ b/internal/state/writer.go
@@ -44,13 +44,13 @@
 	if err == nil {
 		w.saved.Add(1)
 		if w.failing.Swap(false) {
-			slog.Info("state is kept again")
+			slog.Info("resume persisting state")
 		}
 		return
 	}
 	w.dropped.Add(1)
 	if !w.failing.Swap(true) { // logged once, not for each snapshot
-		slog.Error("state is not kept", "err", err)
+		slog.Error("persist state", "err", err)
 	}
 }
 
--- a/internal/warmstart/decay.go
+++ b/internal/warmstart/decay.go
@@ -2,9 +2,9 @@
 // I/O and no clock. The rules:
 //
 //   - What is as old as MaxAge, or comes from the future as a clock was set, is dropped.
-//   - The load and pace of a server move linearly with age to the mean of all servers, so that old differences fade.
-//   - A server that was cut off stays so for half of MaxAge; after that it counts as not measured.
-//   - The capacity, and the least mean latency that it is judged by, are kept for MaxCapacityAge only: they describe a load,
+//   - The load and latency ratio of a server move linearly with age to the mean of all servers, so that old differences fade.
+//   - A server that was ejected stays so for half of MaxAge; after that it counts as not measured.
+//   - The concurrency limit, and the base latency that it is judged by, are kept for MaxCapacityAge only: they describe a load,
 //     not servers.
 //
 // Which incarnation of a server a measurement belongs to, and that a server that warms up has none, are rules of the module.
@@ -36,7 +36,9 @@
 	decayed.ArrivalRate *= fade
 	decayed.SendRate *= fade
 	if age < ms(MaxCapacityAge) {
-		decayed.ConcurrencyPerServer, decayed.LatencyRatio, decayed.BaseLatencyRatio = positive(m.ConcurrencyPerServer), positive(m.LatencyRatio), positive(m.BaseLatencyRatio)
+		decayed.ConcurrencyPerServer = positive(m.ConcurrencyPerServer)
+		decayed.LatencyRatio = positive(m.LatencyRatio)
+		decayed.BaseLatencyRatio = positive(m.BaseLatencyRatio)
 	}
 	for _, c := range m.Classes {
 		decayed.Classes = append(
@@ -45,12 +47,12 @@
 		)
 	}
 	trust := 1 - age/ms(MaxAge)
-	load, pace := meanLoadAndPace(m.Servers)
+	load, latencyRatio := meanLoadAndLatencyRatio(m.Servers)
 	for _, s := range m.Servers {
 		server := balancer.LearnedServer{
 			ID: s.ID, StartedAt: positive(s.StartedAt),
 			Load: moveToward(load, positive(s.Load), trust), MaxLoad: positive(s.MaxLoad) * trust,
-			LatencyRatio: moveToward(pace, positive(s.LatencyRatio), trust), FailureRun: positive(s.FailureRun) * trust,
+			LatencyRatio: moveToward(latencyRatio, positive(s.LatencyRatio), trust), FailureRun: positive(s.FailureRun) * trust,
 		}
 		if server.Ejected = s.Ejected && trust > 0.5; s.Ejected && !server.Ejected {
 			server = balancer.LearnedServer{ID: server.ID, StartedAt: server.StartedAt, FailureRun: server.FailureRun}
@@ -74,20 +76,20 @@
 	return mean + (value-mean)*trust
 }
 
-// meanLoadAndPace returns the mean load and the mean pace of the servers for which they were learned.
-func meanLoadAndPace(list []balancer.LearnedServer) (load, pace float64) {
-	loads, paces := 0.0, 0.0
+// meanLoadAndLatencyRatio returns the mean load and the mean latency ratio of the servers for which they were learned.
+func meanLoadAndLatencyRatio(list []balancer.LearnedServer) (load, latencyRatio float64) {
+	loads, ratios := 0.0, 0.0
 	for _, s := range list {
 		if v := positive(s.Load); v > 0 {
 			load += v
 			loads++
 		}
 		if v := positive(s.LatencyRatio); v > 0 {
-			pace += v
-			paces++
+			latencyRatio += v
+			ratios++
 		}
 	}
-	return load / math.Max(loads, 1), pace / math.Max(paces, 1)
+	return load / math.Max(loads, 1), latencyRatio / math.Max(ratios, 1)
 }
 
 // maxValue is above any value that a module learns.
--- a/internal/warmstart/decay_test.go
+++ b/internal/warmstart/decay_test.go
@@ -54,7 +54,7 @@
 		if old.ConcurrencyPerServer > young.ConcurrencyPerServer || old.ArrivalRate > young.ArrivalRate || len(old.Servers) > len(young.Servers) {
 			t.Fatalf("%+v grew to %+v", young, old)
 		}
-		load, pace := meanLoadAndPace(m.Servers)
+		load, pace := meanLoadAndLatencyRatio(m.Servers)
 		for i, o := range old.Servers {
 			y := young.Servers[i]
 			if o.Ejected && !y.Ejected || o.FailureRun > y.FailureRun || o.MaxLoad > y.MaxLoad {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -128,9 +128,17 @@
 			ConnIdleTimeout: limits.ConnIdle, StreamsPerConn: limits.StreamsPerConn,
 		},
 		Safety: balancer.Safety{
-			ResponseSlack: safety.AnswerSlack, DrainGrace: safety.DrainGrace, SlowStartShare: safety.ColdFrom,
-			SlowStartTime: safety.RampTime, OverloadMultiple: safety.FallMultiple, OverloadTime: safety.TipAfter, ListInterval: safety.AskEvery,
-			DrainCloseTime: safety.DrainClose, RetryBudgetMin: safety.BudgetFree, RetryBudgetShare: safety.RepeatRatio, RetryBudgetWindow: safety.LookBack,
+			ResponseSlack:     safety.AnswerSlack,
+			DrainGrace:        safety.DrainGrace,
+			SlowStartShare:    safety.ColdFrom,
+			SlowStartTime:     safety.RampTime,
+			OverloadMultiple:  safety.FallMultiple,
+			OverloadTime:      safety.TipAfter,
+			ListInterval:      safety.AskEvery,
+			DrainCloseTime:    safety.DrainClose,
+			RetryBudgetMin:    safety.BudgetFree,
+			RetryBudgetShare:  safety.RepeatRatio,
+			RetryBudgetWindow: safety.LookBack,
 		},
 	}
 	if all := parsed.Goal.Whole + parsed.Goal.WorstWindow; all > 0 {
