--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -42,7 +42,7 @@
 // called by the library.
 func (g *Group) NotifyJoin(n *memberlist.Node) { g.enqueue(eventOf(n, clusterview.Alive), n.Address()) }
 
-// NotifyLeave handles a member that has left or failed. The library does not tell which; a member that leaves announces it
+// NotifyLeave handles a member that has left or failed. The library does not distinguish them; a member that leaves announces it
 // itself (kindLeaving).
 func (g *Group) NotifyLeave(n *memberlist.Node) {
 	event := eventOf(n, clusterview.Failed)
--- a/internal/gossip/group.go
+++ b/internal/gossip/group.go
@@ -24,6 +24,7 @@
 	maxFailedAddresses = 1000                   // failed members whose addresses are kept
 	rejoinInterval     = 2 * time.Second        // between two attempts to reach seeds or failed members
 	updateInterval     = 250 * time.Millisecond // between two updates of the view
+	exchangeInterval   = 10 * time.Second       // between two exchanges of the whole list with a random member
 	leaveTimeout       = time.Second            // for the library to announce that this replica leaves
 	minLogInterval     = time.Second            // between two log lines on changes of the view
 )
@@ -93,6 +94,7 @@
 	conf.EnableCompression = false
 	conf.DeadNodeReclaimTime = time.Second // a process that restarts may have another address
 	conf.ProbeInterval, conf.ProbeTimeout, conf.GossipInterval = g.config.ProbeInterval, g.config.ProbeInterval/2, g.config.ProbeInterval/5
+	conf.PushPullInterval = exchangeInterval
 	conf.TCPTimeout = time.Second
 	if len(g.config.Keys) > 0 {
 		if conf.Keyring, err = memberlist.NewKeyring(g.config.Keys, g.config.Keys[0]); err != nil {
