--- a/cmd/milletmast/main_test.go
+++ b/cmd/milletmast/main_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"milletmast/internal/freeport"
+	"milletmast/internal/testcluster"
 )
 
 // build compiles the program as the deploy file does.
@@ -78,9 +79,17 @@
 func TestProgram(t *testing.T) {
 	cmd, lines := program(t, env(t, strings.Replace(good, "127.0.0.1:8443", "127.0.0.1:0", 1)))
 	addr := logged(t, lines, `INFO serve .*listen=(\S+)`)
-	res, err := http.Get("http://" + addr + "/-/ready")
-	if err != nil || res.StatusCode != http.StatusOK {
-		t.Fatalf("ready: %v, %v", res, err)
+	// The line is logged when the listener accepts; the loop may apply the list of servers a moment later.
+	ready := func() bool {
+		res, err := http.Get("http://" + addr + "/-/ready")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer res.Body.Close()
+		return res.StatusCode == http.StatusOK
+	}
+	if err := testcluster.WaitFor(t.Context(), "the program is ready", 5*time.Second, ready); err != nil {
+		t.Fatal(err)
 	}
 	sendSignal(t, cmd, syscall.SIGTERM)
 	for lines.Scan() { // to the end of its log
