--- a/internal/sidecar/siterouting_test.go
+++ b/internal/sidecar/siterouting_test.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"strings"
 	"testing"
+	"time"
 )
 
 const siteText = `
@@ -70,6 +71,9 @@
 // A backup gets requests only once every other server of its pool refuses connections, and none any more when one is back.
 func TestBackupServer(t *testing.T) {
 	s := servers(t, "a", "b", "spare")
+	for _, server := range s {
+		server.SetWork(5 * time.Millisecond) // an attempt is canceled after six times the mean latency: not by chance
+	}
 	text := poolText("p", "", s...) + "backup = true\n"
 	i, _ := launch(t, parse(t, inText, text, routeText("r", "/", "p", "read", "")))
 	c := connect(t, i.Addresses()["in"])
