--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -108,7 +108,7 @@
 	starting.Wait()
 }
 
-// TestListenAgain closes a listener and listens at its address once more, beside connections that the kernel gives ports.
+// TestListenAgain closes a listener and listens at its address once more.
 func TestListenAgain(t *testing.T) {
 	ln, err := Listen()
 	if err != nil {
--- a/internal/sidecar/persistence.go
+++ b/internal/sidecar/persistence.go
@@ -32,10 +32,7 @@
 func settingsHash(set *balancer.Settings) string {
 	r := settingsRecord{Replicas: max(set.Replicas, 1)}
 	for _, c := range set.Classes {
-		r.Classes = append(r.Classes, classRecord{
-			Name: c.Name, PriorityWeight: c.PriorityWeight, LateShare: c.LateShare, LatencyTarget: c.LatencyTarget, TargetPerWork: c.TargetPerWork,
-			Timeout: c.Timeout, Effect: c.Effect, DedupGroup: c.DedupGroup, DedupWindow: c.DedupWindow, Streaming: c.Streaming,
-		})
+		r.Classes = append(r.Classes, classRecord(c))
 	}
 	text, err := json.Marshal(r)
 	if err != nil { // an infinite number
--- a/internal/state/record.go
+++ b/internal/state/record.go
@@ -17,7 +17,7 @@
 // their numbers mean nothing to another process.
 type PoolState struct {
 	ModuleSettings string   // hash of the module's settings: what was learned under others is not comparable
-	Servers        []string // ids, in the order of Memory.Servers
+	Servers        []string // ids, in the order of Learned.Servers
 	Learned        balancer.LearnedState
 }
 
