--- a/internal/mesh/controlplane/api.go
+++ b/internal/mesh/controlplane/api.go
@@ -9,7 +9,7 @@
 	"milletmast/internal/mesh/controlstate"
 )
 
-// handleCall handles a decoded call.
+// handleCall runs a decoded call of the control API and passes its result to done.
 func (s *Server) handleCall(c controlapi.Command, done func(controlapi.Result)) {
 	run := func(command controlstate.Command) {
 		receivedAt := time.Now()
@@ -36,7 +36,7 @@
 		)
 	case controlapi.Readiness:
 		done(controlapi.Result{Status: http.StatusOK})
-	default: // only the proxy beside an endpoint can promise it anything
+	default: // heartbeats and deregistrations are served by the proxy beside the endpoint only
 		done(controlapi.Result{Status: http.StatusServiceUnavailable, Body: []byte("the proxy beside the endpoint serves this call\n")})
 	}
 }
@@ -53,14 +53,14 @@
 				controlapi.Result{
 					Status:   http.StatusTemporaryRedirect,
 					Location: path + "/" + s.tickets.issue(now, path),
-					Body:     []byte("call again with this ticket: it shows that you are there\n"),
+					Body:     []byte("repeat the call at the location of this redirect: its ticket shows that the caller still waits\n"),
 				},
 			)
 		case !s.tickets.redeem(now, ticket, path):
 			done(
 				controlapi.Result{
 					Status: http.StatusServiceUnavailable,
-					Body:   []byte("the ticket is unknown or has expired: nothing was ordered\n"),
+					Body:   []byte("the ticket is unknown, was used before or has expired: the command was not run\n"),
 				},
 			)
 		default:
@@ -81,7 +81,7 @@
 	})
 }
 
-// resultOf returns what is reported to the caller.
+// resultOf returns the HTTP result of a command.
 func resultOf(r *controlstate.Result) controlapi.Result {
 	switch r.Status {
 	case controlstate.Completed:
--- a/internal/mesh/controlplane/contact_test.go
+++ b/internal/mesh/controlplane/contact_test.go
@@ -21,99 +21,99 @@
 	"milletmast/internal/mesh/transport"
 )
 
-const standinIP = "127.0.9.1"
+const fakeStoreIP = "127.0.9.1"
 
-// standinKeeper is a store that says what a test has it say.
+// fakeStore is a configuration store that sends the snapshots and leases that a test sets.
 type fakeStore struct {
-	lease    atomic.Int64 // of the answers to beats; below 0 for no answer
-	answered atomic.Int64 // beats
+	lease           atomic.Int64 // remaining lease, in nanoseconds, in acknowledgements of heartbeats; below 0 for no acknowledgement
+	ackedHeartbeats atomic.Int64
 
-	mu   sync.Mutex
-	conn *transport.Conn
-	said *controlstate.Snapshot
+	mu       sync.Mutex
+	conn     *transport.Conn
+	snapshot *controlstate.Snapshot
 }
 
-// word has it say what is in force, on this connection and those that come.
-func (k *fakeStore) word(f *controlstate.Snapshot) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.said = f
-	if k.conn != nil {
-		_ = k.conn.Send(controlstatewire.FromUpdate(&controlstate.Update{Snapshot: f}))
+// setSnapshot sends a snapshot on the present connection, and first on later ones.
+func (store *fakeStore) setSnapshot(snapshot *controlstate.Snapshot) {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	store.snapshot = snapshot
+	if store.conn != nil {
+		_ = store.conn.Send(controlstatewire.FromUpdate(&controlstate.Update{Snapshot: snapshot}))
 	}
 }
 
-func (k *fakeStore) serve(ctx context.Context, raw net.Conn) {
+func (store *fakeStore) serve(ctx context.Context, raw net.Conn) {
 	conn, err := transport.New(ctx, raw, time.Minute)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	var h configstorewire.Hello
-	if conn.Receive(&h) != nil {
+	var handshake configstorewire.Hello
+	if conn.Receive(&handshake) != nil {
 		return
 	}
-	k.mu.Lock()
-	k.conn = conn
-	_ = conn.Send(controlstatewire.FromUpdate(&controlstate.Update{Snapshot: k.said}))
-	k.mu.Unlock()
+	store.mu.Lock()
+	store.conn = conn
+	_ = conn.Send(controlstatewire.FromUpdate(&controlstate.Update{Snapshot: store.snapshot}))
+	store.mu.Unlock()
 	for {
 		var encoded controlstatewire.Order
 		if conn.Receive(&encoded) != nil {
 			return
 		}
-		o := encoded.Command()
-		if left := time.Duration(k.lease.Load()); o.Kind == controlstate.Heartbeat && left >= 0 {
-			_ = conn.Send(controlstatewire.FromUpdate(&controlstate.Update{HeartbeatID: o.ID, LeaseRemaining: left}))
-			k.answered.Add(1)
+		command := encoded.Command()
+		if lease := time.Duration(store.lease.Load()); command.Kind == controlstate.Heartbeat && lease >= 0 {
+			_ = conn.Send(controlstatewire.FromUpdate(&controlstate.Update{HeartbeatID: command.ID, LeaseRemaining: lease}))
+			store.ackedHeartbeats.Add(1)
 		}
 	}
 }
 
-// besideStandin starts a control plane beside a store that says what a test has it say.
-func besideFakeStore(t *testing.T) (*fakeStore, *nodeconfig.Settings) {
-	return besideFakeStoreWithin(t, nodeconfig.Bounds{})
+// startBesideFakeStore starts a control plane with a fake configuration store.
+func startBesideFakeStore(t *testing.T) (*fakeStore, *nodeconfig.Settings) {
+	return startBesideFakeStoreWithBounds(t, nodeconfig.Bounds{})
 }
 
-func besideFakeStoreWithin(t *testing.T, b nodeconfig.Bounds) (*fakeStore, *nodeconfig.Settings) {
+func startBesideFakeStoreWithBounds(t *testing.T, bounds nodeconfig.Bounds) (*fakeStore, *nodeconfig.Settings) {
 	first := freeport.ForTest(t, 3).First
-	s := &nodeconfig.Settings{
-		Path: "test", Node: "core", IP: standinIP, Zone: "north", PortFrom: first, PortTo: first + 2, Control: net.JoinHostPort(standinIP, "0"), Bounds: b,
+	settings := &nodeconfig.Settings{
+		Path: "test", Node: "core", IP: fakeStoreIP, Zone: "north", PortFrom: first, PortTo: first + 2, Control: net.JoinHostPort(fakeStoreIP, "0"), Bounds: bounds,
 	}
-	ln, err := net.Listen("tcp", configstore.Address(standinIP, s))
+	ln, err := net.Listen("tcp", configstore.Address(fakeStoreIP, settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := New(s, zerolog.Nop())
+	server, err := New(settings, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &fakeStore{}
+	store := &fakeStore{}
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { _ = l.Run(ctx) })
-	running.Go(func() { transport.Serve(ctx, ln, func(raw net.Conn) { running.Go(func() { k.serve(ctx, raw) }) }) })
+	running.Go(func() { _ = server.Run(ctx) })
+	running.Go(func() { transport.Serve(ctx, ln, func(raw net.Conn) { running.Go(func() { store.serve(ctx, raw) }) }) })
 	t.Cleanup(func() {
 		stop()
 		ln.Close()
 		running.Wait()
 	})
-	return k, s
+	return store, settings
 }
 
-// standinPilot is a connection of a proxy.
+// fakeProxy is a connection of a proxy to the control plane.
 type fakeProxy struct {
-	t    *testing.T
-	conn *transport.Conn
-	ack  uint64
-	last bool // it asks for the last that is known
-	want bool // it asks for the configuration
+	t             *testing.T
+	conn          *transport.Conn
+	ack           uint64 // sequence of the last update that was received
+	wantLastKnown bool   // the messages request the last known snapshot
+	wantConfig    bool   // the messages request the configuration
 }
 
-// meet has a new proxy connect.
-func meet(t *testing.T, s *nodeconfig.Settings, name string) *fakeProxy {
+// connectProxy connects a new proxy.
+func connectProxy(t *testing.T, settings *nodeconfig.Settings, name string) *fakeProxy {
 	t.Helper()
-	conn, err := transport.Dial(t.Context(), Address(s.IP, s), 10*time.Second)
+	conn, err := transport.Dial(t.Context(), Address(settings.IP, settings), 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,19 +122,20 @@
 	if err := conn.Send(discoverywire.FromHandshake(&discovery.Handshake{ProxyNode: name})); err != nil {
 		t.Fatal(err)
 	}
-	p.say()
+	p.send()
 	return p
 }
 
-func (p *fakeProxy) say() {
+// send sends a message with the present acknowledgement and requests.
+func (p *fakeProxy) send() {
 	p.t.Helper()
-	if err := p.conn.Send(discoverywire.FromProxyMessage(&discovery.ProxyMessage{Primary: true, AckedUpdate: p.ack, WantLastKnown: p.last, WantConfig: p.want})); err != nil {
+	if err := p.conn.Send(discoverywire.FromProxyMessage(&discovery.ProxyMessage{Primary: true, AckedUpdate: p.ack, WantLastKnown: p.wantLastKnown, WantConfig: p.wantConfig})); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-// hear hears words until one is as wanted; orders that come before it are as bad as none that is.
-func (p *fakeProxy) hear(what string, want func(*discovery.ControlMessage) bool) {
+// awaitMessage receives messages up to one that matches. It fails if a snapshot comes before, or no match within 10 seconds.
+func (p *fakeProxy) awaitMessage(what string, matches func(*discovery.ControlMessage) bool) {
 	p.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 		var encoded discoverywire.Down
@@ -143,64 +144,64 @@
 		}
 		d := encoded.ControlMessage()
 		p.ack = max(p.ack, d.Sequence)
-		p.say()
-		if want(d) {
+		p.send()
+		if matches(d) {
 			return
 		}
 		if d.Snapshot != nil {
-			p.t.Fatalf("%s: it is told %+v instead", what, d.Snapshot)
+			p.t.Fatalf("%s: the control plane sends %+v instead", what, d.Snapshot)
 		}
 	}
-	p.t.Fatalf("%s: it is not told", what)
+	p.t.Fatalf("%s: the control plane does not send the message", what)
 }
 
-// Without a lease of its store a control plane tells proxies who is there and nothing that was ordered, but to one that asks for the last
-// that is known; with one it tells what is in force, and as it ends, that it has none.
+// A control plane whose store has no lease sends proxies the nodes but no snapshot, except an unconfirmed one to a proxy that requests the
+// last known snapshot. With a lease it sends the confirmed snapshot, and when the lease ends, it announces that it has no contact.
 func TestSnapshotIsServedUnderALease(t *testing.T) {
-	k, s := besideFakeStore(t)
-	told := func(settled bool) func(*discovery.ControlMessage) bool {
+	store, settings := startBesideFakeStore(t)
+	isSnapshot := func(confirmed bool) func(*discovery.ControlMessage) bool {
 		return func(d *discovery.ControlMessage) bool {
 			f := d.Snapshot
-			return f != nil && f.Confirmed == settled && d.HasContact == settled && f.ConfigVersion == 3 && string(f.Config) == "r3"
+			return f != nil && f.Confirmed == confirmed && d.HasContact == confirmed && f.ConfigVersion == 3 && string(f.Config) == "r3"
 		}
 	}
-	blind := func(d *discovery.ControlMessage) bool { return d.Complete && !d.HasContact && d.Snapshot == nil }
-	k.word(&controlstate.Snapshot{Config: []byte("r3"), ConfigVersion: 3, Confirmed: true, Epoch: 2})
-	first := meet(t, s, "first")
-	first.hear("the store has no lease", blind)
-	first.last = true
-	first.say()
-	first.hear("it asks for the last that is known", told(false))
-	k.lease.Store(int64(time.Minute))
-	first.hear("the store has a lease", told(true))
+	withoutContact := func(d *discovery.ControlMessage) bool { return d.Complete && !d.HasContact && d.Snapshot == nil }
+	store.setSnapshot(&controlstate.Snapshot{Config: []byte("r3"), ConfigVersion: 3, Confirmed: true, Epoch: 2})
+	first := connectProxy(t, settings, "first")
+	first.awaitMessage("the store has no lease", withoutContact)
+	first.wantLastKnown = true
+	first.send()
+	first.awaitMessage("the proxy requests the last known snapshot", isSnapshot(false))
+	store.lease.Store(int64(time.Minute))
+	first.awaitMessage("the store has a lease", isSnapshot(true))
 
-	meet(t, s, "second").hear("a new proxy, under a lease", told(true))
-	k.lease.Store(int64(600 * time.Millisecond))
-	first.hear("the lease is short", func(d *discovery.ControlMessage) bool { return d.HasContact })
-	k.lease.Store(-1)
-	first.hear("the store answers no beat any more", func(d *discovery.ControlMessage) bool { return !d.HasContact })
-	meet(t, s, "third").hear("a new proxy, as the lease has ended", blind)
+	connectProxy(t, settings, "second").awaitMessage("a new proxy, under a lease", isSnapshot(true))
+	store.lease.Store(int64(600 * time.Millisecond))
+	first.awaitMessage("the lease is short", func(d *discovery.ControlMessage) bool { return d.HasContact })
+	store.lease.Store(-1)
+	first.awaitMessage("the store acknowledges no heartbeat any more", func(d *discovery.ControlMessage) bool { return !d.HasContact })
+	connectProxy(t, settings, "third").awaitMessage("a new proxy, after the end of the lease", withoutContact)
 
-	k.word(&controlstate.Snapshot{Config: []byte("r2"), ConfigVersion: 2, Confirmed: true, Epoch: 1})
-	k.lease.Store(int64(time.Minute))
-	for n := k.answered.Load(); k.answered.Load() < n+2; {
-		first.hear("the store speaks of an older epoch", func(d *discovery.ControlMessage) bool { return !d.HasContact && d.Snapshot == nil })
+	store.setSnapshot(&controlstate.Snapshot{Config: []byte("r2"), ConfigVersion: 2, Confirmed: true, Epoch: 1})
+	store.lease.Store(int64(time.Minute))
+	for n := store.ackedHeartbeats.Load(); store.ackedHeartbeats.Load() < n+2; {
+		first.awaitMessage("the store sends an older epoch", func(d *discovery.ControlMessage) bool { return !d.HasContact && d.Snapshot == nil })
 	}
-	meet(t, s, "fourth").hear("the store speaks of an older epoch", blind)
-	k.word(&controlstate.Snapshot{Config: []byte("r2"), ConfigVersion: 2, Confirmed: true, Epoch: 2})
-	meet(t, s, "fifth").hear("the store has gone back to an older version", told(true))
+	connectProxy(t, settings, "fourth").awaitMessage("a new proxy, and the store sends an older epoch", withoutContact)
+	store.setSnapshot(&controlstate.Snapshot{Config: []byte("r2"), ConfigVersion: 2, Confirmed: true, Epoch: 2})
+	connectProxy(t, settings, "fifth").awaitMessage("the store has sent an older version", isSnapshot(true))
 }
 
-// Where the settings leave less time for a configuration to be everywhere, a control plane asks its store that much more often: in calm it has
-// contact all the while, with leases that are as short.
+// With a bound on the convergence of a configuration below the default, the control plane sends heartbeats to its store more often, so that
+// it keeps contact without a gap under leases that are shorter by as much.
 func TestContactWithShortLeases(t *testing.T) {
-	k, s := besideFakeStoreWithin(t, nodeconfig.Bounds{Converge: 700 * time.Millisecond})
-	k.lease.Store(int64(350 * time.Millisecond)) // what is left of a store's at least
-	k.word(&controlstate.Snapshot{Config: []byte("r3"), ConfigVersion: 3, Confirmed: true, Epoch: 2})
-	p := meet(t, s, "first")
-	p.hear("the store has a lease", func(d *discovery.ControlMessage) bool { return d.Snapshot != nil })
-	for n := k.answered.Load(); k.answered.Load() < n+10; {
-		p.hear("calm", func(d *discovery.ControlMessage) bool {
+	store, settings := startBesideFakeStoreWithBounds(t, nodeconfig.Bounds{Converge: 700 * time.Millisecond})
+	store.lease.Store(int64(350 * time.Millisecond)) // the least that remains of a store's lease
+	store.setSnapshot(&controlstate.Snapshot{Config: []byte("r3"), ConfigVersion: 3, Confirmed: true, Epoch: 2})
+	p := connectProxy(t, settings, "first")
+	p.awaitMessage("the store has a lease", func(d *discovery.ControlMessage) bool { return d.Snapshot != nil })
+	for n := store.ackedHeartbeats.Load(); store.ackedHeartbeats.Load() < n+10; {
+		p.awaitMessage("without faults", func(d *discovery.ControlMessage) bool {
 			if !d.HasContact {
 				t.Error("the control plane has lost contact")
 			}
@@ -209,40 +210,41 @@
 	}
 }
 
-// A configuration goes once over one connection, however often a proxy asks while it is on its way; again under another epoch, as a proxy
-// refuses what is said under one that is over; and over another connection.
+// A configuration is sent once over a connection, even if the proxy requests it again before it arrives. It is sent again under a new epoch,
+// as a proxy rejects snapshots of an old one, and over a new connection.
 func TestConfigIsSentOnceOverAConnection(t *testing.T) {
-	k, s := besideFakeStore(t)
-	k.lease.Store(int64(time.Minute))
-	k.word(&controlstate.Snapshot{Config: []byte("r3"), ConfigVersion: 3, Confirmed: true, Epoch: 2})
-	whole := func(version, epoch uint64) func(*discovery.ControlMessage) bool {
+	store, settings := startBesideFakeStore(t)
+	store.lease.Store(int64(time.Minute))
+	store.setSnapshot(&controlstate.Snapshot{Config: []byte("r3"), ConfigVersion: 3, Confirmed: true, Epoch: 2})
+	isConfig := func(version, epoch uint64) func(*discovery.ControlMessage) bool {
 		return func(d *discovery.ControlMessage) bool {
 			f := d.Snapshot
 			return f != nil && f.ConfigVersion == version && f.Epoch == epoch && len(f.Config) > 0
 		}
 	}
-	p := meet(t, s, "first")
-	p.hear("its first picture", whole(3, 2))
+	p := connectProxy(t, settings, "first")
+	p.awaitMessage("the first update", isConfig(3, 2))
 	for range 3 {
-		p.want = true
-		p.say()
+		p.wantConfig = true
+		p.send()
 	}
-	p.hear("nothing comes for a while", func(d *discovery.ControlMessage) bool { return d.Sequence == 0 })
-	k.word(&controlstate.Snapshot{Config: []byte("r3"), ConfigVersion: 3, Confirmed: true, Epoch: 3})
-	p.hear("another epoch", whole(3, 3))
-	k.word(&controlstate.Snapshot{Config: []byte("r4"), ConfigVersion: 4, Confirmed: true, Epoch: 3})
-	p.hear("another version", whole(4, 3))
-	meet(t, s, "first").hear("another connection", whole(4, 3))
+	p.awaitMessage("a heartbeat and no further update", func(d *discovery.ControlMessage) bool { return d.Sequence == 0 })
+	store.setSnapshot(&controlstate.Snapshot{Config: []byte("r3"), ConfigVersion: 3, Confirmed: true, Epoch: 3})
+	p.awaitMessage("another epoch", isConfig(3, 3))
+	store.setSnapshot(&controlstate.Snapshot{Config: []byte("r4"), ConfigVersion: 4, Confirmed: true, Epoch: 3})
+	p.awaitMessage("another version", isConfig(4, 3))
+	connectProxy(t, settings, "first").awaitMessage("another connection", isConfig(4, 3))
 }
 
-// What was ordered and waits to be sent when the lease ends is not sent, and remembered to be told again; the rest of the word is sent.
+// The lease is checked when a message leaves the queue: if it has ended by then, a confirmed snapshot is left out of its message, and the
+// session records that it must be pushed again. The rest of the message and unconfirmed snapshots are sent.
 func TestDeferredMessageIsCheckedWhenSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	ends := make(chan *transport.Conn, 1)
+	accepted := make(chan *transport.Conn, 1)
 	go func() {
 		raw, err := ln.Accept()
 		if err != nil {
@@ -252,41 +254,41 @@
 		if err != nil {
 			t.Error(err)
 		}
-		ends <- conn
+		accepted <- conn
 	}()
-	proxies, err := transport.Dial(t.Context(), ln.Addr().String(), 10*time.Second)
+	proxyConn, err := transport.Dial(t.Context(), ln.Addr().String(), 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn := <-ends
-	var l Server
-	k := &session{outbox: transport.NewOutbox(conn, queueLength)}
+	conn := <-accepted
+	var server Server
+	session := &session{outbox: transport.NewOutbox(conn, queueLength)}
 	until := time.Now().Add(time.Hour)
-	l.serveUntil.Store(&until)
-	l.pushUpdate(k, discovery.ControlMessage{Snapshot: &controlstate.Snapshot{ConfigVersion: 3, Confirmed: true}, HasContact: true, Removed: []string{"n"}})
-	l.pushUpdate(k, discovery.ControlMessage{Snapshot: &controlstate.Snapshot{ConfigVersion: 3}}) // to one that asked for the last that is known
-	l.serveUntil.Store(&time.Time{})
+	server.serveUntil.Store(&until)
+	server.pushUpdate(session, discovery.ControlMessage{Snapshot: &controlstate.Snapshot{ConfigVersion: 3, Confirmed: true}, HasContact: true, Removed: []string{"n"}})
+	server.pushUpdate(session, discovery.ControlMessage{Snapshot: &controlstate.Snapshot{ConfigVersion: 3}}) // as for a proxy that requested the last known snapshot
+	server.serveUntil.Store(&time.Time{})
 	var running sync.WaitGroup
-	running.Go(k.outbox.Run)
+	running.Go(session.outbox.Run)
 	for _, want := range []uint64{0, 3} {
 		var encoded discoverywire.Down
-		if err := proxies.Receive(&encoded); err != nil {
+		if err := proxyConn.Receive(&encoded); err != nil {
 			t.Fatal(err)
 		}
 		d := encoded.ControlMessage()
 		if version := uint64(0); d.Snapshot != nil {
 			version = d.Snapshot.ConfigVersion
 			if version != want || d.Snapshot.Confirmed {
-				t.Errorf("it is told %+v without a lease", d.Snapshot)
+				t.Errorf("the proxy receives %+v without a lease", d.Snapshot)
 			}
 		} else if want != 0 || d.HasContact || len(d.Removed) != 1 {
-			t.Errorf("it is told %+v", d)
+			t.Errorf("the proxy receives %+v, want the removed node alone", d)
 		}
 	}
-	if !k.pushSkipped.Load() {
-		t.Error("it is forgotten that the proxy was not told")
+	if !session.pushSkipped.Load() {
+		t.Error("the session does not record that a snapshot was left out")
 	}
 	conn.Close()
-	proxies.Close()
+	proxyConn.Close()
 	running.Wait()
 }
--- a/internal/mesh/controlplane/convert.go
+++ b/internal/mesh/controlplane/convert.go
@@ -9,7 +9,7 @@
 	registrywire "milletmast/internal/mesh/registry/wire"
 )
 
-// Encode returns the encoded form of a status report.
+// Encode returns the encoded form of the status report.
 func (s *Status) Encode() *wire.Status {
 	return &wire.Status{
 		Node:    s.Node,
@@ -33,7 +33,7 @@
 	}
 }
 
-// decodeStatus returns the status report of an encoded form.
+// decodeStatus decodes a status report.
 func decodeStatus(s *wire.Status) *Status {
 	return &Status{
 		Node:           s.Node,
--- a/internal/mesh/controlplane/convert_test.go
+++ b/internal/mesh/controlplane/convert_test.go
@@ -25,6 +25,6 @@
 		Ejections: []outlier.Ejection{{InstanceID: "e", Service: "s", Count: 11, Returned: true}},
 	}
 	if got := decodeStatus(status.Encode()); !reflect.DeepEqual(got, status) {
-		t.Errorf("status becomes %+v, want %+v", got, status)
+		t.Errorf("the status is converted to %+v, want %+v", got, status)
 	}
 }
--- a/internal/mesh/controlplane/ejector.go
+++ b/internal/mesh/controlplane/ejector.go
@@ -19,11 +19,11 @@
 	server       *Server
 	limits       outlier.Limits
 	votes        map[string]outlier.Vote // by node of the proxy
-	unsentVotes  map[string]bool         // votes that the other control planes were not sent yet
+	unsentVotes  map[string]bool         // by node of the proxy; votes that are not yet sent to the other control planes
 	ejectedSince map[string]time.Time    // by instance, when it was first seen as ejected
-	polled       []string
-	decidedAt    time.Time // since when the present decision holds; zero for none
-	inFlight     bool      // a proposal is in flight
+	polled       []string                // instances of the last poll
+	decidedAt    time.Time               // since when Decide returns changes that are not yet proposed; zero for none
+	inFlight     bool                    // a proposal is in flight
 }
 
 func newEjector(server *Server) *ejector {
@@ -63,25 +63,25 @@
 // instances returns the instances that the registry knows.
 func (e *ejector) instances(now time.Time) []outlier.Instance {
 	var out []outlier.Instance
-	for _, k := range e.server.registry.All() {
-		if endpoint := k.Endpoint; endpoint != nil && endpoint.State != registry.Gone {
+	for _, record := range e.server.registry.All() {
+		if endpoint := record.Endpoint; endpoint != nil && endpoint.State != registry.Gone {
 			out = append(out, outlier.Instance{
 				ID:             endpoint.ID,
 				Service:        endpoint.Target,
-				Zone:           k.Zone,
-				Serving:        k.AcceptsRequests(),
-				ProxyRestarted: now.Sub(e.server.registry.RestartedAt(k.Node)) <= e.limits.Window,
+				Zone:           record.Zone,
+				Serving:        record.AcceptsRequests(),
+				ProxyRestarted: now.Sub(e.server.registry.RestartedAt(record.Node)) <= e.limits.Window,
 			})
 		}
 	}
 	return out
 }
 
-// tick polls the proxies about instances that some find unhealthy, and proposes the ejections that
-// were agreed on, if it is this control plane's turn.
+// tick polls the proxies about instances that some of them find unhealthy, and proposes the
+// ejections that the proxies agree on, if it is this control plane's turn.
 func (e *ejector) tick(now time.Time) {
-	for node, v := range e.votes {
-		if now.Sub(v.ReceivedAt) > e.limits.Window {
+	for node, vote := range e.votes {
+		if now.Sub(vote.ReceivedAt) > e.limits.Window {
 			delete(e.votes, node)
 		}
 	}
@@ -96,8 +96,8 @@
 	}
 	instances := e.instances(now)
 	votes := make([]outlier.Vote, 0, len(e.votes))
-	for _, v := range e.votes {
-		votes = append(votes, v)
+	for _, vote := range e.votes {
+		votes = append(votes, vote)
 	}
 	e.poll(outlier.InstancesToPoll(e.limits, instances, outlier.TallyVotes(e.limits, now, instances, votes)))
 	if !e.server.hasContact() || e.server.stalls.JustResumed(now) || e.inFlight {
@@ -125,21 +125,23 @@
 	e.proposeEjections(next, snapshot)
 }
 
-// trackEjected records since when instances are ejected.
+// trackEjected updates ejectedSince from the present ejections.
 func (e *ejector) trackEjected(now time.Time, ejected []outlier.Ejection) {
 	out := map[string]time.Time{}
-	for _, r := range ejected {
-		if r.Returned {
+	for _, ejection := range ejected {
+		if ejection.Returned {
 			continue
 		}
-		if out[r.InstanceID] = e.ejectedSince[r.InstanceID]; out[r.InstanceID].IsZero() {
-			out[r.InstanceID] = now
+		id := ejection.InstanceID
+		if out[id] = e.ejectedSince[id]; out[id].IsZero() {
+			out[id] = now
 		}
 	}
 	e.ejectedSince = out
 }
 
-// turn returns the number of control planes that sort before this one.
+// turn returns the number of reachable control planes that sort before this one: they propose
+// first.
 func (e *ejector) turn() int {
 	return max(
 		slices.IndexFunc(e.server.reachableMachines(), func(m discovery.ControlPlane) bool { return m.IP == e.server.settings.IP }),
@@ -147,7 +149,7 @@
 	)
 }
 
-// poll asks the proxies about instances, if these have changed.
+// poll asks the proxies for their opinions of instances, unless the last poll was about the same instances.
 func (e *ejector) poll(instances []string) {
 	if slices.Equal(instances, e.polled) {
 		return
@@ -170,9 +172,9 @@
 		func(r *controlstate.Result) {
 			e.inFlight, e.decidedAt = false, time.Time{}
 			log := e.server.log.Info()
-			for _, out := range next {
-				if !out.Returned {
-					log = log.Str("instance", out.InstanceID)
+			for _, ejection := range next {
+				if !ejection.Returned {
+					log = log.Str("instance", ejection.InstanceID)
 				}
 			}
 			log.Int("ejections", len(next)).Int("status", int(r.Status)).Str("reason", r.Reason).Msg("propose ejections")
--- a/internal/mesh/controlplane/peers.go
+++ b/internal/mesh/controlplane/peers.go
@@ -10,10 +10,10 @@
 	"milletmast/internal/mesh/transport"
 )
 
-// machine is a machine of the core.
+// machine is another core machine.
 type machine struct {
 	zone     string
-	lastSeen time.Time // when it was reached or named
+	lastSeen time.Time // when it was added, last had a connection, or last sent a message
 }
 
 func (s *Server) addSeeds() {
@@ -22,7 +22,7 @@
 	}
 }
 
-// addMachine adds a machine of the core and keeps a connection to its control plane from then on.
+// addMachine adds a core machine and keeps a connection to its control plane from then on.
 func (s *Server) addMachine(ip, zone string) {
 	if ip == s.settings.IP || ip == "" {
 		return
@@ -92,14 +92,14 @@
 		}
 	}
 	for _, node := range s.registry.NodesByHash(msg.ConfirmedHashes) {
-		if k, ok := s.registry.Get(node); ok && s.registry.Confirm(now, node, k.Incarnation) {
+		if record, ok := s.registry.Get(node); ok && s.registry.Confirm(now, node, record.Incarnation) {
 			s.markChanged(node)
 		}
 	}
-	if !s.stalls.JustResumed(now) { // else they may be old
-		for _, v := range msg.Votes {
-			v.ReceivedAt = now
-			s.ejector.votes[v.Node] = v
+	if !s.stalls.JustResumed(now) { // after a stall, the votes may be old
+		for _, vote := range msg.Votes {
+			vote.ReceivedAt = now
+			s.ejector.votes[vote.Node] = vote
 		}
 	}
 	for _, other := range msg.ControlPlanes {
@@ -107,16 +107,17 @@
 	}
 }
 
+// fullPeerMessage returns the first message to a peer: all records and core machines.
 func (s *Server) fullPeerMessage() *discovery.PeerMessage {
 	msg := &discovery.PeerMessage{ControlPlanes: s.reachableMachines()}
-	for _, k := range s.registry.All() {
-		msg.Records = append(msg.Records, k.NodeRecord)
+	for _, record := range s.registry.All() {
+		msg.Records = append(msg.Records, record.NodeRecord)
 	}
 	return msg
 }
 
-// reachableMachines returns the machines that were reached recently, this one included, sorted by
-// address.
+// reachableMachines returns the core machines that were in contact within forgetAfter, this one
+// included, sorted by address.
 func (s *Server) reachableMachines() []discovery.ControlPlane {
 	out := []discovery.ControlPlane{{IP: s.settings.IP, Zone: s.settings.Zone}}
 	for ip, m := range s.machines {
--- a/internal/mesh/controlplane/placement.go
+++ b/internal/mesh/controlplane/placement.go
@@ -14,38 +14,39 @@
 	"milletmast/internal/mesh/affinity"
 )
 
-// InvalidQuery is the type of errors of a query about placement.
+// InvalidQuery is the type of errors of a placement query.
 var InvalidQuery = space.NewType("invalid_query", errorx.NotFound())
 
 const (
-	rankDepth    = 5       // instances of a ranking that are reported
-	forecastKeys = 100_000 // keys that a forecast samples
+	maxRankedInstances = 5       // reported for a key
+	forecastSamples    = 100_000 // keys that a forecast samples
 )
 
 // nodes returns the instances of a service that clients may be assigned to, as proxies see them.
 func (s *Status) nodes(service string) ([]affinity.Node, error) {
-	out := map[string]bool{}
-	for _, r := range s.Ejections {
-		out[r.InstanceID] = !r.Returned
+	excluded := map[string]bool{} // instances, and zones with the prefix "zone "
+	for _, e := range s.Ejections {
+		excluded[e.InstanceID] = !e.Returned
 	}
 	for _, e := range s.Evacuations {
-		out["zone "+e.Zone] = e.Active
+		excluded["zone "+e.Zone] = e.Active
 	}
 	var nodes []affinity.Node
 	for _, p := range s.Proxies {
 		e := p.Endpoint
-		if !p.AcceptsRequests() || e.Target != service || out[e.ID] || out["zone "+p.Zone] {
+		if !p.AcceptsRequests() || e.Target != service || excluded[e.ID] || excluded["zone "+p.Zone] {
 			continue
 		}
 		nodes = append(nodes, affinity.Node{Name: e.ID, Weight: e.Capacity})
 	}
 	if len(nodes) == 0 {
-		return nil, InvalidQuery.New("no endpoint of %q takes requests", service)
+		return nil, InvalidQuery.New("no endpoint of service %q accepts requests", service)
 	}
 	return nodes, nil
 }
 
-// Placement is where the requests of a client with an affinity go.
+// Placement is the ranking of instances for an affinity key: the requests of the key go to the
+// first instance that is available.
 type Placement struct {
 	Service, Key string
 	Ranking      []RankedInstance
@@ -64,10 +65,10 @@
 		return nil, err
 	}
 	p := &Placement{Service: service, Key: key}
-	for _, instance := range affinity.NewTable(nodes).Rank(key, rankDepth) {
-		for _, at := range s.Proxies {
-			if e := at.Endpoint; e != nil && e.ID == instance {
-				p.Ranking = append(p.Ranking, RankedInstance{InstanceID: instance, Node: at.Node, Zone: at.Zone, Capacity: e.Capacity})
+	for _, instance := range affinity.NewTable(nodes).Rank(key, maxRankedInstances) {
+		for _, proxy := range s.Proxies {
+			if e := proxy.Endpoint; e != nil && e.ID == instance {
+				p.Ranking = append(p.Ranking, RankedInstance{InstanceID: instance, Node: proxy.Node, Zone: proxy.Zone, Capacity: e.Capacity})
 			}
 		}
 	}
@@ -78,8 +79,8 @@
 func (p *Placement) Print(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "\tendpoint\tproxy\tzone\tcapacity")
-	for i, stop := range p.Ranking {
-		fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%d\n", i+1, stop.InstanceID, stop.Node, stop.Zone, stop.Capacity)
+	for i, instance := range p.Ranking {
+		fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%d\n", i+1, instance.InstanceID, instance.Node, instance.Zone, instance.Capacity)
 	}
 	t.Flush()
 }
@@ -101,19 +102,19 @@
 	for _, change := range changes {
 		name, size, sized := strings.Cut(change, "=")
 		if len(name) < 2 || name[0] != '+' && name[0] != '-' || sized != (name[0] == '+') {
-			return nil, InvalidQuery.New("%q is neither +NAME=SLOTS nor -NAME", change)
+			return nil, InvalidQuery.New("change %q is neither +NAME=SLOTS nor -NAME", change)
 		}
 		at := slices.IndexFunc(after, func(n affinity.Node) bool { return n.Name == name[1:] })
 		if name[0] == '-' {
 			if at < 0 {
-				return nil, InvalidQuery.New("%s: there is no such endpoint of %q", change, service)
+				return nil, InvalidQuery.New("change %q: service %q has no such endpoint", change, service)
 			}
 			after = slices.Delete(after, at, at+1)
 			continue
 		}
 		weight, err := strconv.Atoi(size)
 		if err != nil || weight < 1 {
-			return nil, InvalidQuery.New("%s: %q is no number of slots", change, size)
+			return nil, InvalidQuery.New("change %q: the number of slots %q is not an integer from 1 on", change, size)
 		}
 		if at >= 0 {
 			after[at].Weight = weight
@@ -122,9 +123,9 @@
 		}
 	}
 	if len(after) == 0 {
-		return nil, InvalidQuery.New("no endpoint of %q would be left", service)
+		return nil, InvalidQuery.New("the changes remove all endpoints of service %q", service)
 	}
-	return &Whatif{service, affinity.PredictChange(before, after, forecastKeys)}, nil
+	return &Whatif{service, affinity.PredictChange(before, after, forecastSamples)}, nil
 }
 
 // Print writes the forecast as text.
--- a/internal/mesh/controlplane/push.go
+++ b/internal/mesh/controlplane/push.go
@@ -24,10 +24,10 @@
 	update := discovery.ControlMessage{HasContact: s.hasContact()}
 	msg := discovery.PeerMessage{}
 	for node := range s.changedNodes {
-		if k, ok := s.registry.Get(node); ok {
-			update.Nodes = append(update.Nodes, k)
+		if record, ok := s.registry.Get(node); ok {
+			update.Nodes = append(update.Nodes, record)
 			if s.nodesForPeers[node] {
-				msg.Records = append(msg.Records, k.NodeRecord)
+				msg.Records = append(msg.Records, record.NodeRecord)
 			}
 		} else {
 			update.Removed = append(update.Removed, node)
@@ -35,16 +35,16 @@
 	}
 	clear(s.changedNodes)
 	clear(s.nodesForPeers)
-	for k := range s.proxies {
-		if k.primary {
-			s.pushUpdate(k, update)
+	for session := range s.proxies {
+		if session.primary {
+			s.pushUpdate(session, update)
 		}
 	}
 	if len(msg.Records) > 0 {
 		encoded := discoverywire.FromPeerMessage(&msg)
-		for _, k := range s.peers {
-			if k != nil {
-				s.send(k, encoded)
+		for _, peer := range s.peers {
+			if peer != nil {
+				s.send(peer, encoded)
 			}
 		}
 	}
@@ -60,8 +60,8 @@
 	s.sendMessage(session, msg)
 }
 
-// sendMessage sends a message to a proxy. Where it depends on the lease, that is checked again when
-// the message leaves the queue: if the lease has expired by then, the snapshot is left out and
+// sendMessage sends a message to a proxy. If the message depends on the lease, the lease is checked
+// again when the message leaves the queue: if it has expired by then, the snapshot is left out and
 // pushed again under the next lease.
 func (s *Server) sendMessage(session *session, msg discovery.ControlMessage) {
 	session.announcedContact = msg.HasContact
@@ -105,19 +105,19 @@
 	return &snapshot
 }
 
-// unconfirmed returns a snapshot as one that is not covered by a lease.
+// unconfirmed returns a copy of a snapshot that is marked as not covered by a lease.
 func unconfirmed(snapshot *controlstate.Snapshot) *controlstate.Snapshot {
 	copied := *snapshot
 	copied.Confirmed = false
 	return &copied
 }
 
-// hasContact reports whether this control plane has contact with a quorum, by the clock: a process
-// that was stalled has none.
+// hasContact reports whether this control plane has contact with a quorum. It compares the clock
+// with the end of the lease, so that a process that was stalled past it has no contact.
 func (s *Server) hasContact() bool { return time.Now().Before(*s.serveUntil.Load()) }
 
-// updateContact updates until when the snapshot may be served; if it has changed, it is pushed to
-// all proxies.
+// updateContact updates the time until which the snapshot may be served, and pushes the snapshot to
+// all proxies if it has changed.
 func (s *Server) updateContact(changed bool) {
 	until := s.contact.ServeUntil()
 	s.serveUntil.Store(&until)
--- a/internal/mesh/controlplane/pushwait.go
+++ b/internal/mesh/controlplane/pushwait.go
@@ -4,9 +4,9 @@
 	"slices"
 )
 
-// pushWait is a command that waits for proxies to apply it.
+// pushWait is a completed command whose caller gets the result once the proxies have applied it.
 type pushWait struct {
-	sessions      map[*session]uint64
+	sessions      map[*session]uint64 // proxies that have not applied it, with the update that they are to acknowledge
 	configVersion uint64
 	done          func()
 }
@@ -18,9 +18,9 @@
 	if snapshot := s.contact.Snapshot(); snapshot != nil {
 		wait.configVersion = snapshot.ConfigVersion
 	}
-	for k := range s.proxies {
-		if k.lastAcked < k.lastPushed || k.configVersion < wait.configVersion {
-			wait.sessions[k] = k.lastPushed
+	for session := range s.proxies {
+		if session.lastAcked < session.lastPushed || session.configVersion < wait.configVersion {
+			wait.sessions[session] = session.lastPushed
 		}
 	}
 	if len(wait.sessions) == 0 {
@@ -31,7 +31,8 @@
 	s.loop.PostAfter(ackTimeout, func() { s.finishWait(wait) })
 }
 
-// proxyAcked finishes the waits for which this was the last proxy.
+// proxyAcked removes a proxy from the waits if it has applied their updates or has disconnected, and
+// finishes those that wait for no other proxy.
 func (s *Server) proxyAcked(session *session) {
 	for _, wait := range slices.Clone(s.pushWaits) {
 		if n, ok := wait.sessions[session]; ok &&
@@ -44,6 +45,7 @@
 	}
 }
 
+// finishWait ends a wait, complete or not, and reports the result of its command.
 func (s *Server) finishWait(wait *pushWait) {
 	if i := slices.Index(s.pushWaits, wait); i >= 0 {
 		s.pushWaits = slices.Delete(s.pushWaits, i, i+1)
--- a/internal/mesh/controlplane/server.go
+++ b/internal/mesh/controlplane/server.go
@@ -30,17 +30,17 @@
 var Start = space.NewType("start")
 
 const (
-	tickInterval      = 500 * time.Millisecond  // between two ticks
+	tickInterval      = 500 * time.Millisecond
 	heartbeatInterval = 800 * time.Millisecond  // to each proxy and peer that was sent nothing else
 	idleTimeout       = 2200 * time.Millisecond // after which a connection counts as lost
 	firstBackoff      = 25 * time.Millisecond   // before a connection to a peer is retried
 	confirmTicks      = 2                       // ticks between two confirmations of the connected proxies to the peers
-	unreachableAfter  = 2500 * time.Millisecond // since a proxy was heard from by any control plane
-	forgetAfter       = 30 * time.Second
-	pushDelay         = 10 * time.Millisecond  // within which changes are pushed together
-	ackTimeout        = 250 * time.Millisecond // for proxies to acknowledge the push of a command
-	drainTimeout      = 2 * time.Second        // for calls in flight at shutdown
-	queueLength       = 256                    // messages that a peer has not taken
+	unreachableAfter  = 2500 * time.Millisecond // without a message of a proxy to any control plane
+	forgetAfter       = 30 * time.Second        // without a message, for proxies and core machines
+	pushDelay         = 10 * time.Millisecond   // within which changes are pushed together
+	ackTimeout        = 250 * time.Millisecond  // for proxies to acknowledge the push of a command
+	drainTimeout      = 2 * time.Second         // for calls in flight at shutdown
+	queueLength       = 256                     // messages that wait for a proxy or peer to read them
 )
 
 // Server is a running control plane. Its state is owned by the goroutine of loop.
@@ -51,11 +51,11 @@
 
 	registry       *registry.Registry
 	proxies        map[*session]bool
-	peers          map[string]*session // by address of their machine; nil while there is no connection
+	peers          map[string]*session // by address of the machine; nil while there is no connection
 	machines       map[string]*machine // by address
 	store          *storeClient
 	contact        *discovery.StoreContact   // the latest snapshot of the configuration store, and the lease on it
-	serveUntil     atomic.Pointer[time.Time] // expiry of that lease; read by the outboxes too
+	serveUntil     atomic.Pointer[time.Time] // expiry of the lease of contact; read by the outboxes too
 	changedNodes   map[string]bool           // to be pushed to proxies
 	nodesForPeers  map[string]bool           // to be sent to peers
 	flushScheduled bool
@@ -80,7 +80,7 @@
 	return s.PeerAddr(ip, process.ControlPlanePort)
 }
 
-// New opens the ports.
+// New returns a control plane that listens at its addresses; Run serves them.
 func New(settings *nodeconfig.Settings, log zerolog.Logger) (*Server, error) {
 	if settings.Control == "" {
 		return nil, Start.New("%s: bind.control: is missing; a control plane serves the control API", settings.Path)
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// SettingsChanged applies settings that were read again.
+// SettingsChanged applies settings that were reloaded.
 func (s *Server) SettingsChanged(settings *nodeconfig.Settings) {
 	s.loop.Post(func() { s.settings = settings; s.addSeeds() })
 }
@@ -138,38 +138,39 @@
 	now := time.Now()
 	s.stalls.Tick(now)
 	s.store.heartbeat(now)
-	isReliable := s.hasContact() && !s.stalls.JustResumed(now) // after a stall of this process the silence is its own
-	for _, node := range s.registry.Expire(now, isReliable) {
+	// Without contact or after a stall of this process, missing messages do not show that a proxy is unreachable.
+	canExpire := s.hasContact() && !s.stalls.JustResumed(now)
+	for _, node := range s.registry.Expire(now, canExpire) {
 		s.log.Info().Str("proxy", node).Msg("mark proxy unreachable")
 		s.markChanged(node)
 	}
-	for k := range s.proxies {
+	for session := range s.proxies {
 		switch {
-		case s.hasContact() && k.pushSkipped.Swap(false):
-			k.sentConfig = configRef{}
-			s.pushUpdate(k, discovery.ControlMessage{Snapshot: s.snapshotFor(k), HasContact: true})
-		case k.announcedContact != s.hasContact():
-			s.pushUpdate(k, discovery.ControlMessage{HasContact: s.hasContact(), ControlPlanes: s.reachableMachines()})
-		case now.Sub(k.lastSent) >= s.scale(heartbeatInterval-tickInterval/2):
-			s.sendMessage(k, discovery.ControlMessage{HasContact: k.announcedContact})
+		case s.hasContact() && session.pushSkipped.Swap(false):
+			session.sentConfig = configRef{}
+			s.pushUpdate(session, discovery.ControlMessage{Snapshot: s.snapshotFor(session), HasContact: true})
+		case session.announcedContact != s.hasContact():
+			s.pushUpdate(session, discovery.ControlMessage{HasContact: s.hasContact(), ControlPlanes: s.reachableMachines()})
+		case now.Sub(session.lastSent) >= s.scale(heartbeatInterval-tickInterval/2):
+			s.sendMessage(session, discovery.ControlMessage{HasContact: session.announcedContact})
 		}
 	}
 	s.ejector.tick(now)
 	msg := discovery.PeerMessage{Votes: s.ejector.takeUnsentVotes()}
 	if s.ticks++; s.ticks%confirmTicks == 0 {
-		for k := range s.proxies {
-			if k.incarnation != 0 && now.Sub(k.lastHeard) < s.scale(confirmTicks*tickInterval+tickInterval/2) {
-				msg.ConfirmedHashes = append(msg.ConfirmedHashes, registry.IncarnationHash(k.node, k.incarnation))
+		for session := range s.proxies {
+			if session.incarnation != 0 && now.Sub(session.lastReceived) < s.scale(confirmTicks*tickInterval+tickInterval/2) {
+				msg.ConfirmedHashes = append(msg.ConfirmedHashes, registry.IncarnationHash(session.node, session.incarnation))
 			}
 		}
 	}
-	for ip, k := range s.peers {
-		if k == nil {
+	for ip, peer := range s.peers {
+		if peer == nil {
 			continue
 		}
 		s.machines[ip].lastSeen = now
 		if s.ticks%confirmTicks == 0 || len(msg.Votes) > 0 {
-			s.send(k, discoverywire.FromPeerMessage(&msg))
+			s.send(peer, discoverywire.FromPeerMessage(&msg))
 		}
 	}
 }
--- a/internal/mesh/controlplane/session.go
+++ b/internal/mesh/controlplane/session.go
@@ -19,16 +19,16 @@
 	outbox           *transport.Outbox
 	node             string
 	incarnation      uint64
-	lastPushed       uint64 // sequence of the last update
-	lastAcked        uint64
+	lastPushed       uint64    // sequence of the last update that was pushed
+	lastAcked        uint64    // sequence of the last update that the proxy has acknowledged
 	lastSent         time.Time // when a message was last queued
-	lastHeard        time.Time // when a message was last received
-	announcedContact bool      // the contact with a quorum that was announced last
+	lastReceived     time.Time // when a message was last received
+	announcedContact bool      // whether the last message announced contact with a quorum
 	primary          bool      // this is the primary control plane of the proxy, which sends it the nodes and whole configurations
-	configVersion    uint64    // that the proxy uses
-	lastKnownSent    uint64    // version that was sent without a lease, on request
-	sentConfig       configRef // the configuration that was pushed last: it is sent once over a connection
-	// pushSkipped reports that a snapshot was left out, as the lease had expired when its
+	configVersion    uint64    // version of the configuration that the proxy uses
+	lastKnownSent    uint64    // version of the configuration that was sent without a lease, on request
+	sentConfig       configRef // the configuration that was pushed last; each is sent once over a connection
+	// pushSkipped is set if a snapshot was left out because the lease had expired when its
 	// message left the queue.
 	pushSkipped atomic.Bool
 }
@@ -37,7 +37,7 @@
 // configuration again under the present one.
 type configRef struct{ version, epoch uint64 }
 
-// covers reports whether the proxy needs nothing of a snapshot.
+// covers reports whether a proxy that was sent this configuration needs no newer one for a snapshot.
 func (c configRef) covers(snapshot *controlstate.Snapshot) bool {
 	return c.version >= snapshot.ConfigVersion && c.epoch == snapshot.Epoch
 }
@@ -86,7 +86,7 @@
 func (s *Server) handleProxyMessage(session *session, msg *discovery.ProxyMessage) {
 	now := time.Now()
 	first, becamePrimary := !s.proxies[session], msg.Primary && !session.primary
-	s.proxies[session], session.configVersion, session.primary, session.lastHeard = true, msg.ConfigVersion, msg.Primary, now
+	s.proxies[session], session.configVersion, session.primary, session.lastReceived = true, msg.ConfigVersion, msg.Primary, now
 	if first || becamePrimary {
 		s.pushUpdate(session, s.fullUpdate(session))
 	}
@@ -116,7 +116,7 @@
 	s.proxyAcked(session)
 }
 
-// send queues a message. A peer that does not take its messages is disconnected and connects again.
+// send queues a message. A peer that does not read its messages is disconnected and connects again.
 func (s *Server) send(session *session, message any) {
 	if session.outbox.Send(message) {
 		session.lastSent = time.Now()
--- a/internal/mesh/controlplane/stall_test.go
+++ b/internal/mesh/controlplane/stall_test.go
@@ -8,24 +8,25 @@
 	"milletmast/internal/mesh/transport"
 )
 
-// An order that waited while the process was stalled is not handed on: who gave it has given it again elsewhere, and others after it.
+// A command that waited while this process was stalled is not forwarded to the configuration store: its caller has retried it at another
+// control plane, and later commands may have followed.
 func TestCommandFromBeforeAStallIsNotForwarded(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
-		came   time.Time
-		looked time.Time
+		receivedAt time.Time
+		lastTick   time.Time
 	}{
-		"it waited in this process": {now.Add(-3500 * time.Millisecond), now},
-		"it waited in a socket":     {now, now.Add(-20 * time.Second)},
+		"queued in this process": {now.Add(-3500 * time.Millisecond), now},
+		"queued in a socket":     {now, now.Add(-20 * time.Second)},
 	} {
-		l := &Server{}
-		l.stalls.Tick(c.looked)
-		s := newStoreClient(l)
-		s.outbox = transport.NewOutbox(nil, 0) // to which nothing can be said
+		server := &Server{}
+		server.stalls.Tick(c.lastTick)
+		s := newStoreClient(server)
+		s.outbox = transport.NewOutbox(nil, 0) // has no room for a message
 		var got *controlstate.Result
-		s.runCommand(&controlstate.Command{Kind: controlstate.BeginEvacuation}, c.came, func(r *controlstate.Result) { got = r })
+		s.runCommand(&controlstate.Command{Kind: controlstate.BeginEvacuation}, c.receivedAt, func(r *controlstate.Result) { got = r })
 		if got == nil || got.Status != controlstate.Unknown || len(s.pending) != 0 {
-			t.Errorf("%s: %+v", name, got)
+			t.Errorf("%s: got result %+v and %d pending commands, want status Unknown and none", name, got, len(s.pending))
 		}
 	}
 }
--- a/internal/mesh/controlplane/status.go
+++ b/internal/mesh/controlplane/status.go
@@ -21,7 +21,7 @@
 	Node           string
 	HasContact     bool // with a quorum of the configuration stores
 	ConfigVersion  uint64
-	Epoch          uint64        // of the voters, at the last contact
+	Epoch          uint64        // of the voter configuration, at the last contact
 	LeaseRemaining time.Duration // of the contact
 	Evacuations    []controlstate.Evacuation
 	ControlPlanes  []discovery.ControlPlane
@@ -34,9 +34,9 @@
 type ProxyStatus struct {
 	registry.ObservedRecord
 	Connected     bool   // to this control plane
-	ConfigVersion uint64 // that the proxy uses, if it is connected
+	ConfigVersion uint64 // version of the configuration that the proxy uses, if it is connected
 	LastPushed    uint64 // sequence of the last update that was sent to it
-	LastAcked     uint64
+	LastAcked     uint64 // sequence of the last update that it has acknowledged
 }
 
 // status returns the status report. It runs in the loop.
@@ -47,19 +47,20 @@
 		report.LeaseRemaining = max(time.Until(*s.serveUntil.Load()), 0)
 	}
 	sessions := map[string]*session{}
-	for k := range s.proxies {
-		sessions[k.node] = k
+	for session := range s.proxies {
+		sessions[session.node] = session
 	}
 	for _, known := range s.registry.All() {
 		p := ProxyStatus{ObservedRecord: known}
-		if k := sessions[known.Node]; k != nil {
-			p.Connected, p.ConfigVersion, p.LastPushed, p.LastAcked = true, k.configVersion, k.lastPushed, k.lastAcked
+		if session := sessions[known.Node]; session != nil {
+			p.Connected, p.ConfigVersion = true, session.configVersion
+			p.LastPushed, p.LastAcked = session.lastPushed, session.lastAcked
 		}
 		report.Proxies = append(report.Proxies, p)
 	}
 	var votes []outlier.Vote
-	for _, v := range s.ejector.votes {
-		votes = append(votes, v)
+	for _, vote := range s.ejector.votes {
+		votes = append(votes, vote)
 	}
 	report.Tallies = outlier.TallyVotes(s.ejector.limits, time.Now(), s.ejector.instances(time.Now()), votes)
 	return report
@@ -99,20 +100,20 @@
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "proxy\tzone\tversion\tupdate\tstate\tendpoint\tservice\tendpoint state")
 	for _, p := range s.Proxies {
-		version, change, state := "-", "-", "reachable"
+		version, update, state := "-", "-", "reachable"
 		if p.Connected {
-			version, change = fmt.Sprintf("r%d", p.ConfigVersion), fmt.Sprintf("%d/%d", p.LastAcked, p.LastPushed)
+			version, update = fmt.Sprintf("r%d", p.ConfigVersion), fmt.Sprintf("%d/%d", p.LastAcked, p.LastPushed)
 		}
 		if p.Unreachable {
 			state = "unreachable"
 		} else if p.Draining {
 			state = "draining"
 		}
-		id, target, es := "-", "-", "-"
+		id, service, endpointState := "-", "-", "-"
 		if e := p.Endpoint; e != nil {
-			id, target, es = e.ID, e.Target, e.State.String()
+			id, service, endpointState = e.ID, e.Target, e.State.String()
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", p.Node, p.Zone, version, change, state, id, target, es)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", p.Node, p.Zone, version, update, state, id, service, endpointState)
 	}
 	t.Flush()
 	for _, c := range s.Tallies {
--- a/internal/mesh/controlplane/storeclient.go
+++ b/internal/mesh/controlplane/storeclient.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	commandFraction   = 0.875           // of the time for an acknowledgement, for the result of a command; then it is Unknown
-	defaultAckTimeout = 4 * time.Second // if the settings give none
+	commandShare      = 0.875           // of the time for acknowledging a call; without a result by then, a command is Unknown
+	defaultAckTimeout = 4 * time.Second // time for acknowledging a call, if the settings give none
 )
 
 // storeClient is the connection to the configuration store on this machine.
 type storeClient struct {
 	server         *Server
-	outbox         *transport.Outbox // owned by the loop; nil while there is no connection
-	lastID         uint64
-	pending        map[uint64]func(*controlstate.Result)
-	commandTimeout time.Duration // after which the result is Unknown
+	outbox         *transport.Outbox                     // owned by the loop; nil while there is no connection
+	lastID         uint64                                // of a command
+	pending        map[uint64]func(*controlstate.Result) // by ID of the command
+	commandTimeout time.Duration                         // after which the result is Unknown
 }
 
 func newStoreClient(server *Server) *storeClient {
@@ -32,7 +32,7 @@
 	return &storeClient{
 		server:         server,
 		pending:        map[uint64]func(*controlstate.Result){},
-		commandTimeout: time.Duration(commandFraction * float64(ackTimeout)),
+		commandTimeout: time.Duration(commandShare * float64(ackTimeout)),
 	}
 }
 
@@ -63,8 +63,8 @@
 	)
 }
 
-// heartbeat asks the store for its remaining lease. The lease counts from now, not from when the
-// answer comes.
+// heartbeat asks the store for its remaining lease. The lease counts from the time of the request,
+// not of the response.
 func (s *storeClient) heartbeat(now time.Time) {
 	if s.outbox != nil {
 		s.outbox.Send(
@@ -106,9 +106,10 @@
 	}
 }
 
-// runCommand sends a command that was received at a time to the store; done is called with the
-// result, once. A command that is too old when it leaves the queue is dropped, and so is one that
-// may be old after a stall: its caller has retried elsewhere, and later commands may have followed.
+// runCommand sends a command to the store and calls done once, with the result. A command that was
+// received longer than commandTimeout ago when it leaves the queue is dropped, and so is one that
+// may be old after a stall: its caller has retried at another control plane, and later commands may
+// have followed.
 func (s *storeClient) runCommand(command *controlstate.Command, receivedAt time.Time, done func(*controlstate.Result)) {
 	now := time.Now()
 	switch {
--- a/internal/mesh/controlplane/tickets_test.go
+++ b/internal/mesh/controlplane/tickets_test.go
@@ -13,64 +13,64 @@
 	"milletmast/internal/mesh/transport"
 )
 
-// A ticket stands for one order, once, and for no longer than a caller waits; few are kept.
+// A ticket is valid for the call that it was issued for, once, and until it expires; at most maxTickets are kept.
 func TestTickets(t *testing.T) {
 	now := time.Unix(1, 0)
-	var s tickets
-	a, b := s.issue(now, "a"), s.issue(now, "b")
-	if a == b || s.redeem(now, "none", "a") || s.redeem(now, b, "a") || !s.redeem(now.Add(ticketLifetime-1), a, "a") || s.redeem(now, a, "a") {
-		t.Error("a ticket was taken for another, or twice, or not at all")
+	var store tickets
+	a, b := store.issue(now, "a"), store.issue(now, "b")
+	if a == b || store.redeem(now, "none", "a") || store.redeem(now, b, "a") || !store.redeem(now.Add(ticketLifetime-1), a, "a") || store.redeem(now, a, "a") {
+		t.Error("a ticket was redeemed for another call or twice, an unknown one was redeemed, or a valid one was refused")
 	}
-	if late := s.issue(now, "a"); s.redeem(now.Add(ticketLifetime), late, "a") {
-		t.Error("a ticket was taken late")
+	if late := store.issue(now, "a"); store.redeem(now.Add(ticketLifetime), late, "a") {
+		t.Error("an expired ticket was redeemed")
 	}
 	for range 2 * maxTickets {
-		s.issue(now, "a")
+		store.issue(now, "a")
 	}
-	if len(s.issued) > maxTickets {
-		t.Errorf("%d tickets are kept", len(s.issued))
+	if len(store.issued) > maxTickets {
+		t.Errorf("%d tickets are kept, want at most %d", len(store.issued), maxTickets)
 	}
 }
 
-// An evacuation that waited behind a cut link, and comes after its caller has given it elsewhere and taken it back, is not ordered: it is
-// sent here once more, and nobody follows. That of a caller who is there is ordered once.
-func TestEvacuationWithoutACallerIsNotOrdered(t *testing.T) {
-	l := &Server{settings: &nodeconfig.Settings{}, log: zerolog.Nop(), loop: process.NewLoop(8)}
-	l.store = newStoreClient(l)
-	l.store.outbox = transport.NewOutbox(nil, 8)
+// An evacuation call that is delayed by a partition can arrive after its caller has begun and finished the evacuation at another control
+// plane. It must not run: it is redirected, and no caller follows the redirect. The call of a caller that still waits runs once.
+func TestEvacuationWithoutACallerIsNotRun(t *testing.T) {
+	server := &Server{settings: &nodeconfig.Settings{}, log: zerolog.Nop(), loop: process.NewLoop(8)}
+	server.store = newStoreClient(server)
+	server.store.outbox = transport.NewOutbox(nil, 8)
 	done := make(chan struct{})
 	go func() {
-		l.loop.Run(t.Context(), time.Hour, func() {})
+		server.loop.Run(t.Context(), time.Hour, func() {})
 		close(done)
 	}()
 	t.Cleanup(func() { <-done })
-	said := func(c controlapi.Command) controlapi.Result {
+	call := func(c controlapi.Command) controlapi.Result {
 		got := make(chan controlapi.Result, 1)
-		l.handleCall(c, func(r controlapi.Result) { got <- r })
+		server.handleCall(c, func(r controlapi.Result) { got <- r })
 		return <-got
 	}
-	ordered := func() int {
-		n, _ := process.Call(l.loop, func() int { return len(l.store.pending) })
+	pendingCommands := func() int {
+		n, _ := process.Call(server.loop, func() int { return len(server.store.pending) })
 		return n
 	}
-	first := said(controlapi.BeginEvacuation{Zone: "north"})
-	if first.Status != http.StatusTemporaryRedirect || ordered() != 0 {
-		t.Fatalf("without a ticket: %+v, %d ordered", first, ordered())
+	first := call(controlapi.BeginEvacuation{Zone: "north"})
+	if first.Status != http.StatusTemporaryRedirect || pendingCommands() != 0 {
+		t.Fatalf("without a ticket: %+v, %d commands pending", first, pendingCommands())
 	}
 	c, _, err := controlapi.Decode(http.MethodPost, first.Location, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	begin := c.(controlapi.BeginEvacuation)
-	if r := said(controlapi.FinishEvacuation(begin)); r.Status != http.StatusServiceUnavailable || ordered() != 0 {
-		t.Errorf("the ticket of another order: %+v", r)
+	if r := call(controlapi.FinishEvacuation(begin)); r.Status != http.StatusServiceUnavailable || pendingCommands() != 0 {
+		t.Errorf("with the ticket of another call: %+v", r)
 	}
-	c, _, _ = controlapi.Decode(http.MethodPost, said(controlapi.BeginEvacuation{Zone: "north"}).Location, nil)
-	l.handleCall(c, func(controlapi.Result) {})
-	if ordered() != 1 {
-		t.Errorf("with its ticket: %d ordered", ordered())
+	c, _, _ = controlapi.Decode(http.MethodPost, call(controlapi.BeginEvacuation{Zone: "north"}).Location, nil)
+	server.handleCall(c, func(controlapi.Result) {})
+	if pendingCommands() != 1 {
+		t.Errorf("with its ticket: %d commands pending", pendingCommands())
 	}
-	if r := said(c); r.Status != http.StatusServiceUnavailable || ordered() != 1 {
-		t.Errorf("the ticket once more: %+v", r)
+	if r := call(c); r.Status != http.StatusServiceUnavailable || pendingCommands() != 1 {
+		t.Errorf("with a ticket that was used: %+v", r)
 	}
 }
--- a/internal/mesh/controlstate/controlstate.go
+++ b/internal/mesh/controlstate/controlstate.go
@@ -16,7 +16,7 @@
 	ID   uint64
 	Kind CommandKind
 	Body []byte // PutConfig: the configuration
-	// SetEjections: the ejections that replace those of BaseVersion.
+	// SetEjections: the ejections that replace those of version BaseVersion.
 	Ejections   []outlier.Ejection
 	BaseVersion consensus.Version
 	Zone        string
@@ -33,7 +33,7 @@
 	BeginEvacuation
 	FinishEvacuation
 	SetEjections
-	Heartbeat // asks for the remaining lease
+	Heartbeat // requests the remaining lease
 )
 
 // Result is the result of a command.
@@ -51,9 +51,9 @@
 const (
 	Completed ResultStatus = iota + 1
 	Rejected               // the command is invalid
-	Conflict               // other content has that version
-	NotFound               // there is no configuration yet
-	Unknown                // no quorum answered: the command may take effect or not
+	Conflict               // another content is committed under the same version
+	NotFound               // no configuration is committed yet
+	Unknown                // without the responses of a quorum: the command may take effect or not
 )
 
 // Update is a message of a configuration store to a control plane: the result of a command, and the
@@ -66,26 +66,26 @@
 	LeaseRemaining time.Duration      // of the store's read lease when it acknowledged the heartbeat
 }
 
-// Snapshot is the control state: what operators have ordered and proxies have agreed on, as far as
-// it is committed.
+// Snapshot is the committed control state: the configuration and evacuations of the operators, and
+// the ejections that proxies have agreed on.
 type Snapshot struct {
 	Config           []byte // empty for none yet
 	ConfigVersion    uint64
 	Evacuations      []Evacuation // sorted by zone
 	Ejections        []outlier.Ejection
-	EjectionsVersion consensus.Version // of the ejections
-	Confirmed        bool              // the store held a read lease
-	Epoch            uint64            // of the voter configuration of that lease
+	EjectionsVersion consensus.Version
+	Confirmed        bool   // the store held a read lease when it sent the snapshot
+	Epoch            uint64 // of the voter configuration of that lease
 }
 
-// Evacuation is the newest order about the evacuation of a zone.
+// Evacuation is the newest command to begin or finish the evacuation of a zone.
 type Evacuation struct {
 	Zone    string
 	Version consensus.Version
-	Active  bool
+	Active  bool // begun and not finished
 }
 
-// Equal reports whether two snapshots, which may be nil, hold the same.
+// Equal reports whether two snapshots, which may be nil, have the same content.
 func (s *Snapshot) Equal(other *Snapshot) bool {
 	if s == nil || other == nil {
 		return s == other
--- a/internal/mesh/controlstate/wire/wire.go
+++ b/internal/mesh/controlstate/wire/wire.go
@@ -26,15 +26,15 @@
 }
 
 // FromCommand encodes a command.
-func FromCommand(o *controlstate.Command) *Order {
+func FromCommand(c *controlstate.Command) *Order {
 	return &Order{
-		ID:       o.ID,
-		Kind:     uint8(o.Kind),
-		Body:     o.Body,
-		Removals: outlierwire.FromEjections(o.Ejections),
-		Base:     consensuswire.FromVersion(o.BaseVersion),
-		Zone:     o.Zone,
-		Within:   o.Timeout,
+		ID:       c.ID,
+		Kind:     uint8(c.Kind),
+		Body:     c.Body,
+		Removals: outlierwire.FromEjections(c.Ejections),
+		Base:     consensuswire.FromVersion(c.BaseVersion),
+		Zone:     c.Zone,
+		Within:   c.Timeout,
 	}
 }
 
@@ -85,13 +85,13 @@
 }
 
 // FromUpdate encodes an update.
-func FromUpdate(w *controlstate.Update) *Word {
+func FromUpdate(u *controlstate.Update) *Word {
 	return &Word{
-		Result:  FromResult(w.Result),
-		InForce: FromSnapshot(w.Snapshot),
-		Core:    consensuswire.FromMembers(w.Members),
-		Beat:    w.HeartbeatID,
-		Lease:   w.LeaseRemaining,
+		Result:  FromResult(u.Result),
+		InForce: FromSnapshot(u.Snapshot),
+		Core:    consensuswire.FromMembers(u.Members),
+		Beat:    u.HeartbeatID,
+		Lease:   u.LeaseRemaining,
 	}
 }
 
@@ -118,18 +118,18 @@
 }
 
 // FromSnapshot encodes a snapshot, which may be nil.
-func FromSnapshot(f *controlstate.Snapshot) *InForce {
-	if f == nil {
+func FromSnapshot(s *controlstate.Snapshot) *InForce {
+	if s == nil {
 		return nil
 	}
 	return &InForce{
-		Config:      f.Config,
-		Version:     f.ConfigVersion,
-		Evacuations: FromEvacuations(f.Evacuations),
-		Removals:    outlierwire.FromEjections(f.Ejections),
-		Removed:     consensuswire.FromVersion(f.EjectionsVersion),
-		Settled:     f.Confirmed,
-		Epoch:       f.Epoch,
+		Config:      s.Config,
+		Version:     s.ConfigVersion,
+		Evacuations: FromEvacuations(s.Evacuations),
+		Removals:    outlierwire.FromEjections(s.Ejections),
+		Removed:     consensuswire.FromVersion(s.EjectionsVersion),
+		Settled:     s.Confirmed,
+		Epoch:       s.Epoch,
 	}
 }
 
--- a/internal/mesh/discovery/client.go
+++ b/internal/mesh/discovery/client.go
@@ -1,8 +1,8 @@
 // Package discovery distributes the state of the mesh from control planes to proxies: numbered
 // updates over long-lived connections, the complete state first and then the changes, each
-// acknowledged. The state of a proxy never goes back: of a node the newer record stays, of the
-// configuration the higher version, of a zone the higher version of its evacuation. Control state
-// is used once a control plane with a lease has confirmed it. The package is pure.
+// acknowledged. The state of a proxy never goes back: the newest record of each node stays, the
+// highest version of the configuration, and the highest version of the evacuation of each zone.
+// Control state is used once a control plane with a lease has confirmed it. The package is pure.
 package discovery
 
 import (
@@ -13,13 +13,16 @@
 	"milletmast/internal/mesh/registry"
 )
 
-// ClientState is what a proxy holds of the updates of several control planes. It is not safe for
-// concurrent use.
+// ClientState is the state of a proxy, merged from the updates of several control planes. It is not
+// safe for concurrent use.
 type ClientState struct {
-	views            map[string]map[string]registry.ObservedRecord // by control plane, by node
-	hasContact       map[string]bool
-	staleEpoch       map[string]bool   // control planes whose last snapshot had a stale epoch
-	announcedVersion map[string]uint64 // by control plane, the configuration version that it announced last under a lease
+	views map[string]map[string]registry.ObservedRecord // by control plane, by node
+	// hasContact is by control plane, as it announced last.
+	hasContact map[string]bool
+	// staleEpoch marks the control planes whose last snapshot under a lease had a stale epoch.
+	staleEpoch map[string]bool
+	// announcedVersion is the configuration version of the last snapshot of each control plane under a lease.
+	announcedVersion map[string]uint64
 	nodes            map[string]*entry
 	current          *MergedState // the control state in use
 	unconfirmed      *MergedState // sent by control planes and proxies without contact
@@ -30,17 +33,17 @@
 
 // Limits are the time limits of a ClientState.
 type Limits struct {
-	KeepMissing    time.Duration // how long a node is kept that no control plane reports any more
+	KeepMissing    time.Duration // how long a node is kept after no control plane reports it
 	ContactTimeout time.Duration // without any confirmed snapshot; then the newest known one is used
 }
 
-// askBefore is how long before the contact timeout the last known snapshot is asked for.
-const askBefore = time.Second
+// lastKnownLead is how long before the contact timeout the last known snapshot is requested.
+const lastKnownLead = time.Second
 
-// Node is what a proxy knows of another.
+// Node is a node as a proxy knows it.
 type Node struct {
 	registry.ObservedRecord
-	Since time.Time // when its newest record came
+	Since time.Time // when its newest record was received
 }
 
 type entry struct {
@@ -49,7 +52,7 @@
 }
 
 // NewClientState returns an empty state. A node that no control plane reports any more is kept for
-// a while: a control plane that has just started does not know all nodes yet.
+// limits.KeepMissing, as a control plane that has just started does not know all nodes yet.
 func NewClientState(now time.Time, limits Limits) *ClientState {
 	return &ClientState{
 		views:            map[string]map[string]registry.ObservedRecord{},
@@ -98,7 +101,7 @@
 	return changed
 }
 
-// HandlePeerNodes adds the nodes that another proxy knows, as no control plane can be reached. They
+// HandlePeerNodes adds the nodes that another proxy reports while no control plane is reachable. They
 // are kept for as long as they are reported.
 func (c *ClientState) HandlePeerNodes(now time.Time, nodes []Node) (changed bool) {
 	for _, n := range nodes {
@@ -125,12 +128,13 @@
 	return c.Merge(now)
 }
 
-// HasContact reports whether a control plane has contact with a quorum, as it said last, under an
-// epoch that is not stale.
+// HasContact reports whether a control plane has last announced contact with a quorum, under an epoch
+// that is not stale.
 func (c *ClientState) HasContact(from string) bool { return c.hasContact[from] && !c.staleEpoch[from] }
 
 // Merge merges the nodes that the control planes report, and reports whether they have changed. A
-// node is unreachable if all control planes with contact that know its newest incarnation say so.
+// node is unreachable if all control planes that report its newest record have contact and report
+// it as unreachable.
 func (c *ClientState) Merge(now time.Time) (changed bool) {
 	newest := c.newestRecords()
 	for node, record := range newest {
--- a/internal/mesh/discovery/merged.go
+++ b/internal/mesh/discovery/merged.go
@@ -18,7 +18,7 @@
 	evacuations      map[string]controlstate.Evacuation
 	ejections        []outlier.Ejection
 	ejectionsVersion consensus.Version
-	epoch            uint64 // the highest that was seen under a lease
+	epoch            uint64 // the highest of a confirmed snapshot
 }
 
 // NewMergedState returns an empty state.
@@ -26,7 +26,7 @@
 	return &MergedState{evacuations: map[string]controlstate.Evacuation{}}
 }
 
-// Merge adds what has a higher version in a snapshot.
+// Merge takes over each key that has a higher version in a snapshot.
 func (s *MergedState) Merge(snapshot *controlstate.Snapshot) (changed Change) {
 	if len(snapshot.Config) > 0 && snapshot.ConfigVersion > s.configVersion {
 		s.config, s.configVersion, changed.Config = snapshot.Config, snapshot.ConfigVersion, true
@@ -47,23 +47,24 @@
 // confirmed if the snapshot is and its epoch is not stale.
 func (s *MergedState) MergeUpdate(snapshot *controlstate.Snapshot) *controlstate.Snapshot {
 	s.Merge(snapshot)
-	settled := snapshot.Confirmed && snapshot.Epoch >= s.epoch
-	if settled {
+	confirmed := snapshot.Confirmed && snapshot.Epoch >= s.epoch
+	if confirmed {
 		s.epoch = snapshot.Epoch
 	}
 	merged := s.Snapshot()
-	merged.Confirmed = settled
+	merged.Confirmed = confirmed
 	return merged
 }
 
-// IsContainedIn reports whether a snapshot holds all of the state, or newer versions.
+// IsContainedIn reports whether a snapshot has the same or a higher version of every key of the
+// state.
 func (s *MergedState) IsContainedIn(snapshot *controlstate.Snapshot) bool {
 	versions := map[string]consensus.Version{}
 	for _, e := range snapshot.Evacuations {
 		versions[e.Zone] = e.Version
 	}
 	for zone, e := range s.evacuations {
-		if s, ok := versions[zone]; !ok || s.Compare(e.Version) < 0 {
+		if version, ok := versions[zone]; !ok || version.Compare(e.Version) < 0 {
 			return false
 		}
 	}
--- a/internal/mesh/discovery/message.go
+++ b/internal/mesh/discovery/message.go
@@ -20,26 +20,26 @@
 	Record        *registry.NodeRecord // if it has changed
 	AckedUpdate   uint64               // sequence of the last update that was applied
 	ConfigVersion uint64               // version of the configuration in use
-	Primary       bool                 // this is the primary control plane: it is to send the nodes, and whole configurations unasked
-	Opinions      []outlier.Opinion    // of instances that the proxy finds unhealthy or was polled about
-	WantConfig    bool                 // the proxy lacks the configuration that was announced
-	WantLastKnown bool                 // no confirmed snapshot came for long: the last one known is wanted, even unconfirmed
+	Primary       bool                 // the receiver is the primary control plane: it sends the nodes, and configurations without a request
+	Opinions      []outlier.Opinion    // of the instances that the proxy finds unhealthy or was polled about
+	WantConfig    bool                 // the proxy requests the configuration that was announced
+	WantLastKnown bool                 // no confirmed snapshot came for long: the proxy requests the last known one, even unconfirmed
 }
 
 // ControlMessage is a message of a control plane to a proxy. Without a sequence it is a heartbeat.
 type ControlMessage struct {
 	Sequence       uint64
-	Complete       bool // Nodes are all nodes
+	Complete       bool // Nodes holds all nodes
 	Nodes          []registry.ObservedRecord
-	Removed        []string               // nodes that were forgotten
-	Snapshot       *controlstate.Snapshot // confirmed if sent under a lease; else only to a proxy that wants the last one known
-	ControlPlanes  []ControlPlane         // the machines of the core
-	MinIncarnation uint64                 // an incarnation of this proxy above its own: its clock went back
-	Poll           *Poll                  // if it has changed
-	HasContact     bool                   // with a quorum: its word that a node is unreachable counts
+	Removed        []string               // nodes that were removed from the registry
+	Snapshot       *controlstate.Snapshot // confirmed if sent under a lease; an unconfirmed one is sent only if WantLastKnown requests it
+	ControlPlanes  []ControlPlane         // the core machines
+	MinIncarnation uint64                 // the newest known incarnation of this proxy, if above its present one because its clock went back
+	Poll           *Poll                  // if the poll has changed
+	HasContact     bool                   // with a quorum; without, nodes are not taken for unreachable on its report
 }
 
-// Poll asks proxies for their opinions of instances.
+// Poll requests the opinions of proxies about instances.
 type Poll struct {
 	Present   bool // distinguishes an empty poll from none
 	Instances []string
@@ -49,7 +49,7 @@
 type PeerMessage struct {
 	Records         []registry.NodeRecord
 	ConfirmedHashes []uint64       // incarnations of the connected proxies (registry.IncarnationHash)
-	ControlPlanes   []ControlPlane // the machines of the core that the sender knows
+	ControlPlanes   []ControlPlane // the core machines that the sender knows
 	Votes           []outlier.Vote
 }
 
--- a/internal/mesh/discovery/storecontact.go
+++ b/internal/mesh/discovery/storecontact.go
@@ -7,19 +7,19 @@
 	"milletmast/internal/mesh/lease"
 )
 
-// StoreContact is what a control plane knows of its configuration store: the snapshot that it was
-// sent last, and until when it may serve it, by the lease that acknowledged heartbeats give. It is
-// pure and not safe for concurrent use.
+// StoreContact is the contact of a control plane with its configuration store: the last snapshot
+// that it received, and the lease under which it may serve it, which acknowledged heartbeats renew.
+// It is pure and not safe for concurrent use.
 type StoreContact struct {
 	lease    lease.Lease
 	state    *MergedState
 	snapshot *controlstate.Snapshot // Confirmed if the store held a lease when it sent it; nil for none
 }
 
-// NewStoreContact returns one that knows nothing.
+// NewStoreContact returns a contact without a snapshot or a lease.
 func NewStoreContact() *StoreContact { return &StoreContact{state: NewMergedState()} }
 
-// StartHeartbeat records that a heartbeat is sent now and returns its number.
+// StartHeartbeat records that a heartbeat is sent now and returns its ID.
 func (c *StoreContact) StartHeartbeat(now time.Time) uint64 { return c.lease.StartHeartbeat(now) }
 
 // HandleUpdate handles an update of the store. It reports whether the snapshot is to be pushed to
@@ -37,7 +37,7 @@
 // StoreLost records that the store cannot be reached.
 func (c *StoreContact) StoreLost(now time.Time) { c.lease.Revoke(now) }
 
-// ServeUntil returns until when the snapshot may be served; zero for not at all.
+// ServeUntil returns the time until which the snapshot may be served; zero for not at all.
 func (c *StoreContact) ServeUntil() time.Time {
 	if c.snapshot == nil || !c.snapshot.Confirmed {
 		return time.Time{}
--- a/internal/mesh/discovery/trust.go
+++ b/internal/mesh/discovery/trust.go
@@ -12,9 +12,9 @@
 
 // The trust levels. ClientState.raiseTrust is the one function that changes them.
 const (
-	Waiting   TrustLevel = iota // it has no configuration
-	Uncertain                   // it uses the newest state that anybody knew, as no control plane with contact was reachable for long
-	Certain                     // it uses the state of a control plane with contact, or of a proxy that was certain
+	Waiting   TrustLevel = iota // the proxy has no configuration
+	Uncertain                   // it uses the newest unconfirmed state, as no control plane with contact was reachable for long
+	Certain                     // it uses the state of a control plane with contact, or of a proxy that is Certain
 )
 
 func (s TrustLevel) String() string { return [...]string{"waiting", "uncertain", "certain"}[s] }
@@ -33,13 +33,13 @@
 
 const (
 	reject          decision = iota // ignore it
-	keepUnconfirmed                 // keep it for the case that no control plane with contact can be reached
+	keepUnconfirmed                 // keep it, to be used if no control plane with contact is reachable within the contact timeout
 	accept                          // merge what is newer in it
 )
 
-// decide is the one place that decides whether to use a snapshot: one that is confirmed by a lease,
-// unless a control plane sends it under an older epoch than was seen before. A proxy that is
-// certain sends confirmed snapshots.
+// decide is the one place that decides whether to use a snapshot. A snapshot that is confirmed by a
+// lease is accepted, unless a control plane sends it under a stale epoch. Proxies send confirmed
+// snapshots only if they are Certain.
 func (c *ClientState) decide(source Source, snapshot *controlstate.Snapshot) decision {
 	switch {
 	case snapshot.Confirmed && source == FromControlPlane && snapshot.Epoch < c.current.epoch:
@@ -81,8 +81,8 @@
 	}
 }
 
-// CheckContactTimeout uses the newest snapshot that anybody has sent, once no control plane with
-// contact was reachable for the contact timeout.
+// CheckContactTimeout starts to use the newest unconfirmed state once no control plane with contact
+// was reachable for the contact timeout.
 func (c *ClientState) CheckContactTimeout(now time.Time) (changed Change) {
 	if c.trust == Certain {
 		return changed
@@ -100,10 +100,10 @@
 	return changed
 }
 
-// WantsLastKnown reports whether to ask control planes without contact for the last snapshot that
-// they know.
+// WantsLastKnown reports whether to request the last known snapshot from control planes without
+// contact.
 func (c *ClientState) WantsLastKnown(now time.Time) bool {
-	return c.trust != Certain && now.Sub(c.lastContact) >= c.limits.ContactTimeout-askBefore
+	return c.trust != Certain && now.Sub(c.lastContact) >= c.limits.ContactTimeout-lastKnownLead
 }
 
 // Trust returns the trust level.
--- a/internal/mesh/discovery/trust_test.go
+++ b/internal/mesh/discovery/trust_test.go
@@ -12,17 +12,17 @@
 	"milletmast/internal/mesh/outlier"
 )
 
-const patience = 5 * time.Second
+const contactTimeout = 5 * time.Second
 
-// history is what was in force after each agreement: numbers and epochs only rise.
+// history generates the confirmed snapshots after each committed change: versions and epochs only rise.
 func history(t *rapid.T) []controlstate.Snapshot {
 	now := controlstate.Snapshot{Epoch: 1, ConfigVersion: 1, Config: []byte("1")}
 	zones := map[string]controlstate.Evacuation{}
 	out := []controlstate.Snapshot{now}
-	for range rapid.IntRange(1, 12).Draw(t, "agreements") {
-		switch rapid.IntRange(0, 3).Draw(t, "agreed on") {
+	for range rapid.IntRange(1, 12).Draw(t, "changes") {
+		switch rapid.IntRange(0, 3).Draw(t, "kind of change") {
 		case 0:
-			now.ConfigVersion += uint64(rapid.IntRange(1, 3).Draw(t, "higher"))
+			now.ConfigVersion += uint64(rapid.IntRange(1, 3).Draw(t, "version increment"))
 			now.Config = []byte(fmt.Sprint(now.ConfigVersion))
 		case 1:
 			zone := fmt.Sprint("z", rapid.IntRange(0, 1).Draw(t, "zone"))
@@ -45,136 +45,136 @@
 	return out
 }
 
-// told is one word of what was ordered.
-type told struct {
-	from  string // of a control plane; "" for a proxy's
-	at    int    // of the history: it is that old
-	lease bool
+// receivedSnapshot is a snapshot that a proxy receives.
+type receivedSnapshot struct {
+	from  string // the control plane; "" for another proxy
+	at    int    // index in the history
+	lease bool   // it is sent under a lease
 }
 
-func (w told) in(c *ClientState, now time.Time, all []controlstate.Snapshot) {
-	f := all[w.at]
-	f.Confirmed = w.lease
-	if w.from == "" {
+func (r receivedSnapshot) deliver(c *ClientState, now time.Time, all []controlstate.Snapshot) {
+	f := all[r.at]
+	f.Confirmed = r.lease
+	if r.from == "" {
 		c.HandleSnapshot(FromProxy, &f)
 		return
 	}
-	c.HandleControlMessage(now, w.from, &ControlMessage{Snapshot: &f, HasContact: w.lease})
+	c.HandleControlMessage(now, r.from, &ControlMessage{Snapshot: &f, HasContact: r.lease})
 }
 
-// newer tells whether a is at least as new as b in all keys.
-func newer(a, b *controlstate.Snapshot) bool {
-	o := NewMergedState()
-	o.Merge(b)
-	return o.IsContainedIn(a)
+// atLeastAsNew reports whether a has the same or a higher version than b of every key.
+func atLeastAsNew(a, b *controlstate.Snapshot) bool {
+	state := NewMergedState()
+	state.Merge(b)
+	return state.IsContainedIn(a)
 }
 
-// Two proxies hear the same words in any order, and between them those of a control plane that is cut off, with and without the belief that
-// it has contact: neither ever goes by something older than what it was told under a lease, nor, once it goes by a word of one with
-// contact, by one of nobody with contact; and in the end both go by the newest.
+// Two proxies receive the same snapshots in any order, among them those of a control plane that is isolated and may still announce contact.
+// Neither proxy may use a state older than a snapshot that it received under a lease, and a Certain one must ignore snapshots without a
+// lease. In the end both use the newest state.
 func TestProxiesOfAnIsolatedControlPlaneConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := history(t)
 		last := len(all) - 1
-		words := []told{{"l0", last, true}}
-		for range rapid.IntRange(0, 15).Draw(t, "words") {
-			w := told{from: rapid.SampledFrom([]string{"", "l0", "l1", "cut"}).Draw(t, "from"), at: rapid.IntRange(0, last).Draw(t, "old")}
-			// One that froze says under a lease what was in force then, and is heard late; one that is cut off says that it has none.
-			w.lease = rapid.Bool().Draw(t, "under a lease")
-			words = append(words, w)
+		messages := []receivedSnapshot{{"l0", last, true}}
+		for range rapid.IntRange(0, 15).Draw(t, "messages") {
+			message := receivedSnapshot{from: rapid.SampledFrom([]string{"", "l0", "l1", "isolated"}).Draw(t, "from"), at: rapid.IntRange(0, last).Draw(t, "old")}
+			// A control plane that was stalled sends an old snapshot under a lease, which arrives late. An isolated one announces no contact.
+			message.lease = rapid.Bool().Draw(t, "under a lease")
+			messages = append(messages, message)
 		}
-		var ends []*controlstate.Snapshot
+		var results []*controlstate.Snapshot
 		for n := range 2 {
-			c := NewClientState(start, Limits{KeepMissing: time.Hour, ContactTimeout: patience})
+			c := NewClientState(start, Limits{KeepMissing: time.Hour, ContactTimeout: contactTimeout})
 			now := start
 			var epoch uint64
-			floor := NewMergedState() // what it was told under a lease, by nobody of an older epoch
-			leased := false
-			for _, w := range rapid.Permutation(words).Draw(t, fmt.Sprint("order of ", n)) {
+			atLeast := NewMergedState() // merged from the snapshots under a lease, except those of a control plane with a stale epoch
+			receivedLeased := false
+			for _, message := range rapid.Permutation(messages).Draw(t, fmt.Sprint("order of ", n)) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 				c.CheckContactTimeout(now)
 				before := c.Snapshot()
-				w.in(c, now, all)
-				f := all[w.at]
-				if w.lease && (w.from == "" || f.Epoch >= epoch) {
-					epoch = max(epoch, f.Epoch)
-					floor.Merge(&f)
-					leased = true
-				} else if c.Trust() == Certain && !newer(before, c.Snapshot()) {
-					t.Fatalf("a word of one without contact, or of an older epoch, changes %+v to %+v", before, c.Snapshot())
+				message.deliver(c, now, all)
+				snapshot := all[message.at]
+				if message.lease && (message.from == "" || snapshot.Epoch >= epoch) {
+					epoch = max(epoch, snapshot.Epoch)
+					atLeast.Merge(&snapshot)
+					receivedLeased = true
+				} else if c.Trust() == Certain && !atLeastAsNew(before, c.Snapshot()) {
+					t.Fatalf("a snapshot without a lease, or of an older epoch, changes %+v to %+v", before, c.Snapshot())
 				}
-				if held := c.Snapshot(); !floor.IsContainedIn(held) || !newer(held, before) {
-					t.Fatalf("goes by %+v after it was told %+v under a lease and went by %+v", held, floor.Snapshot(), before)
+				if held := c.Snapshot(); !atLeast.IsContainedIn(held) || !atLeastAsNew(held, before) {
+					t.Fatalf("the state is %+v after %+v was received under a lease and the state was %+v", held, atLeast.Snapshot(), before)
 				}
-				if c.Trust() == Certain && !leased {
-					t.Fatal("certain, and nobody with contact told it anything")
+				if c.Trust() == Certain && !receivedLeased {
+					t.Fatal("certain without a snapshot under a lease")
 				}
 			}
-			ends = append(ends, c.Snapshot())
+			results = append(results, c.Snapshot())
 		}
 		want := all[last]
 		want.Confirmed = true
-		for n, f := range ends {
-			if !f.Equal(&want) || fmt.Sprint(f.Ejections) != fmt.Sprint(want.Ejections) {
-				t.Fatalf("proxy %d goes by %+v in the end, want %+v", n, f, want)
+		for n, snapshot := range results {
+			if !snapshot.Equal(&want) || fmt.Sprint(snapshot.Ejections) != fmt.Sprint(want.Ejections) {
+				t.Fatalf("proxy %d uses %+v in the end, want %+v", n, snapshot, want)
 			}
 		}
 	})
 }
 
-// A new proxy goes by no word of a control plane without contact while another has it or a proxy goes by a configuration; if nobody can be
-// reached for long, by the newest that anybody told, and says so, until one with contact says what is in force.
+// A new proxy uses no snapshot of a control plane without contact as long as another control plane has contact. After the contact timeout it
+// uses the newest unconfirmed snapshot and reports that it is uncertain, until it receives one from a control plane with contact.
 func TestNewProxyAndControlPlaneWithoutContact(t *testing.T) {
-	word := func(version uint64, settled bool) *controlstate.Snapshot {
-		return &controlstate.Snapshot{ConfigVersion: version, Config: []byte(fmt.Sprint(version)), Confirmed: settled, Epoch: 1}
+	snapshot := func(version uint64, confirmed bool) *controlstate.Snapshot {
+		return &controlstate.Snapshot{ConfigVersion: version, Config: []byte(fmt.Sprint(version)), Confirmed: confirmed, Epoch: 1}
 	}
-	c := NewClientState(start, Limits{ContactTimeout: patience})
-	goes := func(when string, version uint64, s TrustLevel) {
+	c := NewClientState(start, Limits{ContactTimeout: contactTimeout})
+	checkState := func(when string, version uint64, s TrustLevel) {
 		t.Helper()
 		if _, held := c.Config(); held != version || c.Trust() != s {
-			t.Errorf("%s: it goes by r%d, %v; want r%d, %v", when, held, c.Trust(), version, s)
+			t.Errorf("%s: the proxy uses r%d and is %v; want r%d, %v", when, held, c.Trust(), version, s)
 		}
 	}
-	c.HandleControlMessage(start, "cut", &ControlMessage{Snapshot: word(3, false)})
-	goes("told by one without contact", 0, Waiting)
-	if c.WantsLastKnown(start.Add(patience - askBefore - 1)) {
-		t.Error("it asks for the last that is known at once")
+	c.HandleControlMessage(start, "isolated", &ControlMessage{Snapshot: snapshot(3, false)})
+	checkState("snapshot of a control plane without contact", 0, Waiting)
+	if c.WantsLastKnown(start.Add(contactTimeout - lastKnownLead - 1)) {
+		t.Error("the last known snapshot is requested too early")
 	}
-	c.HandleControlMessage(start, "good", &ControlMessage{HasContact: true})
-	late := start.Add(2 * patience)
+	c.HandleControlMessage(start, "connected", &ControlMessage{HasContact: true})
+	late := start.Add(2 * contactTimeout)
 	c.CheckContactTimeout(late)
-	goes("while another has contact and has not told it yet", 0, Waiting)
-	c.ControlPlaneLost(late, "good")
-	c.HandleSnapshot(FromProxy, word(4, false))
-	c.CheckContactTimeout(late.Add(patience - 1))
-	goes("before its patience ends", 0, Waiting)
-	if !c.WantsLastKnown(late.Add(patience - askBefore)) {
-		t.Error("it does not ask for the last that is known")
+	checkState("another control plane has contact and has sent no snapshot yet", 0, Waiting)
+	c.ControlPlaneLost(late, "connected")
+	c.HandleSnapshot(FromProxy, snapshot(4, false))
+	c.CheckContactTimeout(late.Add(contactTimeout - 1))
+	checkState("before the contact timeout", 0, Waiting)
+	if !c.WantsLastKnown(late.Add(contactTimeout - lastKnownLead)) {
+		t.Error("the last known snapshot is not requested")
 	}
-	if ch := c.CheckContactTimeout(late.Add(patience)); !ch.Config {
-		t.Error("nothing changes as its patience ends")
+	if ch := c.CheckContactTimeout(late.Add(contactTimeout)); !ch.Config {
+		t.Error("nothing changes at the contact timeout")
 	}
-	goes("as its patience ends", 4, Uncertain)
-	c.HandleControlMessage(late, "cut", &ControlMessage{Snapshot: word(5, false)})
-	goes("told a newer one", 5, Uncertain)
+	checkState("at the contact timeout", 4, Uncertain)
+	c.HandleControlMessage(late, "isolated", &ControlMessage{Snapshot: snapshot(5, false)})
+	checkState("newer snapshot of a control plane without contact", 5, Uncertain)
 	if f := c.Snapshot(); f.Confirmed {
-		t.Error("it tells other proxies that it is certain")
+		t.Error("an uncertain proxy sends a confirmed snapshot")
 	}
-	c.HandleControlMessage(late, "good", &ControlMessage{Snapshot: word(4, true), HasContact: true})
-	goes("told by one with contact of an older one", 5, Uncertain)
-	c.HandleControlMessage(late, "good", &ControlMessage{Snapshot: word(6, true), HasContact: true})
-	goes("told by one with contact", 6, Certain)
-	c.HandleControlMessage(late, "cut", &ControlMessage{Snapshot: word(9, false)})
+	c.HandleControlMessage(late, "connected", &ControlMessage{Snapshot: snapshot(4, true), HasContact: true})
+	checkState("older snapshot of a control plane with contact", 5, Uncertain)
+	c.HandleControlMessage(late, "connected", &ControlMessage{Snapshot: snapshot(6, true), HasContact: true})
+	checkState("snapshot of a control plane with contact", 6, Certain)
+	c.HandleControlMessage(late, "isolated", &ControlMessage{Snapshot: snapshot(9, false)})
 	c.CheckContactTimeout(late.Add(time.Hour))
-	goes("told by one without contact again", 6, Certain)
-	old := word(8, true)
+	checkState("snapshot of a control plane without contact, when certain", 6, Certain)
+	old := snapshot(8, true)
 	old.Epoch = 0
-	c.HandleControlMessage(late, "cut", &ControlMessage{Snapshot: old, HasContact: true})
-	goes("told of an older epoch", 6, Certain)
-	if c.HasContact("cut") || c.LacksConfig("cut") {
-		t.Error("one of an older epoch counts as having contact")
+	c.HandleControlMessage(late, "isolated", &ControlMessage{Snapshot: old, HasContact: true})
+	checkState("confirmed snapshot of an older epoch", 6, Certain)
+	if c.HasContact("isolated") || c.LacksConfig("isolated") {
+		t.Error("a control plane with an older epoch counts as having contact")
 	}
-	c = NewClientState(start, Limits{ContactTimeout: patience})
-	c.HandleSnapshot(FromProxy, word(2, true))
-	goes("told by a proxy that is certain", 2, Certain)
+	c = NewClientState(start, Limits{ContactTimeout: contactTimeout})
+	c.HandleSnapshot(FromProxy, snapshot(2, true))
+	checkState("snapshot of a proxy that is certain", 2, Certain)
 }
--- a/internal/mesh/discovery/wire/wire.go
+++ b/internal/mesh/discovery/wire/wire.go
@@ -45,18 +45,18 @@
 }
 
 // FromProxyMessage encodes a message of a proxy.
-func FromProxyMessage(u *discovery.ProxyMessage) *Up {
+func FromProxyMessage(m *discovery.ProxyMessage) *Up {
 	out := &Up{
-		Ack:      u.AckedUpdate,
-		Holds:    u.ConfigVersion,
-		Main:     u.Primary,
-		Opinions: outlierwire.FromOpinions(u.Opinions),
-		Want:     u.WantConfig,
-		Last:     u.WantLastKnown,
+		Ack:      m.AckedUpdate,
+		Holds:    m.ConfigVersion,
+		Main:     m.Primary,
+		Opinions: outlierwire.FromOpinions(m.Opinions),
+		Want:     m.WantConfig,
+		Last:     m.WantLastKnown,
 	}
-	if u.Record != nil {
-		sheet := registrywire.FromNodeRecord(*u.Record)
-		out.Sheet = &sheet
+	if m.Record != nil {
+		record := registrywire.FromNodeRecord(*m.Record)
+		out.Sheet = &record
 	}
 	return out
 }
@@ -72,8 +72,8 @@
 		WantLastKnown: u.Last,
 	}
 	if u.Sheet != nil {
-		sheet := u.Sheet.NodeRecord()
-		out.Record = &sheet
+		record := u.Sheet.NodeRecord()
+		out.Record = &record
 	}
 	return out
 }
@@ -92,19 +92,19 @@
 }
 
 // FromControlMessage encodes a message of a control plane.
-func FromControlMessage(d *discovery.ControlMessage) *Down {
+func FromControlMessage(m *discovery.ControlMessage) *Down {
 	out := &Down{
-		Number:  d.Sequence,
-		Whole:   d.Complete,
-		Nodes:   convert.Slice(d.Nodes, registrywire.FromObservedRecord),
-		Gone:    d.Removed,
-		InForce: controlstatewire.FromSnapshot(d.Snapshot),
-		Core:    FromControlPlanes(d.ControlPlanes),
-		Outlive: d.MinIncarnation,
-		Sighted: d.HasContact,
+		Number:  m.Sequence,
+		Whole:   m.Complete,
+		Nodes:   convert.Slice(m.Nodes, registrywire.FromObservedRecord),
+		Gone:    m.Removed,
+		InForce: controlstatewire.FromSnapshot(m.Snapshot),
+		Core:    FromControlPlanes(m.ControlPlanes),
+		Outlive: m.MinIncarnation,
+		Sighted: m.HasContact,
 	}
-	if d.Poll != nil {
-		out.Asked = &Question{Put: d.Poll.Present, Lives: d.Poll.Instances}
+	if m.Poll != nil {
+		out.Asked = &Question{Put: m.Poll.Present, Lives: m.Poll.Instances}
 	}
 	return out
 }
@@ -142,12 +142,12 @@
 }
 
 // FromPeerMessage encodes a message between control planes.
-func FromPeerMessage(a *discovery.PeerMessage) *Across {
+func FromPeerMessage(m *discovery.PeerMessage) *Across {
 	return &Across{
-		Sheets: convert.Slice(a.Records, registrywire.FromNodeRecord),
-		Vouch:  a.ConfirmedHashes,
-		Core:   FromControlPlanes(a.ControlPlanes),
-		Votes:  outlierwire.FromVotes(a.Votes),
+		Sheets: convert.Slice(m.Records, registrywire.FromNodeRecord),
+		Vouch:  m.ConfirmedHashes,
+		Core:   FromControlPlanes(m.ControlPlanes),
+		Votes:  outlierwire.FromVotes(m.Votes),
 	}
 }
 
--- a/internal/mesh/outlier/decide.go
+++ b/internal/mesh/outlier/decide.go
@@ -10,13 +10,13 @@
 // Ejection is an instance that is ejected, or was and has returned.
 type Ejection struct {
 	InstanceID, Service string
-	Count               int // how often it was ejected, this time included
+	Count               int // of its ejections, the present or last one included
 	Returned            bool
 }
 
 // Decide returns the ejections that are to replace the present ones; changed is false if they stay.
-// EjectedFor returns how long an instance has been ejected. Where more instances of a service look
-// unhealthy than may be ejected, the cause is another, and none is.
+// The function ejectedFor returns how long an instance has been ejected. If more instances of a
+// service look unhealthy than may be ejected, a common cause is assumed and none is ejected.
 func Decide(
 	limits Limits,
 	now time.Time,
@@ -39,8 +39,8 @@
 	}
 	agreed := map[string][]Tally{}
 	for _, t := range TallyVotes(limits, now, instances, votes) {
-		at := indexOf(next, t.ID)
-		if t.Serving && !t.ProxyRestarted && limits.QuorumAgrees(&t) && (at < 0 || next[at].Returned) {
+		i := indexOf(next, t.ID)
+		if t.Serving && !t.ProxyRestarted && limits.QuorumAgrees(&t) && (i < 0 || next[i].Returned) {
 			agreed[t.Service] = append(agreed[t.Service], t)
 		}
 	}
@@ -58,8 +58,8 @@
 	return next, changed
 }
 
-// updateEjections drops the ejections of instances that have ended, and returns those whose time is
-// over to service.
+// updateEjections removes the ejections of instances that have ended, and marks those whose ejection
+// time is over as returned.
 func updateEjections(
 	limits Limits,
 	instances []Instance,
@@ -85,9 +85,9 @@
 
 // eject adds an ejection, or renews the one of an instance that has returned.
 func eject(ejections []Ejection, instance, service string) []Ejection {
-	if at := indexOf(ejections, instance); at >= 0 {
-		ejections[at].Count++
-		ejections[at].Returned = false
+	if i := indexOf(ejections, instance); i >= 0 {
+		ejections[i].Count++
+		ejections[i].Returned = false
 		return ejections
 	}
 	return append(ejections, Ejection{InstanceID: instance, Service: service, Count: 1})
@@ -98,7 +98,7 @@
 	return slices.IndexFunc(ejections, func(e Ejection) bool { return e.InstanceID == instance })
 }
 
-// ejectionTime returns how long an instance is ejected for the count-th time.
+// ejectionTime returns how long the count-th ejection of an instance lasts.
 func (l *Limits) ejectionTime(count int) time.Duration {
 	d := l.BaseEjectionTime
 	for range count - 1 {
--- a/internal/mesh/outlier/observer.go
+++ b/internal/mesh/outlier/observer.go
@@ -12,17 +12,17 @@
 // The results of calls.
 const (
 	Succeeded CallResult = iota
-	Failed               // the instance failed, or its answer was broken or wrong
-	TimedOut             // no answer in time, or no connection to the proxy beside it: the network may be the cause
+	Failed               // the instance failed, or its response was invalid
+	TimedOut             // no response in time, or no connection to the proxy beside the instance: the network may be the cause
 )
 
-// Opinion is what one proxy has observed of one instance.
+// Opinion is the calls of one proxy to one instance within the window.
 type Opinion struct {
 	InstanceID        string
 	Service           string
-	Calls             int // within the window
+	Calls             int
 	Failures          int
-	FromEndpointProxy bool // it comes from the proxy beside the endpoint, which sees every call, and not over the network
+	FromEndpointProxy bool // by the proxy beside the endpoint, which observes every call and no network in between
 }
 
 // Observer records the calls of one proxy. It is not safe for concurrent use.
@@ -44,37 +44,39 @@
 const maxCallsPerInstance = 64 // bounds the history of an instance
 
 // NewObserver returns an observer without calls.
-func NewObserver(b Limits) *Observer { return &Observer{limits: b, instances: map[string]*history{}} }
+func NewObserver(limits Limits) *Observer {
+	return &Observer{limits: limits, instances: map[string]*history{}}
+}
 
 // Record records the result of a call.
 func (obs *Observer) Record(now time.Time, service, instance string, result CallResult) {
-	s := obs.instances[instance]
-	if s == nil {
-		s = &history{service: service}
-		obs.instances[instance] = s
+	h := obs.instances[instance]
+	if h == nil {
+		h = &history{service: service}
+		obs.instances[instance] = h
 	}
-	s.calls = append(s.calls, call{now, result})
-	if len(s.calls) > maxCallsPerInstance {
-		s.calls = append(s.calls[:0], s.calls[len(s.calls)-maxCallsPerInstance:]...)
+	h.calls = append(h.calls, call{now, result})
+	if len(h.calls) > maxCallsPerInstance {
+		h.calls = append(h.calls[:0], h.calls[len(h.calls)-maxCallsPerInstance:]...)
 	}
 }
 
-// Opinions returns the present opinions, sorted by instance, and forgets old calls. A proxy that
-// times out at most instances that it calls is itself the unhealthy one, or its link is: it has no
+// Opinions returns the present opinions, sorted by instance, and removes calls before the window. A
+// proxy whose calls to most instances time out is itself unhealthy, or its link is: it has no
 // opinions.
 func (obs *Observer) Opinions(now time.Time) []Opinion {
 	var out []Opinion
 	timingOut, known := 0, 0
 	for _, instance := range slices.Sorted(maps.Keys(obs.instances)) {
-		s := obs.instances[instance]
-		s.calls = slices.DeleteFunc(s.calls, func(c call) bool { return now.Sub(c.at) > obs.limits.Window })
-		if len(s.calls) == 0 {
+		h := obs.instances[instance]
+		h.calls = slices.DeleteFunc(h.calls, func(c call) bool { return now.Sub(c.at) > obs.limits.Window })
+		if len(h.calls) == 0 {
 			delete(obs.instances, instance)
 			continue
 		}
-		o := Opinion{InstanceID: instance, Service: s.service, Calls: len(s.calls)}
+		o := Opinion{InstanceID: instance, Service: h.service, Calls: len(h.calls)}
 		timeouts := 0
-		for _, c := range s.calls {
+		for _, c := range h.calls {
 			if c.result != Succeeded {
 				o.Failures++
 			}
@@ -82,7 +84,7 @@
 				timeouts++
 			}
 		}
-		if known++; 2*timeouts > len(s.calls) {
+		if known++; 2*timeouts > len(h.calls) {
 			timingOut++
 		}
 		if o.Calls >= obs.limits.MinCalls {
--- a/internal/mesh/outlier/outlier.go
+++ b/internal/mesh/outlier/outlier.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// Limits define what is evidence, and how much of it is needed.
+// Limits define which calls make an instance unhealthy for a proxy, how many proxies must agree to
+// eject it, and for how long.
 type Limits struct {
 	Window            time.Duration // older calls are ignored
-	MinCalls          int           // with fewer calls a proxy has no opinion
-	MinFailures       int           // with fewer failures an instance is healthy
+	MinCalls          int           // fewer calls of a proxy give no opinion
+	MinFailures       int           // fewer failures leave an instance healthy
 	MinFailureRatio   float64       // of the calls, for an unhealthy instance
-	MinRelativeRatio  float64       // failure ratio relative to the others of the service: what fails everywhere has another cause
-	ComparedInstances int           // other instances that it is compared with
-	MinVoters         int           // proxies with an opinion
+	MinRelativeRatio  float64       // failure ratio relative to the other instances of the service, to exclude common causes
+	ComparedInstances int           // other instances of the service that are polled for the comparison
+	MinVoters         int           // least number of proxies with an opinion
 	MaxEjectedShare   float64       // of a service
-	BaseEjectionTime  time.Duration // from an ejection until the instance is tried again
+	BaseEjectionTime  time.Duration // from the first ejection of an instance until its return
 	MaxEjectionTime   time.Duration // bound of the ejection time, which doubles with each ejection
 }
 
--- a/internal/mesh/outlier/tally.go
+++ b/internal/mesh/outlier/tally.go
@@ -8,7 +8,7 @@
 	"milletmast/internal/namehash"
 )
 
-// Vote is the opinions of one proxy, as they were received.
+// Vote is the opinions of one proxy, and when they were received.
 type Vote struct {
 	Node, Zone string
 	ReceivedAt time.Time
@@ -19,7 +19,7 @@
 type Instance struct {
 	ID, Service, Zone string
 	Serving           bool // it accepts requests, and its proxy is reachable
-	ProxyRestarted    bool // within the window: failures may be those of the proxy's restart
+	ProxyRestarted    bool // within the window: the restart may be the cause of failures
 }
 
 // Tally is the count of the votes on one instance.
@@ -27,10 +27,10 @@
 	Instance
 	VotesFor, VotesAgainst int
 	EndpointProxyAgrees    bool // the proxy beside the endpoint finds it unhealthy
-	ZonesFor               int  // of the proxies that find it unhealthy
-	ZonesVoting            int  // of all proxies with an opinion
+	ZonesFor               int  // number of zones of the proxies that find it unhealthy
+	ZonesVoting            int  // number of zones of all proxies with an opinion
 	Calls, Failures        int  // of all callers
-	OtherCalls             int  // at the other instances of its service
+	OtherCalls             int  // of all callers to the other instances of its service
 	OtherFailures          int
 }
 
@@ -99,42 +99,43 @@
 // and some others of each service for comparison.
 func InstancesToPoll(limits Limits, instances []Instance, tallies []Tally) []string {
 	var out []string
-	services := map[string]int{}
-	for _, c := range tallies {
-		out = append(out, c.ID)
-		services[c.Service] = 0
+	services := map[string]int{} // instances to compare with, by service of a tally
+	for _, t := range tallies {
+		out = append(out, t.ID)
+		services[t.Service] = 0
 	}
-	spreadOut := slices.SortedFunc(
+	byHash := slices.SortedFunc(
 		slices.Values(instances),
-		func(a, limits Instance) int { return cmp.Compare(namehash.Hash(a.ID), namehash.Hash(limits.ID)) },
+		func(a, b Instance) int { return cmp.Compare(namehash.Hash(a.ID), namehash.Hash(b.ID)) },
 	)
-	for _, h := range spreadOut {
-		if n, ok := services[h.Service]; ok && h.Serving && n < limits.ComparedInstances && !slices.Contains(out, h.ID) {
-			services[h.Service]++
-			out = append(out, h.ID)
+	for _, instance := range byHash {
+		n, ok := services[instance.Service]
+		if ok && instance.Serving && n < limits.ComparedInstances && !slices.Contains(out, instance.ID) {
+			services[instance.Service]++
+			out = append(out, instance.ID)
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// worseThanOthers reports whether an instance does worse than the others of its service, of which
-// there must be enough calls.
-func (l *Limits) worseThanOthers(c *Tally) bool {
-	if c.OtherCalls < l.MinCalls {
+// worseThanOthers reports whether an instance fails more often than the others of its service, by
+// MinRelativeRatio. Without enough calls to the others it reports false.
+func (l *Limits) worseThanOthers(t *Tally) bool {
+	if t.OtherCalls < l.MinCalls {
 		return false
 	}
-	return float64(c.Failures*c.OtherCalls) >= l.MinRelativeRatio*float64(c.OtherFailures*c.Calls)
+	return float64(t.Failures*t.OtherCalls) >= l.MinRelativeRatio*float64(t.OtherFailures*t.Calls)
 }
 
 // QuorumAgrees reports whether the votes suffice to eject an instance: a majority, and either
 // enough proxies from more than one zone, as a broken link of one zone must not eject an instance
 // that serves the others, or the proxy beside the endpoint and another one, which is the rule for
-// instances with few callers. An instance that does no worse than the others of its service stays:
-// their calls fail for a common cause, such as a shared dependency or an overload.
-func (l *Limits) QuorumAgrees(c *Tally) bool {
-	if 2*c.VotesFor <= c.VotesFor+c.VotesAgainst || !l.worseThanOthers(c) {
+// instances with few callers. An instance that fails no more often than the others of its service
+// is not ejected: a common cause is assumed, such as a shared dependency or an overload.
+func (l *Limits) QuorumAgrees(t *Tally) bool {
+	if 2*t.VotesFor <= t.VotesFor+t.VotesAgainst || !l.worseThanOthers(t) {
 		return false
 	}
-	return c.EndpointProxyAgrees && c.VotesFor > 1 || c.VotesFor+c.VotesAgainst >= l.MinVoters && c.ZonesFor > 1
+	return t.EndpointProxyAgrees && t.VotesFor > 1 || t.VotesFor+t.VotesAgainst >= l.MinVoters && t.ZonesFor > 1
 }
--- a/internal/mesh/outlier/wire/wire.go
+++ b/internal/mesh/outlier/wire/wire.go
@@ -68,8 +68,8 @@
 }
 
 // FromEjection encodes an ejection.
-func FromEjection(r outlier.Ejection) Removal {
-	return Removal{Life: r.InstanceID, Service: r.Service, Times: r.Count, Back: r.Returned}
+func FromEjection(e outlier.Ejection) Removal {
+	return Removal{Life: e.InstanceID, Service: e.Service, Times: e.Count, Back: e.Returned}
 }
 
 // Ejection decodes an ejection.
@@ -103,18 +103,18 @@
 }
 
 // FromTally encodes a tally.
-func FromTally(c outlier.Tally) Case {
+func FromTally(t outlier.Tally) Case {
 	return Case{
-		Host:        Host{Life: c.ID, Service: c.Service, Zone: c.Zone, Serving: c.Serving, Anew: c.ProxyRestarted},
-		For:         c.VotesFor,
-		Against:     c.VotesAgainst,
-		Gate:        c.EndpointProxyAgrees,
-		Zones:       c.ZonesFor,
-		Of:          c.ZonesVoting,
-		Calls:       c.Calls,
-		Bad:         c.Failures,
-		OthersCalls: c.OtherCalls,
-		OthersBad:   c.OtherFailures,
+		Host:        Host{Life: t.ID, Service: t.Service, Zone: t.Zone, Serving: t.Serving, Anew: t.ProxyRestarted},
+		For:         t.VotesFor,
+		Against:     t.VotesAgainst,
+		Gate:        t.EndpointProxyAgrees,
+		Zones:       t.ZonesFor,
+		Of:          t.ZonesVoting,
+		Calls:       t.Calls,
+		Bad:         t.Failures,
+		OthersCalls: t.OtherCalls,
+		OthersBad:   t.OtherFailures,
 	}
 }
 
--- a/internal/mesh/registry/registry.go
+++ b/internal/mesh/registry/registry.go
@@ -1,6 +1,6 @@
 // Package registry is the service registry: what each proxy reports of itself and of its endpoint,
-// and when it was last heard from. It is soft state: nothing of it is on disk, and after a restart
-// the proxies report it again. The package is pure.
+// and when its last message was received. It is soft state, which is not on disk: after a restart of
+// the control plane the proxies report it again. The package is pure.
 package registry
 
 import (
@@ -23,12 +23,12 @@
 
 func (s State) String() string { return [...]string{"unknown", "serving", "draining", "gone"}[s] }
 
-// Endpoint is one instance of an endpoint.
+// Endpoint is one instance of a service.
 type Endpoint struct {
 	ID, Target string
 	State      State
 	Capacity   int
-	WarmupLeft time.Duration // remaining when it was reported
+	WarmupLeft time.Duration // of the slow start, at the time of the report
 }
 
 // NodeRecord is what a proxy reports of itself. Of two records of a node, the one with the higher
@@ -48,7 +48,8 @@
 	return r.Incarnation > other.Incarnation || r.Incarnation == other.Incarnation && r.Sequence > other.Sequence
 }
 
-// ObservedRecord is a record, and whether its proxy was heard from recently.
+// ObservedRecord is a record, and whether its proxy is unreachable: no message of it was received
+// for Limits.Unreachable.
 type ObservedRecord struct {
 	NodeRecord
 	Unreachable bool
@@ -59,7 +60,8 @@
 	return r.Endpoint != nil && r.Endpoint.State == Serving && !r.Draining && !r.Unreachable
 }
 
-// Limits are the ages at which a proxy counts as unreachable, and at which it is forgotten.
+// Limits are the times without a message after which a proxy counts as unreachable, and after which
+// its record is removed.
 type Limits struct{ Unreachable, Forget time.Duration }
 
 // Registry holds the newest record of each node. It is not safe for concurrent use.
@@ -70,32 +72,32 @@
 
 type record struct {
 	ObservedRecord
-	lastHeard   time.Time
-	restartedAt time.Time // when its incarnation was first seen, if that is not the first of the node; else zero
+	lastReceived time.Time // when its last message was received
+	restartedAt  time.Time // when its incarnation was first received, if that is not the first of the node; else zero
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry(l Limits) *Registry { return &Registry{limits: l, nodes: map[string]*record{}} }
 
-// Update stores a record that was reported or confirmed now, and reports whether anything has
-// changed.
-func (r *Registry) Update(now time.Time, s NodeRecord) bool {
-	old := r.nodes[s.Node]
+// Update stores a record that was received now, and reports whether the record or its reachability
+// has changed.
+func (r *Registry) Update(now time.Time, update NodeRecord) bool {
+	old := r.nodes[update.Node]
 	if old == nil {
-		r.nodes[s.Node] = &record{ObservedRecord: ObservedRecord{NodeRecord: s}, lastHeard: now}
+		r.nodes[update.Node] = &record{ObservedRecord: ObservedRecord{NodeRecord: update}, lastReceived: now}
 		return true
 	}
-	if s.Newer(&old.NodeRecord) {
-		if s.Incarnation != old.Incarnation {
+	if update.Newer(&old.NodeRecord) {
+		if update.Incarnation != old.Incarnation {
 			old.restartedAt = now
 		}
-		old.ObservedRecord, old.lastHeard = ObservedRecord{NodeRecord: s}, now
+		old.ObservedRecord, old.lastReceived = ObservedRecord{NodeRecord: update}, now
 		return true
 	}
-	return r.Confirm(now, s.Node, s.Incarnation)
+	return r.Confirm(now, update.Node, update.Incarnation)
 }
 
-// RestartedAt returns when the proxy of a node was seen to have restarted; zero if it was not.
+// RestartedAt returns when the restart of the proxy of a node was noticed; zero for none.
 func (r *Registry) RestartedAt(node string) time.Time {
 	if rec := r.nodes[node]; rec != nil {
 		return rec.restartedAt
@@ -103,7 +105,7 @@
 	return time.Time{}
 }
 
-// IncarnationHash returns a hash of an incarnation of a node, which stands for it in confirmations.
+// IncarnationHash returns a hash of an incarnation of a node, which identifies it in confirmations.
 func IncarnationHash(node string, incarnation uint64) uint64 {
 	return namehash.Mix(namehash.Hash(node) ^ incarnation)
 }
@@ -120,29 +122,30 @@
 	return out
 }
 
-// Confirm records that an incarnation of a node was heard from, and reports whether it was
-// unreachable before.
+// Confirm records that a message of an incarnation of a node was received, and reports whether it
+// was unreachable before.
 func (r *Registry) Confirm(now time.Time, node string, incarnation uint64) bool {
 	rec := r.nodes[node]
 	if rec == nil || rec.Incarnation != incarnation {
 		return false
 	}
 	wasUnreachable := rec.Unreachable
-	rec.lastHeard, rec.Unreachable = now, false
+	rec.lastReceived, rec.Unreachable = now, false
 	return wasUnreachable
 }
 
-// Expire marks nodes as unreachable that were not heard from, removes those that have been so for
-// long, and returns the nodes that changed. While this process has no contact with a quorum, the
-// silence may be its own: it marks none.
+// Expire marks nodes as unreachable whose last message is older than Limits.Unreachable, removes
+// those whose last message is older than Limits.Forget, and returns the nodes that changed. Without
+// contact with a quorum it marks and removes none and restarts their times, as this process may itself
+// be disconnected.
 func (r *Registry) Expire(now time.Time, hasContact bool) (changed []string) {
 	for _, node := range slices.Sorted(maps.Keys(r.nodes)) {
 		rec := r.nodes[node]
 		if !hasContact {
-			rec.lastHeard = now
+			rec.lastReceived = now
 			continue
 		}
-		age := now.Sub(rec.lastHeard)
+		age := now.Sub(rec.lastReceived)
 		if age > r.limits.Forget {
 			delete(r.nodes, node)
 			changed = append(changed, node)
@@ -154,7 +157,7 @@
 	return changed
 }
 
-// Get returns what is known of a node.
+// Get returns the record of a node.
 func (r *Registry) Get(node string) (ObservedRecord, bool) {
 	if rec := r.nodes[node]; rec != nil {
 		return rec.ObservedRecord, true
@@ -162,7 +165,7 @@
 	return ObservedRecord{}, false
 }
 
-// All returns what is known of all nodes, sorted by name.
+// All returns the records of all nodes, sorted by name.
 func (r *Registry) All() []ObservedRecord {
 	out := make([]ObservedRecord, 0, len(r.nodes))
 	for _, node := range slices.Sorted(maps.Keys(r.nodes)) {
--- a/internal/mesh/registry/wire/wire.go
+++ b/internal/mesh/registry/wire/wire.go
@@ -47,16 +47,16 @@
 }
 
 // FromNodeRecord encodes the record of a node.
-func FromNodeRecord(s registry.NodeRecord) Sheet {
+func FromNodeRecord(r registry.NodeRecord) Sheet {
 	return Sheet{
-		Node:     s.Node,
-		Zone:     s.Zone,
-		Life:     s.Incarnation,
-		Number:   s.Sequence,
-		Inbound:  s.InboundAddr,
-		Talk:     s.PeerAddr,
-		Leaving:  s.Draining,
-		Endpoint: FromEndpoint(s.Endpoint),
+		Node:     r.Node,
+		Zone:     r.Zone,
+		Life:     r.Incarnation,
+		Number:   r.Sequence,
+		Inbound:  r.InboundAddr,
+		Talk:     r.PeerAddr,
+		Leaving:  r.Draining,
+		Endpoint: FromEndpoint(r.Endpoint),
 	}
 }
 
