--- a/balancer/api.go
+++ b/balancer/api.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// This file is the interface of the decision module, with settings.go: the events that it handles, and the
-// actions that it answers with. Times are milliseconds.
+// This file and settings.go are the interface of the decision module: the events that it handles and the
+// actions that it returns. Times are in milliseconds.
 
-// ServerState is the state of a server by the list.
+// ServerState is the state that the server list gives for a server.
 type ServerState uint8
 
-// The states.
+// The states of a server.
 const (
 	Ready ServerState = iota
 	Draining
@@ -27,10 +27,10 @@
 	Backup    bool    // it gets requests only while no other server can take them
 }
 
-// EventKind says which fields of an Event count.
+// EventKind is the kind of an Event. It determines which fields of the Event are used.
 type EventKind uint8
 
-// The kinds of events, and their fields.
+// The kinds of events, each with the fields that it uses.
 const (
 	// EvRequest: Request, Class, Tenant, Key, Deadline, WorkHint, NotRepeatable, Shed, PriorityWeight,
 	// MaxAttempts, PreferredServers.
@@ -51,13 +51,13 @@
 	EvMaxRequests
 )
 
-// ListKind says how a list event is to be read.
+// ListKind is the kind of an EvServerList event: what its Servers stand for.
 type ListKind uint8
 
 // The kinds of list events.
 const (
-	ListFailed ListKind = iota // a poll failed; the last list holds
-	ListCached                 // complete, as last known, and maybe out of date
+	ListFailed ListKind = iota // a poll failed; the last list stays in effect
+	ListCached                 // complete, from a cache, and possibly out of date
 	ListDelta                  // changed entries only
 	ListFull                   // complete: other servers are removed
 )
@@ -77,31 +77,31 @@
 	NotSent
 )
 
-// Event is something that a balancer handles.
+// Event is an input of a balancer.
 type Event struct {
 	Kind             EventKind
 	List             ListKind
 	Outcome          Outcome
 	RequestEnded     bool // the request has its final response, by this outcome or before
-	Shed             bool // of a request: the degradation level of the sidecar rejects it
+	Shed             bool // of a request: the degradation level of the sidecar sheds it
 	NotRepeatable    bool // of a request: it can be sent once; of an outcome: it cannot be sent again, as its body is gone
 	LongLived        bool // the response is a stream that may be long: it is not counted as in flight
-	MaxRequests      int  // limit of requests that have not ended, from now on; 0 = none
+	MaxRequests      int  // new limit of requests that have not ended; 0 = none
 	Class            uint16
 	Tenant           uint16
 	Attempt          uint16
 	Request          uint32
 	Server           uint32
 	Key              uint64
-	PreferredServers []uint32 // of a request, the first is preferred most; while they do not fail
+	PreferredServers []uint32 // of a request: used while they do not fail, the first before the others
 	Token            uint64
-	Deadline         float64    // when the client gives the request up
-	WorkHint         float64    // expected work; 0 = not known
-	PriorityWeight   float64    // of this request; 0 = its class's
-	Replicas         int        // that send to these servers from now on; 0 = as before
-	Rank             int        // of this one among them from now on, from 1; 0 = as before
-	MaxAttempts      int        // of this request, if less than the limit; 0 = as the limit
-	Elapsed          float64    // since the attempt or the probe was sent
+	Deadline         float64    // when the request's client stops waiting
+	WorkHint         float64    // expected work; 0 = unknown
+	PriorityWeight   float64    // of this request; 0 = that of its class
+	Replicas         int        // replicas that send to these servers from now on; 0 = unchanged
+	Rank             int        // rank of this replica among them from now on, starting at 1; 0 = unchanged
+	MaxAttempts      int        // of this request, if fewer than the limit; 0 = the limit
+	Elapsed          float64    // time since the attempt or the probe was sent
 	LoadReport       [4]float32 // of the server
 	LoadReportLen    int        // number of its values; 0 = no report
 	Servers          []ServerEntry
@@ -139,17 +139,17 @@
 const (
 	// ActSend sends a request to a server: Request, Server, Deadline.
 	ActSend ActionKind = iota + 1
-	// ActReject ends a request; trying again is harmless, and best after Delay: Request, Delay.
+	// ActReject ends a request that its client may safely retry, preferably after Delay: Request, Delay.
 	ActReject
-	// ActFail ends a request; nothing is certain of its execution: Request.
+	// ActFail ends a request that may have been executed: Request.
 	ActFail
-	// ActCancel stops to wait for an attempt: Request, Attempt.
+	// ActCancel cancels an attempt: Request, Attempt.
 	ActCancel
-	// ActTimer asks for an EvTimer: Delay, Token.
+	// ActTimer requests an EvTimer after Delay: Delay, Token.
 	ActTimer
 	// ActSubscribe polls the server list, or subscribes to its changes.
 	ActSubscribe
-	// ActProbe asks a server for a load report: Server.
+	// ActProbe requests a load report from a server: Server.
 	ActProbe
 	// ActLog writes a line to the log: Text.
 	ActLog
@@ -157,14 +157,14 @@
 	ActCloseIdle
 )
 
-// Action is something that a balancer asks its caller to do. Actions are to be taken in their order.
+// Action is an instruction of a balancer to its caller, which must carry actions out in order.
 type Action struct {
 	Kind     ActionKind
 	Attempt  uint16
 	Request  uint32
 	Server   uint32
 	Token    uint64
-	Deadline float64 // time at which the attempt is to be given up
+	Deadline float64 // time at which the attempt times out
 	Delay    float64 // from now
 	Text     string
 }
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -15,7 +15,7 @@
 	if b.usesRetryBudget(req) {
 		b.recentRetries.Add(b.now)
 	}
-	s.credit = max(s.credit-1, -homeInFlight) // what is borrowed is bounded
+	s.credit = max(s.credit-1, -homeInFlight) // negative credit is bounded
 	b.addInFlight(s, 1)
 	s.lastSent = b.now
 	if s.queueLength++; !b.hasFreshReport(s) {
@@ -32,9 +32,9 @@
 	return true
 }
 
-// maxSilence returns how long an attempt waits for a silent server; 0 = to its deadline. An instance of an
-// inner tier hears too little of each server to tell, but for ejected ones. What must not run twice is not
-// sent twice.
+// maxSilence returns how long an attempt waits for a silent server; 0 = until its deadline. In an inner tier
+// an instance gets too few responses from each server to judge by, except for ejected ones. A request that
+// must not run twice is not sent twice.
 func (b *Balancer) maxSilence(req *request, s *server) float64 {
 	repeatable := b.settings.Classes[req.class].Effect == Safe && !req.notRepeatable
 	if b.settings.Tier > 0 && !s.ejected || !b.settings.Limits.CanCancel || !repeatable {
@@ -49,8 +49,8 @@
 	b.silenceChecks = slices.Insert(b.silenceChecks, place, check)
 }
 
-// cancelSilentAttempts cancels attempts at servers that have been silent since, while there is time for
-// others. A server that answers other requests is only slow: a further attempt would add to its load.
+// cancelSilentAttempts cancels attempts at servers that have been silent since the send, while there is time
+// for another. A server that responds to other requests is only slow: one more attempt would add to its load.
 func (b *Balancer) cancelSilentAttempts() {
 	for len(b.silenceChecks) > 0 && b.silenceChecks[0].at <= b.now {
 		check := b.silenceChecks[0]
@@ -60,10 +60,10 @@
 			continue
 		}
 		a := &req.attempts[check.attempt]
-		if at := max(a.sentAt, a.server.lastHeard) + b.maxSilence(req, a.server); at > b.now {
+		if at := max(a.sentAt, a.server.lastReceived) + b.maxSilence(req, a.server); at > b.now {
 			b.scheduleSilenceCheck(silenceCheck{at, check.request, check.attempt})
 		} else if b.now < b.latestStart(req) && len(req.attempts) < b.maxAttempts(req) {
-			a.calledOff = true
+			a.canceledAsSilent = true
 			b.cancel(req, check.attempt)
 		}
 	}
@@ -76,7 +76,7 @@
 // addInFlight counts attempts that were sent to a server, or (negative) that ended.
 func (b *Balancer) addInFlight(s *server, attempts int) {
 	if attempts < 0 || s.inFlight == 0 {
-		s.lastHeard = b.now
+		s.lastReceived = b.now
 	}
 	s.inFlight += attempts
 	if !s.ejected && s.isReady() {
@@ -101,14 +101,14 @@
 	return req.maxAttempts
 }
 
-// usesRetryBudget returns whether the next attempt is counted in the retry budget: if the site states one,
-// each but the first, also after an outcome that proves that nothing was executed.
+// usesRetryBudget returns whether the next attempt is counted in the retry budget: if the site sets one,
+// every attempt but the first, even after an outcome that proves that nothing was executed.
 func (b *Balancer) usesRetryBudget(req *request) bool {
 	return len(req.attempts) > 0 && (b.hasSiteBudget || req.mayHaveRun)
 }
 
-// retryBudgetLeft returns how many retries may be made now. The window is exact: a bucket that refills would
-// let a full one and its refill through within one window.
+// retryBudgetLeft returns how many retries may be made now. The window is exact: a token bucket would
+// let a full bucket and its refill through within one window.
 func (b *Balancer) retryBudgetLeft() float64 {
 	f := &b.settings.Safety
 	from := b.now - f.RetryBudgetWindow
@@ -116,8 +116,8 @@
 	return f.RetryBudgetMin + f.RetryBudgetShare*float64(requests) - float64(retries)
 }
 
-// endRequest is the only way to a final answer of the module's own: rejected if trying again is harmless,
-// otherwise failed.
+// endRequest is the only place where the module itself ends a request: it rejects it if a retry is safe for
+// the client, and fails it otherwise.
 func (b *Balancer) endRequest(req *request) {
 	c := &b.settings.Classes[req.class]
 	neverRan := req.openAttempts == 0 && !req.mayHaveRun
@@ -148,7 +148,7 @@
 	}
 }
 
-// newRequest returns an empty record; those of former requests are used again.
+// newRequest returns an empty record, and reuses those of ended requests.
 func (b *Balancer) newRequest() *request {
 	if len(b.freeRequests) == 0 {
 		return &request{}
@@ -159,7 +159,7 @@
 	return req
 }
 
-// handleRequestAbandoned ends a request whose client has left. Servers are to do no work for nobody.
+// handleRequestAbandoned ends a request whose client has left, and cancels its attempts to save work.
 func (b *Balancer) handleRequestAbandoned(ev *Event) {
 	req := b.requests[ev.Request]
 	if req == nil {
@@ -173,7 +173,7 @@
 	b.markEnded(req)
 }
 
-// handleFirstByte notes that a response has begun: the attempt belongs to the client now.
+// handleFirstByte notes that a response has begun, after which the request gets no other attempt.
 func (b *Balancer) handleFirstByte(ev *Event) {
 	req := b.requests[ev.Request]
 	if req == nil || int(ev.Attempt) >= len(req.attempts) || req.streaming {
@@ -198,7 +198,7 @@
 	}
 	a := &req.attempts[ev.Attempt]
 	b.closeAttempt(req, a)
-	if a.calledOff && ev.Outcome == Canceled {
+	if a.canceledAsSilent && ev.Outcome == Canceled {
 		ev.Outcome = Timeout
 	}
 	b.learnFromAttempt(req, a, ev)
@@ -251,7 +251,7 @@
 		b.endRequest(req)
 	case b.mayAttempt(req) && (!req.mayHaveRun || b.settings.Classes[req.class].Effect == Safe):
 		b.enqueue(req, 0)
-	default: // it may have run: a retry only where the rules allow, and at once, not to block the queue
+	default: // it may have run: retried only if the rules allow, and at once, so as not to block the queue
 		if s := b.chooseServer(req); s == nil || !b.send(req, s) {
 			b.endRequest(req)
 		}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -16,8 +16,8 @@
 	"milletmast/internal/stats"
 )
 
-// New returns a balancer for one instance. Its random numbers follow from the seed. It fails if a setting
-// cannot be used, and names it.
+// New returns a balancer for one instance. The seed determines its random numbers. The error for an
+// invalid setting names that setting.
 func New(set Settings, seed uint64, now float64) (*Balancer, error) {
 	if err := set.normalize(); err != nil {
 		return nil, fmt.Errorf("balancer: %w", err)
@@ -41,11 +41,11 @@
 		b.pollBackoff = minPollBackoff
 		b.pollAt = now + b.random()*pollSpread*set.Safety.ListInterval
 	}
-	b.baseRatioFrom = now + b.silenceTimeout // the first responses are the fast ones
+	b.baseRatioFrom = now + b.silenceTimeout // the first responses come from fast requests
 	return b, nil
 }
 
-// setRetryBudget takes the default retry budget if the site states none.
+// setRetryBudget sets the default retry budget if the site sets none.
 func (b *Balancer) setRetryBudget() {
 	f := &b.settings.Safety
 	if f.RetryBudgetWindow > 0 {
@@ -66,8 +66,8 @@
 	b.meanTarget += c.LatencyTarget / classes
 }
 
-// Handle handles one event and appends the actions that follow from it. A time before that of the last event
-// counts as that one.
+// Handle handles one event and appends the actions that follow from it. If the time is before that of the
+// last event, the time of the last event is used.
 func (b *Balancer) Handle(now float64, ev *Event, actions []Action) []Action {
 	clean := ev.sanitized()
 	b.now, b.actions, ev = advanceClock(b.now, now), actions, &clean
@@ -98,7 +98,7 @@
 	return b.actions
 }
 
-// updateTimer polls the list when that is due, and keeps one timer pending for what comes next.
+// updateTimer polls the server list when that is due, and keeps one timer pending for what is due next.
 func (b *Balancer) updateTimer() {
 	if b.pollAt != 0 && b.now >= b.pollAt {
 		b.pollAt = 0
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestUnknownIDsChangeNothing(t *testing.T) {
-	h := start(t, plain(), ids(2)...)
+	h := newHarness(t, testSettings(), serverEntries(2)...)
 	h.request(1, 0)
 	for _, ev := range []Event{
 		{Kind: EvAttemptEnded, Request: 99, Outcome: OK},
@@ -21,7 +21,7 @@
 		{Kind: 200},
 	} {
 		if acts := h.do(ev); len(acts) != 0 {
-			t.Errorf("%+v led to %+v", ev, acts)
+			t.Errorf("event %+v: actions %+v, want none", ev, acts)
 		}
 	}
 	if h.b.inFlight != 1 {
@@ -29,9 +29,9 @@
 	}
 }
 
-// TestEarlyTimerIsSetAgain: a timer that comes a little early is set again.
+// TestEarlyTimerIsSetAgain: a timer that fires a little early, as its time is rounded, is set again.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
-	h := start(t, plain())
+	h := newHarness(t, testSettings())
 	var timers []Action
 	for _, a := range h.b.Handle(h.now, &Event{Kind: EvRequest, Request: 1, Class: 2, Deadline: h.now + 100}, nil) {
 		if a.Kind == ActTimer {
@@ -54,13 +54,13 @@
 			}
 		}
 	}
-	t.Error("the request was never answered")
+	t.Error("the request was never rejected")
 }
 
 // TestSteadyPathDoesNotAllocate: a request and its outcome allocate nothing once the module has run for a
 // while.
 func TestSteadyPathDoesNotAllocate(t *testing.T) {
-	h := start(t, plain(), ids(200)...)
+	h := newHarness(t, testSettings(), serverEntries(200)...)
 	acts := make([]Action, 0, 16)
 	id := uint32(0)
 	cycle := func() {
@@ -84,11 +84,11 @@
 }
 
 func TestSameEventsGiveSameActions(t *testing.T) {
-	a, b := newWorld(t, 5, 3), newWorld(t, 5, 3)
-	other := newWorld(t, 6, 3)
+	a, b := newSimulation(t, 5, 3), newSimulation(t, 5, 3)
+	other := newSimulation(t, 6, 3)
 	for range 2000 {
 		a.step()
-		other.step() // an instance beside it must not matter
+		other.step() // another instance must not affect it
 		b.step()
 	}
 	if !reflect.DeepEqual(a.trace, b.trace) || len(a.trace) < 500 {
@@ -96,24 +96,25 @@
 	}
 }
 
-// TestInvalidNumbersAreIgnored: invalid numbers do not get into averages, and keep no request for ever.
+// TestInvalidNumbersAreIgnored: an invalid number in an event does not get into averages, and does not keep a
+// request forever.
 func TestInvalidNumbersAreIgnored(t *testing.T) {
 	for _, bad := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5} {
-		h := start(t, plain(), ids(2)...)
+		h := newHarness(t, testSettings(), serverEntries(2)...)
 		h.b.Handle(bad, &Event{Kind: EvTimer}, nil)
 		if h.b.now != h.now {
-			t.Fatalf("the clock went to %v", h.b.now)
+			t.Fatalf("time %v: the clock changed to %v", bad, h.b.now)
 		}
 		if acts := h.do(Event{Kind: EvRequest, Request: 1, Deadline: bad}); len(acts) != 1 || acts[0].Kind != ActReject {
-			t.Errorf("due %v: %+v, want a refusal", bad, acts)
+			t.Errorf("deadline %v: actions %+v, want a reject", bad, acts)
 		}
 		acts := h.do(Event{Kind: EvRequest, Request: 2, Deadline: h.now + 1000, WorkHint: bad})
 		if len(acts) != 1 || acts[0].Kind != ActSend {
-			t.Fatalf("hint %v: %+v, want a send", bad, acts)
+			t.Fatalf("work hint %v: actions %+v, want a send", bad, acts)
 		}
 		h.do(Event{Kind: EvAttemptEnded, Request: 2, Server: acts[0].Server, Outcome: OK, Elapsed: bad, RequestEnded: true})
 		if b := h.b; len(b.requests) != 0 || !(b.meanRatio >= 0) || !(b.classes[0].meanLatency >= 0) || math.IsInf(b.meanRatio, 0) {
-			t.Errorf("took %v: %d requests held, mean ratio %v", bad, len(b.requests), b.meanRatio)
+			t.Errorf("elapsed %v: %d requests held, mean ratio %v", bad, len(b.requests), b.meanRatio)
 		}
 	}
 }
--- a/balancer/choice.go
+++ b/balancer/choice.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Ranks of a server, from the most to the least. What a server is first for counts more than its credit.
+// Ranks of a server by its first property that applies, from high to low. They count more than its credit.
 const (
 	rankReported     = 1000.0 // it has just reported its queue
-	rankPerQueued    = 10.0   // less for each request in that
+	rankPerQueued    = 10.0   // deducted for each request in that queue
 	rankPreferred    = 900.0  // the sidecar prefers it
-	rankPerPlace     = 100.0  // less for each that it prefers more
+	rankPerPlace     = 100.0  // deducted for each server that the sidecar prefers to this one
 	rankTrial        = 50.0   // trial request of an ejected server, whose load is small
-	rankWarmingUp    = 45.0   // a part of a server that warms up is due: as the last choice it would idle
+	rankWarmingUp    = 45.0   // it warms up and has credit for a request: as the last choice it would idle
 	rankHome         = 40.0   // assigned to this replica
 	rankOwnConnected = 30.0   // in the own zone, with an open connection: new ones cost both ends
 	rankConnected    = 20.0
 	rankOwnZone      = 10.0
-	rankSilent       = -40.0   // silent for so long that it is over its threshold already
-	rankLastResort   = -2000.0 // an attempt there did not help, or new connections fail and it needs one
+	rankSilent       = -40.0   // silent for longer than the latency threshold
+	rankLastResort   = -2000.0 // already tried, or it needs a new connection while those fail
 )
 
 // chooseServer returns the best server that the request may go to now, or nil if it has to wait.
@@ -31,17 +31,17 @@
 		return best
 	}
 	if best.queueLength > b.meanQueueLength && req.probeRounds < maxProbeRounds {
-		b.sendProbes(req) // all those probed hold more than most servers do
+		b.sendProbes(req) // each probed server holds more requests than the mean
 		return nil
 	}
 	if b.settings.Tier == 0 && b.now+b.serviceTime*(best.queueLength+1) > req.targetAt {
 		req.heldBackUntil = b.now + probeRetryShare*b.silenceTimeout
-		return nil // even the best of those probed holds too many for the latency target
+		return nil // even the best probed server holds too many for the latency target
 	}
 	return best
 }
 
-// bestServer returns the server with the highest rank; of equal ones that which was sent to longest ago.
+// bestServer returns the server with the highest rank; of equal ones the least recently used.
 func (b *Balancer) bestServer(req *request) *server {
 	var best *server
 	bestRank, skipBackups := math.Inf(-1), b.skipsBackups(req)
@@ -68,10 +68,10 @@
 
 // rank returns the rank of a server for a request: the higher, the better.
 func (b *Balancer) rank(req *request, s *server, creditLeft, maxCredit float64) float64 {
-	// Of servers with like credit the faster one.
+	// Among servers with similar credit the faster one ranks higher.
 	rank := creditLeft/maxCredit - latencyRankWeight*s.latencyRatio/max(b.meanRatio, 1e-9)
 	if b.settings.Classes[req.class].Streaming {
-		rank -= streamRankWeight * float64(s.longLivedStreams) // they last: an even share for each server
+		rank -= streamRankWeight * float64(s.longLivedStreams) // streams last: balance their number
 	}
 	rank += b.preference(req, s, creditLeft)
 	if b.connectFailures > connectFailureLimit && !b.isConnected(s) {
@@ -83,7 +83,7 @@
 	return rank
 }
 
-// preference returns the rank that a server has by the first of its properties that applies.
+// preference returns the part of a server's rank that its first applicable property determines.
 func (b *Balancer) preference(req *request, s *server, creditLeft float64) float64 {
 	if s.ejected && b.settings.Classes[req.class].Effect == Safe {
 		return rankTrial
@@ -91,7 +91,7 @@
 	if b.hasFreshReport(s) {
 		return rankReported - rankPerQueued*(s.queueLength+s.failureRun) // a failure weighs like a request
 	}
-	if s.inFlight > 0 && b.now-s.lastHeard > b.silenceTimeout {
+	if s.inFlight > 0 && b.now-s.lastReceived > b.silenceTimeout {
 		return rankSilent
 	}
 	if place := slices.Index(req.preferred, s.ID); place >= 0 && s.failureRun <= maxFailureRun {
@@ -114,7 +114,7 @@
 }
 
 // prefersHome returns whether a home server is to get the next request: it has few in flight and, if slower
-// than the tier, keeps only a random part. Without that, servers of all speeds would be loaded alike.
+// than the tier, gets only a random part. Otherwise servers of all speeds would be loaded alike.
 func (b *Balancer) prefersHome(s *server) bool {
 	if s.failureRun > maxFailureRun || float64(s.inFlight) >= homeInFlight*s.homeShare/(1+s.failureRun) {
 		return false
@@ -123,10 +123,10 @@
 		b.random()*s.latencyRatio*s.latencyRatio < b.meanRatio*b.meanRatio
 }
 
-// isConnected returns whether a request finds an open connection to the server, as far as known.
+// isConnected returns whether the server is assumed to have an open connection with capacity for a request.
 func (b *Balancer) isConnected(s *server) bool {
 	l := &b.settings.Limits
-	timedOut := l.ConnIdleTimeout > 0 && b.now-s.lastHeard >= l.ConnIdleTimeout
+	timedOut := l.ConnIdleTimeout > 0 && b.now-s.lastReceived >= l.ConnIdleTimeout
 	return s.connected && s.inFlight < max(l.StreamsPerConn, 1) && !timedOut
 }
 
@@ -140,8 +140,8 @@
 	return slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.server == s })
 }
 
-// skipsBackups returns whether a request is not for backups, as some other server can take it: one that it
-// has not tried, and that is not ejected, and has not failed in a run or is due to be tried again.
+// skipsBackups returns whether a request must not use backups, as another server can take it: one that it has
+// not tried, that is not ejected, and that has no run of failures or is due to be tried again.
 func (b *Balancer) skipsBackups(req *request) bool {
 	return b.hasBackups && slices.ContainsFunc(b.usable, func(s *server) bool {
 		works := s.failureRun <= maxFailureRun || b.now-s.lastSent > loadUpdateInterval
@@ -149,7 +149,7 @@
 	})
 }
 
-// isAllowed returns whether the rules let a request that may have an attempt have it at this server.
+// isAllowed returns whether the rules permit this server for a request that may have an attempt.
 func (b *Balancer) isAllowed(req *request, s *server) bool {
 	if !s.isReady() || s.warmingUp && s.credit < 1 {
 		return false
--- a/balancer/choice_test.go
+++ b/balancer/choice_test.go
@@ -9,27 +9,27 @@
 // others have capacity, or it would never return; a request that must not run twice is not risked on it.
 func TestEjectedServerGetsTrialRequests(t *testing.T) {
 	for class, want := range []bool{true, false, false} {
-		set := plain()
+		set := testSettings()
 		set.Limits.ConnIdleTimeout = 1000
-		h := start(t, set, ids(2)...)
+		h := newHarness(t, set, serverEntries(2)...)
 		s := h.b.usable[0]
 		s.ejected, s.measured, s.load, s.failureRun = true, true, 0.1, 3
 		h.now += 20000
-		h.b.usable[1].connected, h.b.usable[1].lastHeard = true, h.now
+		h.b.usable[1].connected, h.b.usable[1].lastReceived = true, h.now
 		acts := h.request(1, uint16(class))
 		if len(acts) != 1 || acts[0].Kind != ActSend || (acts[0].Server == s.ID) != want {
-			t.Errorf("class %d: %+v, a trial %v", class, acts, want)
+			t.Errorf("class %d: actions %+v, want a trial request: %v", class, acts, want)
 		}
 	}
 }
 
-// TestSpilloverPrefersConnectedServers: where servers admit few connections, a replica uses, beside its home,
-// servers that have answered it while they are idle. Replicas that use all in turn would get none.
+// TestSpilloverPrefersConnectedServers: beyond its home server, a replica uses idle servers that it is
+// connected to. Servers accept few connections: replicas that used all servers in turn would get none.
 func TestSpilloverPrefersConnectedServers(t *testing.T) {
-	set := plain()
+	set := testSettings()
 	set.Replicas, set.Rank = 40, 3
-	h := start(t, set, ids(20)...)
-	met := map[uint32]bool{}
+	h := newHarness(t, set, serverEntries(20)...)
+	contacted := map[uint32]bool{}
 	for id := uint32(1); id <= 120; id++ {
 		var out []Action
 		for k := range uint32(2) { // two requests at a time need the home and one more
@@ -41,23 +41,23 @@
 		}
 		h.now += 40
 		for _, a := range out {
-			met[a.Server] = true
+			contacted[a.Server] = true
 			h.do(Event{Kind: EvAttemptEnded, Request: a.Request, Server: a.Server, Outcome: OK, Elapsed: 40, RequestEnded: true})
 		}
 	}
-	if len(met) > 4 {
-		t.Errorf("%d of 20 servers met with two requests in flight at a time", len(met))
+	if len(contacted) > 4 {
+		t.Errorf("%d of 20 servers contacted with two requests in flight at a time, want at most 4", len(contacted))
 	}
 }
 
-// TestLostZoneIsAvoided: when the own zone is lost, not all of its servers are ejected, and its homes are not
-// tried again and again while another zone responds.
+// TestLostZoneIsAvoided: when the replica's own zone fails, not all of its servers are ejected. Its home
+// servers must not be retried constantly while another zone responds.
 func TestLostZoneIsAvoided(t *testing.T) {
-	entries := ids(12)
+	entries := serverEntries(12)
 	for i := range entries {
 		entries[i].Zone = uint8(i % 2)
 	}
-	h := start(t, plain(), entries...)
+	h := newHarness(t, testSettings(), entries...)
 	lost := 0
 	for id := uint32(1); id <= 200; id++ {
 		for queue := h.request(id, 0); len(queue) > 0; queue = queue[1:] {
@@ -84,10 +84,10 @@
 	}
 }
 
-// TestInFlightOutweighsOldCredit: credit from before does not outweigh requests in flight. A slow server
-// would gather both.
+// TestInFlightOutweighsOldCredit: saved credit does not outweigh requests in flight. Otherwise a slow server
+// would accumulate both.
 func TestInFlightOutweighsOldCredit(t *testing.T) {
-	h := start(t, plain(), ids(2)...)
+	h := newHarness(t, testSettings(), serverEntries(2)...)
 	for _, s := range h.b.usable {
 		s.measured, s.load, s.loadUpdateAt = true, 40, math.Inf(1)
 	}
@@ -95,24 +95,24 @@
 	slow, quick := h.b.usable[0], h.b.usable[1]
 	slow.inFlight, slow.credit, slow.creditedAt = 5, 40, h.now
 	quick.inFlight, quick.credit, quick.creditedAt = 3, 3, h.now
-	slow.lastHeard, quick.lastHeard = h.now, h.now
+	slow.lastReceived, quick.lastReceived = h.now, h.now
 	if got := h.b.chooseServer(&request{deadline: h.now + 1000, targetAt: h.now + 500}); got != quick {
-		t.Errorf("chose server %d with %d requests in flight", got.ID, got.inFlight)
+		t.Errorf("chose server %d with %d requests in flight, want %d with %d", got.ID, got.inFlight, quick.ID, quick.inFlight)
 	}
 }
 
-// TestFailingConnectsKeepToOpenConnections: while new connections fail, requests go to servers with an open
-// one, and only those are probed.
-func TestFailingConnectsKeepToOpenConnections(t *testing.T) {
+// TestFailingConnectsUseOpenConnections: while new connections fail, only servers with an open connection are
+// probed and sent requests.
+func TestFailingConnectsUseOpenConnections(t *testing.T) {
 	for _, probes := range []bool{false, true} {
-		set := plain()
+		set := testSettings()
 		set.Limits.CanProbe, set.QueueLengthField, set.Limits.StreamsPerConn, set.Limits.ConnIdleTimeout = probes, 1, 100, 30000
-		h := start(t, set, ids(40)...)
+		h := newHarness(t, set, serverEntries(40)...)
 		h.b.connectFailures = 0.5
 		for i, s := range h.b.usable {
-			s.connected, s.lastHeard = i%8 == 0, h.now
+			s.connected, s.lastReceived = i%8 == 0, h.now
 		}
-		astray := 0
+		newConnections := 0
 		for id := uint32(1); id <= 50; id++ {
 			h.now += 20
 			queue := h.request(id, 0)
@@ -122,43 +122,43 @@
 					queue = append(queue, h.do(Event{Kind: EvProbeResult, Server: a.Server, Outcome: OK, LoadReportLen: 1})...)
 				case ActSend:
 					if (a.Server-100)%8 != 0 {
-						astray++
+						newConnections++
 					}
 					h.b.connectFailures = 0.5
 					queue = append(queue, h.do(Event{Kind: EvAttemptEnded, Request: id, Server: a.Server, Outcome: OK, Elapsed: 5, RequestEnded: true})...)
 				}
 			}
 		}
-		if astray > 5 {
-			t.Errorf("probes %v: %d of 50 requests needed a new connection", probes, astray)
+		if newConnections > 5 {
+			t.Errorf("probes %v: %d of 50 requests needed a new connection", probes, newConnections)
 		}
 	}
 }
 
 // TestTimedOutConnectionsDoNotCount: connections are closed when idle, so a server that responded long ago
-// has none.
+// counts as not connected.
 func TestTimedOutConnectionsDoNotCount(t *testing.T) {
-	set := plain()
+	set := testSettings()
 	set.Limits.ConnIdleTimeout, set.Limits.StreamsPerConn = 5000, 1
-	h := start(t, set, ids(1)...)
+	h := newHarness(t, set, serverEntries(1)...)
 	s := h.b.usable[0]
-	s.connected, s.lastHeard = true, h.b.now
+	s.connected, s.lastReceived = true, h.b.now
 	if !h.b.isConnected(s) {
-		t.Error("a fresh idle connection is not counted on")
+		t.Error("a connection that was just used does not count as open")
 	}
 	if s.inFlight = 1; h.b.isConnected(s) {
-		t.Error("a connection that carries one request is counted on for a second")
+		t.Error("a connection that carries one request counts as open for a second")
 	}
 	if s.inFlight, h.b.now = 0, h.b.now+5001; h.b.isConnected(s) {
-		t.Error("a connection idle for too long is counted on")
+		t.Error("a connection idle for longer than the timeout counts as open")
 	}
 }
 
-// TestSlowHomeServerGetsLess: servers of different speed do not get equal shares; a slow home server keeps
-// only a part of its requests.
+// TestSlowHomeServerGetsLess: a slow home server gets only a part of the requests that an equal share would
+// give it.
 func TestSlowHomeServerGetsLess(t *testing.T) {
-	h := start(t, plain(), ids(4)...)
-	took := func(server uint32) float64 {
+	h := newHarness(t, testSettings(), serverEntries(4)...)
+	latency := func(server uint32) float64 {
 		if server == 100 {
 			return 150
 		}
@@ -172,24 +172,24 @@
 				if a.Server == 100 && id > 200 {
 					got++
 				}
-				h.do(Event{Kind: EvAttemptEnded, Request: id, Server: a.Server, Outcome: OK, Elapsed: took(a.Server), RequestEnded: true})
+				h.do(Event{Kind: EvAttemptEnded, Request: id, Server: a.Server, Outcome: OK, Elapsed: latency(a.Server), RequestEnded: true})
 			}
 		}
 	}
 	if got > 50 {
-		t.Errorf("the server that is three times slower got %d of 400 requests, an even part is 100", got)
+		t.Errorf("the server that is three times slower got %d of 400 requests, an equal share is 100", got)
 	}
 }
 
-// TestBackupsAreUsedLast: backups get requests only while every other server is ejected, fails in a run or is
-// not there; the others are tried again.
+// TestBackupsAreUsedLast: backups get requests only while every other server is ejected, has a run of failures
+// or is not listed. The other servers are still tried from time to time.
 func TestBackupsAreUsedLast(t *testing.T) {
-	servers := ids(3)
+	servers := serverEntries(3)
 	servers[2].Backup = true
-	h := start(t, plain(), servers...)
+	h := newHarness(t, testSettings(), servers...)
 	id, failing := uint32(0), false
-	play := func(calls int) (primaries, backups int) {
-		for range calls {
+	sendRequests := func(requests int) (primaries, backups int) {
+		for range requests {
 			id++
 			h.now += 20
 			for acts, tries := h.request(id, 0), 0; len(acts) == 1 && acts[0].Kind == ActSend; tries++ {
@@ -204,24 +204,24 @@
 		}
 		return primaries, backups
 	}
-	if primaries, backups := play(200); primaries == 0 || backups > 0 {
-		t.Errorf("sound: %d requests to the others and %d to the backup", primaries, backups)
+	if primaries, backups := sendRequests(200); primaries == 0 || backups > 0 {
+		t.Errorf("all servers respond: %d requests to the others and %d to the backup", primaries, backups)
 	}
 	failing = true
-	play(20)
-	if primaries, backups := play(200); backups < 200 || primaries > 40 {
+	sendRequests(20)
+	if primaries, backups := sendRequests(200); backups < 200 || primaries > 40 {
 		t.Errorf("the others fail: %d requests to them and %d of 200 to the backup", primaries, backups)
 	}
-	if primaries, _ := play(2000); primaries == 0 {
+	if primaries, _ := sendRequests(2000); primaries == 0 {
 		t.Error("the others are never tried again")
 	}
 	failing = false
-	play(3000)
-	if primaries, backups := play(200); primaries != 200 || backups > 0 {
-		t.Errorf("sound again: %d requests to the others and %d to the backup", primaries, backups)
+	sendRequests(3000)
+	if primaries, backups := sendRequests(200); primaries != 200 || backups > 0 {
+		t.Errorf("all servers respond again: %d requests to the others and %d to the backup", primaries, backups)
 	}
 	h.do(Event{Kind: EvServerList, List: ListFull, Servers: servers[2:]})
-	if _, backups := play(20); backups != 20 {
-		t.Errorf("alone it gets %d of 20 requests", backups)
+	if _, backups := sendRequests(20); backups != 20 {
+		t.Errorf("the backup gets %d of 20 requests as the only server", backups)
 	}
 }
--- a/balancer/credits.go
+++ b/balancer/credits.go
@@ -5,26 +5,26 @@
 	"math"
 )
 
-// refillCredit adds the credit of the time since the last refill, and returns the most that a server may
-// have.
+// refillCredit adds the credit for the time since the last refill, and returns the maximum credit of the
+// server.
 func (b *Balancer) refillCredit(s *server) float64 {
 	load := b.currentLoad(s)
-	most := max(1, load*maxCreditTime/1000)
-	s.credit = min(most, s.credit+load*(b.now-s.creditedAt)/1000)
+	maxCredit := max(1, load*maxCreditTime/1000)
+	s.credit = min(maxCredit, s.credit+load*(b.now-s.creditedAt)/1000)
 	s.creditedAt = b.now
-	return most
+	return maxCredit
 }
 
-// currentLoad returns the load that a server is given now, in requests a second of this instance.
+// currentLoad returns the current load of a server, in requests a second from this instance.
 func (b *Balancer) currentLoad(s *server) float64 {
 	load := s.load
 	if s.ejected {
-		load = max(load, b.minLoad()) // little may have been known of the others when it was ejected
+		load = max(load, b.minLoad()) // it may have been ejected before others were measured
 	}
 	if !s.measured {
 		load = b.defaultLoad()
 		if s.Weight > 0 && b.meanWeight > 0 {
-			load *= s.Weight / b.meanWeight // a hint, until there is a measurement
+			load *= s.Weight / b.meanWeight // a hint until the server is measured
 		}
 	}
 	if s.warmingUp {
@@ -46,9 +46,9 @@
 	return load
 }
 
-// evenShare returns what a serving server is sent, those that warm up counted by their minimum; if all warm
-// up, the demand on each. Demand counts rejected requests too: in an overload a share of it would be all that
-// a new server can do.
+// evenShare returns the mean send rate for each serving server, where one that warms up counts by its minimum
+// share; if all warm up, the demand on each. Demand includes rejected requests: in an overload a share of it
+// would be the full capacity of a new server.
 func (b *Balancer) evenShare() float64 {
 	if !b.hasWarm {
 		return b.arrivalRate.Rate(minRateWeight) / float64(max(len(b.usable), 1))
@@ -56,7 +56,7 @@
 	return b.sendRate.Rate(minRateWeight) / b.servingCount
 }
 
-// defaultLoad returns the mean load of measured servers; if none is measured, what demand asks of each.
+// defaultLoad returns the mean load of measured servers; if none is, an even share of the send rate.
 func (b *Balancer) defaultLoad() float64 {
 	if b.measuredCount == 0 {
 		return burstHeadroom * b.sendRate.Rate(minRateWeight) / float64(max(len(b.usable), 1))
@@ -69,7 +69,7 @@
 	return max(minLoadShare*b.defaultLoad(), 1000/loadUpdateInterval)
 }
 
-// updateLoad applies the paper's rule to a server, every loadUpdateInterval.
+// updateLoad updates a server's load by the SMACE paper's rule, every loadUpdateInterval.
 func (b *Balancer) updateLoad(s *server) {
 	goodput := float64(s.successes) * 1000 / max(b.now-s.successesSince, 1)
 	s.loadUpdateAt, s.successesSince, s.successes = b.now+loadUpdateInterval, b.now, 0
@@ -85,7 +85,7 @@
 	b.updateTotals()
 }
 
-// nextLoad returns the next load by the two formulas of the paper's section VI, between least and most.
+// nextLoad returns the next load by the two formulas of the SMACE paper's section VI, between least and most.
 func nextLoad(load, goodput, p95, least, most float64) float64 {
 	if p95 > 1 {
 		return max(least, decreaseFactor*goodput)
@@ -97,15 +97,15 @@
 	return max(least, next)
 }
 
-// updateConcurrencyLimit applies the paper's rule to the requests in flight of the first tier, each second:
-// ten would be too long for an overload. Inner tiers do not shed: their errors would waste work done
-// upstream.
+// updateConcurrencyLimit applies the SMACE paper's rule to the requests in flight of the first tier, every
+// second: ten seconds would be too long in an overload. Inner tiers do not shed: their errors would waste
+// work done upstream.
 //
 // Two signs show queueing: slow responses, and a mean latency well over its base. The limit falls if both
-// do, and rises by the mean (by slow responses until there is a base): either lags behind the requests in
-// flight, and servers once overloaded stay slow for long. The base is from a quieter time, or chance: an
-// instance with many samples and fast responses goes by its tail, so that it reaches what others leave
-// unused.
+// do, and rises by the mean (by slow responses until there is a base): both signs lag behind the requests in
+// flight, and servers stay slow for long after an overload. The base may date from a time of less load, or be
+// a chance minimum: an instance with many samples and fast responses uses its tail latency instead, so that
+// it uses the capacity that others leave.
 func (b *Balancer) updateConcurrencyLimit() {
 	inFlight := float64(b.inFlight)
 	b.limitUpdateAt = b.now + statsWindow
@@ -136,10 +136,10 @@
 	}
 }
 
-// updateTotals renews what depends on which servers serve: their counts, their mean load and the concurrency
-// limit. The limit follows their number both ways: those left get no more than they did, and one that comes
-// or comes back adds as much as each of them, less while it warms up. Only falling would add up: servers
-// replaced one by one, a zone that flaps or a late list would leave no room beside idle servers. Not falling
+// updateTotals recomputes what depends on the set of serving servers: counts, mean load and concurrency
+// limit. The limit is scaled with their number both ways: the servers left get no more than before, and one
+// that is added or returns brings as much as each other, less while it warms up. Only reducing it would add
+// up: servers replaced one by one, a flapping zone or a late list would leave servers idle. Not reducing it
 // would overload those left after ejections. It does harm where an ejection is wrong, or where listed servers
 // cannot serve: their share overloads the others until the next update.
 func (b *Balancer) updateTotals() {
--- a/balancer/credits_test.go
+++ b/balancer/credits_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// TestNextLoad compares the two formulas of the paper with numbers worked out by hand.
+// TestNextLoad compares the two formulas of the SMACE paper with values computed by hand.
 func TestNextLoad(t *testing.T) {
 	for _, c := range []struct {
-		name                                   string
-		load, goodput, p95, floor, most, after float64
+		name                                       string
+		load, goodput, p95, minLoad, maxLoad, want float64
 	}{
 		{"over threshold: 0.9 of goodput", 20, 10, 1.2, 1, 100, 9},
-		{"over threshold: never under the floor", 20, 0, 2, 1.5, 100, 1.5},
+		{"over threshold: never under the minimum", 20, 0, 2, 1.5, 100, 1.5},
 		{"half the threshold: times root 1.5", 16, 16, 0.5, 1, 100, 16 * 1.224744871},
 		{"idle latency: times root 2", 10, 5, 0, 1, 100, 14.14213562},
 		{"at the threshold: stays", 10, 5, 1, 1, 100, 10},
@@ -20,35 +20,35 @@
 		{"a load over the maximum is not lowered by it", 14, 5, 0, 1, 12, 14},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := nextLoad(c.load, c.goodput, c.p95, c.floor, c.most); math.Abs(got-c.after) > 1e-6 {
-				t.Errorf("load %v, want %v", got, c.after)
+			if got := nextLoad(c.load, c.goodput, c.p95, c.minLoad, c.maxLoad); math.Abs(got-c.want) > 1e-6 {
+				t.Errorf("load %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// TestWeightsAreHints: until servers are measured, one of three times the weight gets about three times the
-// requests.
+// TestWeightsAreHints: until servers are measured, a server with three times the weight gets about three times
+// the requests.
 func TestWeightsAreHints(t *testing.T) {
-	servers := ids(2)
+	servers := serverEntries(2)
 	servers[0].Weight, servers[1].Weight = 3, 1
-	h := start(t, plain(), servers...)
-	type sent struct{ id, server uint32 }
-	var out []sent
+	h := newHarness(t, testSettings(), servers...)
+	type sentRequest struct{ id, server uint32 }
+	var inFlight []sentRequest
 	got := map[uint32]int{}
-	for id := uint32(1); id <= 190; id++ { // a request takes 80 ms, and no server is revised so soon
+	for id := uint32(1); id <= 190; id++ { // a request takes 80 ms, and no server's load is updated so soon
 		h.now += 10
 		acts := h.request(id, 0)
-		if len(out) >= 8 {
+		if len(inFlight) >= 8 {
 			acts = append(acts, h.do(Event{
-				Kind: EvAttemptEnded, Request: out[0].id, Server: out[0].server, Outcome: OK, Elapsed: 80, RequestEnded: true,
+				Kind: EvAttemptEnded, Request: inFlight[0].id, Server: inFlight[0].server, Outcome: OK, Elapsed: 80, RequestEnded: true,
 			})...)
-			out = out[1:]
+			inFlight = inFlight[1:]
 		}
 		for _, a := range acts {
 			if a.Kind == ActSend {
 				got[a.Server]++
-				out = append(out, sent{a.Request, a.Server})
+				inFlight = append(inFlight, sentRequest{a.Request, a.Server})
 			}
 		}
 	}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,8 +6,8 @@
 	"milletmast/balancer"
 )
 
-// A sidecar owns the clock, the sockets and one Balancer. It turns what happens
-// into events and carries out the actions, in order.
+// A sidecar has the clock, the sockets and one Balancer. It passes events to the
+// Balancer and carries out the resulting actions, in order.
 func Example() {
 	settings := balancer.Settings{
 		Replicas: 1,
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// plain returns settings with a class of each effect, for one replica of the first tier.
-func plain() Settings {
+// testSettings returns settings with a class of each effect, for one replica of the first tier.
+func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
 			{Name: "read", PriorityWeight: 1, LatencyTarget: 500, Timeout: 1000, Effect: Safe},
@@ -17,14 +17,15 @@
 	}
 }
 
-// harness drives a balancer and keeps its actions.
+// harness drives a balancer with simulated time.
 type harness struct {
 	t   *testing.T
 	b   *Balancer
 	now float64
 }
 
-func start(t *testing.T, set Settings, servers ...ServerEntry) *harness {
+// newHarness returns a harness whose balancer has the given servers.
+func newHarness(t *testing.T, set Settings, servers ...ServerEntry) *harness {
 	t.Helper()
 	b, err := New(set, 7, 1000)
 	if err != nil {
@@ -35,7 +36,7 @@
 	return h
 }
 
-// do handles an event and returns the actions that are not timers or logs.
+// do handles an event and returns the resulting actions except timers and logs.
 func (h *harness) do(ev Event) []Action {
 	var kept []Action
 	for _, a := range h.b.Handle(h.now, &ev, nil) {
@@ -46,11 +47,13 @@
 	return kept
 }
 
+// request handles a new request with a deadline in 1000 ms.
 func (h *harness) request(id uint32, class uint16) []Action {
 	return h.do(Event{Kind: EvRequest, Request: id, Class: class, Deadline: h.now + 1000})
 }
 
-func ids(n int) []ServerEntry {
+// serverEntries returns n servers in zone 0, with two servers in each cell.
+func serverEntries(n int) []ServerEntry {
 	out := make([]ServerEntry, n)
 	for i := range out {
 		out[i] = ServerEntry{ID: uint32(firstID + i), Cell: uint16(i / 2), Weight: 1}
--- a/balancer/latencies.go
+++ b/balancer/latencies.go
@@ -32,8 +32,8 @@
 }
 
 // latencyP95 returns the 95th percentile of a server's latency ratios (of the tier's, if it is nil) over the
-// last second: over a longer time until there are enough samples, and filled up from the tier's. The ratios
-// are in sortedRatios. It returns false if there are too few samples.
+// last second: over a longer time until there are enough samples, and supplemented from the tier's. It
+// leaves the ratios in sortedRatios, and returns false if there are too few samples.
 func (b *Balancer) latencyP95(s *server) (float64, bool) {
 	b.sortedRatios = b.sortedRatios[:0]
 	w := stats.RecentWindow{From: b.now - statsWindow, OldestFrom: b.now - loadUpdateInterval}
@@ -54,7 +54,7 @@
 	return stats.Percentile(b.sortedRatios, latencyPercentile), true
 }
 
-// goodShare returns the share of sortedRatios below sheddingRatio.
+// goodShare returns the share of sortedRatios that is below sheddingRatio.
 func (b *Balancer) goodShare() float64 {
 	good, _ := slices.BinarySearch(b.sortedRatios, sheddingRatio)
 	return float64(good) / float64(len(b.sortedRatios))
--- a/balancer/latencies_test.go
+++ b/balancer/latencies_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestLatencyP95ExtendsItsWindow(t *testing.T) {
-	h := start(t, plain(), ids(2)...)
+	h := newHarness(t, testSettings(), serverEntries(2)...)
 	s := h.b.usable[0]
 	add := func(age, ratio float64) {
 		s.samples[s.sampleCount%serverSamples] = stats.Sample{At: h.b.now - age, Value: ratio}
--- a/balancer/learned.go
+++ b/balancer/learned.go
@@ -6,7 +6,7 @@
 	"milletmast/internal/stats"
 )
 
-// LearnedState is what a balancer has learned, as plain values that another one can be given (package
+// LearnedState is what a balancer has learned, as plain values that another one can import (package
 // warmstart decays them by their age first). It holds no request and no attempt.
 type LearnedState struct {
 	At                             float64 // time at which it was exported
@@ -17,14 +17,14 @@
 	Servers                        []LearnedServer
 }
 
-// LearnedClass is what was learned of a class, by its number.
+// LearnedClass is what was learned about a class. Its index is the class's number.
 type LearnedClass struct {
 	MeanLatency  float64 // of successes; 0 = none yet
 	RequestShare float64 // of all requests
-	OnTimeShare  float64 // of its requests that are answered within the latency target
+	OnTimeShare  float64 // share of its requests that are completed within the latency target
 }
 
-// LearnedServer is what was learned of one incarnation of a server.
+// LearnedServer is what was learned about one incarnation of a server.
 type LearnedServer struct {
 	ID            uint32
 	StartedAt     float64 // start of that incarnation; 0 = long ago
@@ -34,7 +34,7 @@
 	Ejected       bool
 }
 
-// Export returns what was learned so far.
+// Export returns what the balancer has learned so far.
 func (b *Balancer) Export() LearnedState {
 	m := LearnedState{At: b.now, LatencyRatio: b.meanRatio}
 	m.ArrivalRate = b.arrivalRate.RateAt(b.now, rateTimeConstant, minRateWeight)
@@ -64,8 +64,8 @@
 	return m
 }
 
-// Import gives a balancer that has handled no event yet what another one has learned. What was learned of a
-// server counts for that incarnation only, and never while it warms up.
+// Import sets what another balancer has learned; no event may have been handled before. What was learned
+// about a server applies to that incarnation only, and never while it warms up.
 func (b *Balancer) Import(m LearnedState) {
 	b.meanRatio, b.learnedConcurrency = m.LatencyRatio, m.ConcurrencyPerServer
 	if m.BaseLatencyRatio > 0 {
@@ -83,7 +83,7 @@
 	}
 }
 
-// restoreLearned gives a server that is new to this instance what was imported for it.
+// restoreLearned sets the imported state of a server that is new to this instance.
 func (b *Balancer) restoreLearned(s *server) {
 	k, ok := b.learnedServers[s.ID]
 	if delete(b.learnedServers, s.ID); !ok || k.StartedAt != s.StartedAt || s.warmingUp {
--- a/balancer/lists_test.go
+++ b/balancer/lists_test.go
@@ -9,28 +9,28 @@
 	"milletmast/internal/namehash"
 )
 
-// TestListsFollowTheirChanges: what is kept of the list is updated by its changes; after each it equals what
-// is computed from all servers.
+// TestListsFollowTheirChanges: the balancer updates its lists of servers incrementally. After each change they
+// must equal lists computed from all entries.
 func TestListsFollowTheirChanges(t *testing.T) {
 	for seed := range uint64(30) {
-		set, r := plain(), rand.New(rand.NewPCG(seed, 5))
+		set, r := testSettings(), rand.New(rand.NewPCG(seed, 5))
 		set.Replicas, set.Rank, set.Zone = 6, int(seed%6), int(seed%3)
-		h := start(t, set)
-		told, open := map[uint32]ServerEntry{}, map[uint32]uint32{}
+		h := newHarness(t, set)
+		entries, open := map[uint32]ServerEntry{}, map[uint32]uint32{}
 		for step := range uint32(300) {
 			h.now += 20
 			ev := Event{Kind: EvServerList, List: ListDelta}
 			if r.IntN(20) == 0 {
 				ev.List = ListFull
-				clear(told)
+				clear(entries)
 			}
 			for range r.IntN(1 + []int{4, 120}[r.IntN(2)]) {
 				e := ServerEntry{ID: uint32(r.IntN(200)), Zone: uint8(r.IntN(3)), State: []ServerState{Ready, Ready, Draining, Removed}[r.IntN(4)]}
-				told[e.ID] = e
+				entries[e.ID] = e
 				ev.Servers = append(ev.Servers, e)
 			}
 			h.do(ev)
-			checkLists(t, h.b, told)
+			checkLists(t, h.b, entries)
 			for _, a := range h.request(step, 0) {
 				if a.Kind == ActSend {
 					open[a.Request] = a.Server
@@ -49,45 +49,45 @@
 	}
 }
 
-// checkLists compares what the balancer keeps with the entries that it was told last.
-func checkLists(t *testing.T, b *Balancer, told map[uint32]ServerEntry) {
+// checkLists compares the balancer's lists with those computed from the last entries.
+func checkLists(t *testing.T, b *Balancer, entries map[uint32]ServerEntry) {
 	t.Helper()
-	var live, homes []uint32
+	var usable, homes []uint32
 	listed := 0
-	for id, e := range told {
+	for id, e := range entries {
 		if e.State != Removed {
 			listed++
 		}
 		if e.State == Ready {
-			live = append(live, id)
+			usable = append(usable, id)
 			if int(e.Zone) == b.settings.Zone {
 				homes = append(homes, id)
 			}
 		}
 	}
-	slices.Sort(live)
+	slices.Sort(usable)
 	slices.SortFunc(homes, func(a, c uint32) int { return cmp.Compare(namehash.Mix(uint64(a)), namehash.Mix(uint64(c))) })
-	var gotLive, gotHomes []uint32
-	out, kept := 0, 0
+	var gotUsable, gotHomes []uint32
+	gotListed, unlisted := 0, 0
 	for _, s := range b.usable {
-		gotLive = append(gotLive, s.ID)
+		gotUsable = append(gotUsable, s.ID)
 	}
-	slices.Sort(gotLive)
+	slices.Sort(gotUsable)
 	for _, s := range b.homes {
 		gotHomes = append(gotHomes, s.ID)
 	}
 	for _, s := range b.servers {
 		if !s.listed && s.inFlight == 0 {
-			kept++
+			unlisted++
 		}
 		if s.listed {
-			out++
+			gotListed++
 		}
 	}
-	if !slices.Equal(live, gotLive) || !slices.Equal(homes, gotHomes) {
-		t.Errorf("live %v, want %v; homes %v, want %v", gotLive, live, gotHomes, homes)
+	if !slices.Equal(usable, gotUsable) || !slices.Equal(homes, gotHomes) {
+		t.Errorf("usable %v, want %v; homes %v, want %v", gotUsable, usable, gotHomes, homes)
 	}
-	if out != listed || kept > 0 {
-		t.Errorf("%d servers listed, want %d; %d kept that are gone", out, listed, kept)
+	if gotListed != listed || unlisted > 0 {
+		t.Errorf("%d servers listed, want %d; %d kept that are neither listed nor in use", gotListed, listed, unlisted)
 	}
 }
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -16,7 +16,7 @@
 	sample := stats.Sample{At: b.now, Value: ratio}
 	s.samples[s.sampleCount%serverSamples] = sample
 	s.sampleCount++
-	if (outcome == OK || outcome == NotExecuted) && !s.ejected { // others concern one server, not the tier
+	if (outcome == OK || outcome == NotExecuted) && !s.ejected { // other failures concern one server
 		b.tierWindow[b.tierSampleCount%tierSamples] = sample
 		b.tierSampleCount++
 	}
@@ -36,8 +36,8 @@
 	}
 }
 
-// recordFailure ejects a server after a run of failures, unless so many are ejected that the fault is a
-// shared one.
+// recordFailure ejects a server after a run of failures, unless so many are ejected that the fault must
+// be a shared one.
 func (b *Balancer) recordFailure(s *server) {
 	s.successRun = 0
 	s.failureRun++
@@ -50,7 +50,7 @@
 	}
 }
 
-// resetMeasurement lets a server have the mean load of the others again, as after a good run of trials.
+// resetMeasurement gives a server the mean load of the others again, as after enough successful trials.
 func (b *Balancer) resetMeasurement(s *server) {
 	if s.ejected && s.isReady() {
 		b.inFlight += s.inFlight
--- a/balancer/outcomes_test.go
+++ b/balancer/outcomes_test.go
@@ -4,10 +4,10 @@
 	"testing"
 )
 
-// TestFailureRunEjectsAndTrialsReadmit: a run of failures ejects a server between updates; successful trials
-// bring it back.
+// TestFailureRunEjectsAndTrialsReadmit: a run of failures ejects a server between load updates. Successful trial
+// requests end the ejection.
 func TestFailureRunEjectsAndTrialsReadmit(t *testing.T) {
-	h := start(t, plain(), ids(10)...)
+	h := newHarness(t, testSettings(), serverEntries(10)...)
 	s := h.b.usable[0]
 	for range 3 {
 		h.b.recordOutcome(s, 0, Error, 1)
@@ -23,10 +23,10 @@
 	}
 }
 
-// TestSharedFaultDoesNotEjectAllServers: when nearly all servers fail together the fault is shared, and not
-// all are ejected.
+// TestSharedFaultDoesNotEjectAllServers: when nearly all servers fail at the same time, the fault is a shared
+// one, and most servers must not be ejected.
 func TestSharedFaultDoesNotEjectAllServers(t *testing.T) {
-	h := start(t, plain(), ids(10)...)
+	h := newHarness(t, testSettings(), serverEntries(10)...)
 	for range 10 {
 		for _, s := range h.b.usable {
 			h.b.recordOutcome(s, 0, Timeout, 500)
@@ -39,6 +39,6 @@
 		}
 	}
 	if ejected > 4 {
-		t.Errorf("%d of 10 servers ejected", ejected)
+		t.Errorf("%d of 10 servers ejected, want at most 4", ejected)
 	}
 }
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -9,7 +9,7 @@
 	"unicode/utf8"
 )
 
-// TestPolicySizeAndWidth bounds the lines of the policy files that the deploy file names, and their width.
+// TestPolicySizeAndWidth limits the number and the width of the lines of the policy files that deploy/balancer.toml names.
 func TestPolicySizeAndWidth(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -17,7 +17,7 @@
 	}
 	named := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(deploy)
 	if named == nil {
-		t.Fatal("deploy/balancer.toml names no policy")
+		t.Fatal("deploy/balancer.toml has no line 'policy = [...]'")
 	}
 	var text []byte
 	lines := 0
@@ -31,7 +31,7 @@
 				lines++
 			}
 			if wide := utf8.RuneCount(line) + 3*bytes.Count(line, []byte("\t")); wide > 110 {
-				t.Errorf("%s: line %d is %d wide", file, i+1, wide)
+				t.Errorf("%s:%d: line is %d columns wide, 110 at most", file, i+1, wide)
 			}
 		}
 	}
@@ -39,9 +39,9 @@
 		t.Fatal(err)
 	}
 	if lines > 1200 {
-		t.Errorf("%d lines that are not blank, 1200 at most", lines)
+		t.Errorf("the policy files have %d lines that are not blank, 1200 at most", lines)
 	}
 	if !bytes.Contains(text[:bytes.IndexByte(text, '\n')], []byte("api.go")) {
-		t.Error("the first line must name the interface file")
+		t.Error("the first line of balancer.go must name the interface file, api.go")
 	}
 }
--- a/balancer/probes_test.go
+++ b/balancer/probes_test.go
@@ -4,71 +4,71 @@
 	"testing"
 )
 
-// TestCheapProbesChooseTheServer: where probes are all but free, a replica with few requests goes by the
-// queues that servers report, and does not wait for reports that do not come.
+// TestCheapProbesChooseTheServer: where probes are cheap, a replica with few requests chooses the server with
+// the shortest reported queue, and does not wait long for missing reports.
 func TestCheapProbesChooseTheServer(t *testing.T) {
-	set := plain()
+	set := testSettings()
 	set.Limits.CanProbe, set.QueueLengthField, set.ProbeCost = true, 2, 0.001
-	h := start(t, set, ids(8)...)
-	h.b.meanQueueLength = 10 // most servers hold more than those asked: no second question
+	h := newHarness(t, set, serverEntries(8)...)
+	h.b.meanQueueLength = 10 // most servers hold more than the probed ones: no second round of probes
 	probed := h.request(1, 0)
 	if len(probed) < 2 || probed[0].Kind != ActProbe {
-		t.Fatalf("want probes before the send: %+v", probed)
+		t.Fatalf("actions %+v, want probes before the send", probed)
 	}
 	var acts []Action
 	for i, p := range probed {
-		held := float32(9 - i)
-		acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, LoadReport: [4]float32{5, held}, LoadReportLen: 2})
+		queueLength := float32(9 - i)
+		acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, LoadReport: [4]float32{5, queueLength}, LoadReportLen: 2})
 	}
-	if least := probed[len(probed)-1].Server; len(acts) != 1 || acts[0].Kind != ActSend || acts[0].Server != least {
-		t.Errorf("actions %+v, want a send to server %d, which holds least", acts, least)
+	if shortest := probed[len(probed)-1].Server; len(acts) != 1 || acts[0].Kind != ActSend || acts[0].Server != shortest {
+		t.Errorf("actions %+v, want a send to server %d, which has the shortest queue", acts, shortest)
 	}
 	h.now += 1000
 	h.request(2, 0)
 	h.now += probeWaitShare*set.Classes[0].LatencyTarget + 1
 	if acts = h.do(Event{Kind: EvTimer}); len(acts) != 1 || acts[0].Kind != ActSend {
-		t.Errorf("actions %+v, want a send though no probe came back", acts)
+		t.Errorf("actions %+v, want a send although no probe was answered", acts)
 	}
 	set.ProbeCost = 0.05
-	h = start(t, set, ids(8)...)
+	h = newHarness(t, set, serverEntries(8)...)
 	if acts = h.request(1, 0); len(acts) != 1 || acts[0].Kind != ActSend {
-		t.Errorf("actions %+v, want no probes where they are dear", acts)
+		t.Errorf("actions %+v, want a send without probes where these are expensive", acts)
 	}
 }
 
 // TestProbesHoldBackLateRequests: the first tier does not send while each probed server holds more than the
 // latency target allows; it waits, probes again, and sends when one has capacity.
 func TestProbesHoldBackLateRequests(t *testing.T) {
-	set := plain()
+	set := testSettings()
 	set.Limits.CanProbe, set.QueueLengthField = true, 1
-	h := start(t, set, ids(8)...)
-	h.b.serviceTime = 150    // ms for each request held, latency target 500
-	h.b.meanQueueLength = 10 // most servers hold more than those asked: no second question
-	answer := func(probes []Action, held float32) (acts []Action) {
+	h := newHarness(t, set, serverEntries(8)...)
+	h.b.serviceTime = 150    // ms for each queued request; the latency target is 500
+	h.b.meanQueueLength = 10 // most servers hold more than the probed ones: no second round of probes
+	report := func(probes []Action, queueLength float32) (acts []Action) {
 		for _, p := range probes {
-			acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, LoadReport: [4]float32{held}, LoadReportLen: 1})
+			acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, LoadReport: [4]float32{queueLength}, LoadReportLen: 1})
 		}
 		return acts
 	}
-	if acts := answer(h.request(1, 2), 5); len(acts) != 0 {
-		t.Fatalf("sent to a server that holds five: %+v", acts)
+	if acts := report(h.request(1, 2), 5); len(acts) != 0 {
+		t.Fatalf("actions %+v while each probed server holds five requests, want none", acts)
 	}
 	h.now += 100
-	again := h.do(Event{Kind: EvTimer, Token: h.b.timerToken})
-	if len(again) == 0 || again[0].Kind != ActProbe {
-		t.Fatalf("want other servers asked while the request waits: %+v", again)
+	probes := h.do(Event{Kind: EvTimer, Token: h.b.timerToken})
+	if len(probes) == 0 || probes[0].Kind != ActProbe {
+		t.Fatalf("actions %+v, want more probes while the request waits", probes)
 	}
-	if acts := answer(again, 0); len(acts) != 1 || acts[0].Kind != ActSend {
-		t.Errorf("want a send to an idle server: %+v", acts)
+	if acts := report(probes, 0); len(acts) != 1 || acts[0].Kind != ActSend {
+		t.Errorf("actions %+v, want a send to an idle server", acts)
 	}
 }
 
 // TestBusyReportsAreProbedAgain: a request whose probed servers are all busy probes others, a bounded number
 // of times.
 func TestBusyReportsAreProbedAgain(t *testing.T) {
-	set := plain()
+	set := testSettings()
 	set.Limits.CanProbe, set.QueueLengthField = true, 1
-	h := start(t, set, ids(30)...)
+	h := newHarness(t, set, serverEntries(30)...)
 	h.b.meanQueueLength = 0.5
 	acts, rounds := h.request(1, 0), 0
 	for len(acts) > 0 && acts[0].Kind == ActProbe {
@@ -78,27 +78,27 @@
 		}
 	}
 	if rounds != maxProbeRounds || len(acts) != 1 || acts[0].Kind != ActSend {
-		t.Errorf("asked %d times, then %+v; want %d times and a send", rounds, acts, maxProbeRounds)
+		t.Errorf("%d rounds of probes, then actions %+v; want %d rounds and a send", rounds, acts, maxProbeRounds)
 	}
 }
 
-// TestRetrySurvivesBusyReports: a request that may be retried is not ended because all probed servers are
-// busy.
+// TestRetrySurvivesBusyReports: a request that may be retried must not be ended because all probed servers
+// are busy.
 func TestRetrySurvivesBusyReports(t *testing.T) {
-	set := plain()
+	set := testSettings()
 	set.Limits.CanProbe, set.QueueLengthField = true, 1
-	h := start(t, set, ids(12)...)
-	answer := func(acts []Action, held float32) (last []Action) {
+	h := newHarness(t, set, serverEntries(12)...)
+	report := func(acts []Action, queueLength float32) (last []Action) {
 		for _, a := range acts {
 			if a.Kind == ActProbe {
-				last = h.do(Event{Kind: EvProbeResult, Server: a.Server, Outcome: OK, LoadReportLen: 1, LoadReport: [4]float32{held}})
+				last = h.do(Event{Kind: EvProbeResult, Server: a.Server, Outcome: OK, LoadReportLen: 1, LoadReport: [4]float32{queueLength}})
 			}
 		}
 		return last
 	}
-	sent := answer(h.request(1, 0), 0)
+	sent := report(h.request(1, 0), 0)
 	if len(sent) != 1 || sent[0].Kind != ActSend {
-		t.Fatalf("want a send: %+v", sent)
+		t.Fatalf("actions %+v, want a send", sent)
 	}
 	for _, s := range h.b.usable {
 		s.queueLength, s.queueLengthAt = 5, h.b.now
@@ -108,12 +108,12 @@
 		for _, a := range acts {
 			switch a.Kind {
 			case ActReject, ActFail:
-				t.Fatalf("ended: %+v", acts)
+				t.Fatalf("actions %+v, want the request to stay open", acts)
 			case ActSend:
 				return
 			}
 		}
-		acts = answer(acts, 5)
+		acts = report(acts, 5)
 	}
 	t.Error("the retry was never sent")
 }
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -5,155 +5,156 @@
 	"testing"
 )
 
-// request is what the world knows of a request that it gave to the balancer.
-type call struct {
-	class    uint16
-	due      float64
-	answers  int
-	over     bool
-	attempts []try
+// simRequest is a request that the simulation passed to the balancer.
+type simRequest struct {
+	class     uint16
+	deadline  float64
+	responses int
+	ended     bool
+	attempts  []simAttempt
 }
 
-type try struct {
-	server uint32
-	sentAt float64
-	open   bool
-	maybe  bool // may have run
+// simAttempt is an attempt that the balancer made.
+type simAttempt struct {
+	server     uint32
+	sentAt     float64
+	open       bool
+	mayHaveRun bool
 }
 
-// pending is a timer that the balancer set.
-type pending struct {
+// simTimer is a timer that the balancer set.
+type simTimer struct {
 	at    float64
 	token uint64
 }
 
-// world feeds one balancer random legal events and checks the rules on what it asks.
-type world struct {
-	t       *testing.T
-	rng     *rand.Rand
-	b       *Balancer
-	set     Settings
-	now     float64
-	nextID  uint32
-	calls   map[uint32]*call
-	order   []uint32 // open requests, in the order of arrival
-	servers []ServerEntry
-	timers  []pending
-	trace   []Action
-	taken   []float64          // arrivals, where a budget is stated
-	further []float64          // attempts beyond a request's first
-	probes  []uint32           // out
-	used    map[uint32]float64 // last notice, send or outcome at a server that drains
+// simulation passes random valid events to one balancer and checks its actions against the rules.
+type simulation struct {
+	t           *testing.T
+	rng         *rand.Rand
+	b           *Balancer
+	set         Settings
+	now         float64
+	nextID      uint32
+	requests    map[uint32]*simRequest
+	order       []uint32 // open requests, in the order of arrival
+	servers     []ServerEntry
+	timers      []simTimer
+	trace       []Action
+	arrivals    []float64          // times of requests
+	retries     []float64          // times of attempts after a request's first, where the site sets a retry budget
+	probes      []uint32           // servers with a pending probe
+	drainEvents map[uint32]float64 // draining server -> time since which its idle connections must be closed
 }
 
-func newWorld(t *testing.T, seed uint64, servers int) *world {
+func newSimulation(t *testing.T, seed uint64, servers int) *simulation {
 	t.Helper()
-	w := &world{
-		t: t, rng: rand.New(rand.NewPCG(seed, 1)), set: plain(), now: 1000,
-		nextID: 1, calls: map[uint32]*call{}, servers: ids(servers),
+	sim := &simulation{
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), set: testSettings(), now: 1000,
+		nextID: 1, requests: map[uint32]*simRequest{}, servers: serverEntries(servers),
 	}
-	w.set.Replicas, w.set.PollsList = 1+int(seed%7), seed%2 == 0
-	w.set.Limits.CanHedge = seed%3 == 0
-	w.set.Tier, w.set.Tiers = int(seed%2), 2
+	sim.set.Replicas, sim.set.PollsList = 1+int(seed%7), seed%2 == 0
+	sim.set.Limits.CanHedge = seed%3 == 0
+	sim.set.Tier, sim.set.Tiers = int(seed%2), 2
 	if seed%4 < 2 {
-		w.set.Safety.RetryBudgetMin, w.set.Safety.RetryBudgetShare, w.set.Safety.RetryBudgetWindow = 2, 0.2, 3000
+		sim.set.Safety.RetryBudgetMin, sim.set.Safety.RetryBudgetShare, sim.set.Safety.RetryBudgetWindow = 2, 0.2, 3000
 	}
 	if seed%3 > 0 {
-		w.set.Safety.DrainCloseTime = 1500
+		sim.set.Safety.DrainCloseTime = 1500
 	}
-	w.used = map[uint32]float64{}
-	w.set.Limits.CanCancel = seed%5 > 0
-	w.set.Limits.CanProbe, w.set.QueueLengthField = seed%6 > 2, 1
-	w.set.Tenants = []Tenant{{Quota: 5}, {Quota: 50}}
-	b, err := New(w.set, seed, w.now)
+	sim.drainEvents = map[uint32]float64{}
+	sim.set.Limits.CanCancel = seed%5 > 0
+	sim.set.Limits.CanProbe, sim.set.QueueLengthField = seed%6 > 2, 1
+	sim.set.Tenants = []Tenant{{Quota: 5}, {Quota: 50}}
+	b, err := New(sim.set, seed, sim.now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.b = b
-	w.hand(Event{Kind: EvServerList, List: ListCached, Servers: w.servers})
-	return w
+	sim.b = b
+	sim.handle(Event{Kind: EvServerList, List: ListCached, Servers: sim.servers})
+	return sim
 }
 
-// hand gives the balancer an event and checks each action.
-func (w *world) hand(ev Event) {
-	w.t.Helper()
-	for _, a := range w.b.Handle(w.now, &ev, nil) {
-		w.trace = append(w.trace, a)
+// handle passes an event to the balancer and checks each resulting action.
+func (sim *simulation) handle(ev Event) {
+	sim.t.Helper()
+	for _, a := range sim.b.Handle(sim.now, &ev, nil) {
+		sim.trace = append(sim.trace, a)
 		switch a.Kind {
 		case ActSend:
-			w.checkSend(a)
+			sim.checkSend(a)
 		case ActReject, ActFail:
-			w.checkEnd(a)
+			sim.checkEnd(a)
 		case ActCloseIdle:
-			delete(w.used, a.Server)
+			delete(sim.drainEvents, a.Server)
 		case ActCancel:
-			if !w.set.Limits.CanCancel || int(a.Attempt) >= len(w.calls[a.Request].attempts) {
-				w.t.Fatalf("%v: cancels attempt %d of request %d", w.now, a.Attempt, a.Request)
+			if !sim.set.Limits.CanCancel || int(a.Attempt) >= len(sim.requests[a.Request].attempts) {
+				sim.t.Fatalf("%v: cancels attempt %d of request %d", sim.now, a.Attempt, a.Request)
 			}
 		case ActProbe:
-			if !w.set.Limits.CanProbe || w.entry(a.Server) == nil {
-				w.t.Fatalf("%v: probes server %d", w.now, a.Server)
+			if !sim.set.Limits.CanProbe || sim.entry(a.Server) == nil {
+				sim.t.Fatalf("%v: probes server %d", sim.now, a.Server)
 			}
-			w.probes = append(w.probes, a.Server)
+			sim.probes = append(sim.probes, a.Server)
 		case ActTimer:
-			w.timers = append(w.timers, pending{w.now + max(a.Delay, 5) - 0.0004, a.Token}) // rounded to early
+			sim.timers = append(sim.timers, simTimer{sim.now + max(a.Delay, 5) - 0.0004, a.Token}) // rounded down, so that it fires early
 		}
 	}
 }
 
-func (w *world) entry(id uint32) *ServerEntry {
-	for i := range w.servers {
-		if w.servers[i].ID == id {
-			return &w.servers[i]
+func (sim *simulation) entry(id uint32) *ServerEntry {
+	for i := range sim.servers {
+		if sim.servers[i].ID == id {
+			return &sim.servers[i]
 		}
 	}
 	return nil
 }
 
-func (w *world) checkSend(a Action) {
-	w.t.Helper()
-	c, s := w.calls[a.Request], w.entry(a.Server)
+func (sim *simulation) checkSend(a Action) {
+	sim.t.Helper()
+	c, s := sim.requests[a.Request], sim.entry(a.Server)
 	switch {
-	case c == nil || c.over:
-		w.t.Fatalf("%v: send for request %d, which is over", w.now, a.Request)
+	case c == nil || c.ended:
+		sim.t.Fatalf("%v: send for request %d, which has ended", sim.now, a.Request)
 	case s == nil || s.State != Ready:
-		w.t.Fatalf("%v: send to server %d, which drains or is gone", w.now, a.Server)
-	case len(c.attempts) >= w.set.Limits.MaxAttempts:
-		w.t.Fatalf("%v: attempt %d of request %d", w.now, len(c.attempts), a.Request)
+		sim.t.Fatalf("%v: send to server %d, which is draining or removed", sim.now, a.Server)
+	case len(c.attempts) >= sim.set.Limits.MaxAttempts:
+		sim.t.Fatalf("%v: send of request %d after %d attempts, which are all that it may have", sim.now, a.Request, len(c.attempts))
 	}
-	class := w.set.Classes[c.class]
-	if len(c.attempts) > 0 && w.set.Safety.RetryBudgetWindow > 0 {
-		w.further = append(w.further, w.now)
-		from, f := w.now-w.set.Safety.RetryBudgetWindow, &w.set.Safety
-		if made := count(w.further, from); made > f.RetryBudgetMin+f.RetryBudgetShare*count(w.taken, from+1e-6)+1e-9 {
-			w.t.Fatalf("%v: %v retries, %v requests taken", w.now, made, count(w.taken, from))
+	class := sim.set.Classes[c.class]
+	if len(c.attempts) > 0 && sim.set.Safety.RetryBudgetWindow > 0 {
+		sim.retries = append(sim.retries, sim.now)
+		from, f := sim.now-sim.set.Safety.RetryBudgetWindow, &sim.set.Safety
+		if made := count(sim.retries, from); made > f.RetryBudgetMin+f.RetryBudgetShare*count(sim.arrivals, from+1e-6)+1e-9 {
+			sim.t.Fatalf("%v: %v retries in the window of the budget, for %v requests", sim.now, made, count(sim.arrivals, from))
 		}
 	}
 	first := 0.0
 	for _, p := range c.attempts {
-		if p.open && !w.set.Limits.CanHedge {
-			w.t.Fatalf("%v: two attempts of request %d at once", w.now, a.Request)
+		if p.open && !sim.set.Limits.CanHedge {
+			sim.t.Fatalf("%v: two attempts of request %d at once", sim.now, a.Request)
 		}
-		if !p.open && !p.maybe || class.Effect == Safe {
+		if !p.open && !p.mayHaveRun || class.Effect == Safe {
 			continue
 		}
 		if first == 0 {
 			first = p.sentAt
 		}
-		before := w.entry(p.server)
+		before := sim.entry(p.server)
 		switch {
 		case class.Effect == Unsafe:
-			w.t.Fatalf("%v: unsafe request %d may have run and was sent again", w.now, a.Request)
-		case w.now >= first+class.DedupWindow:
-			w.t.Fatalf("%v: keyed request %d sent again after its window", w.now, a.Request)
+			sim.t.Fatalf("%v: unsafe request %d may have run and was sent again", sim.now, a.Request)
+		case sim.now >= first+class.DedupWindow:
+			sim.t.Fatalf("%v: keyed request %d sent again after its window", sim.now, a.Request)
 		case before.Cell != s.Cell:
-			w.t.Fatalf("%v: keyed request %d sent outside its cell", w.now, a.Request)
+			sim.t.Fatalf("%v: keyed request %d sent outside its cell", sim.now, a.Request)
 		}
 	}
-	c.attempts = append(c.attempts, try{server: a.Server, sentAt: w.now, open: true})
+	c.attempts = append(c.attempts, simAttempt{server: a.Server, sentAt: sim.now, open: true})
 }
 
-// count returns how many times are not before from.
+// count returns the number of times that are not before from.
 func count(times []float64, from float64) (n float64) {
 	for _, at := range times {
 		if at >= from {
@@ -163,200 +164,202 @@
 	return n
 }
 
-func (w *world) checkEnd(a Action) {
-	w.t.Helper()
-	c := w.calls[a.Request]
-	if c == nil || c.over {
-		w.t.Fatalf("%v: second answer for request %d", w.now, a.Request)
+func (sim *simulation) checkEnd(a Action) {
+	sim.t.Helper()
+	c := sim.requests[a.Request]
+	if c == nil || c.ended {
+		sim.t.Fatalf("%v: second final action for request %d", sim.now, a.Request)
 	}
-	if w.now > c.due+20 {
-		w.t.Fatalf("%v: answer for request %d, due at %v", w.now, a.Request, c.due)
+	if sim.now > c.deadline+20 {
+		sim.t.Fatalf("%v: late final action for request %d, deadline %v", sim.now, a.Request, c.deadline)
 	}
-	if a.Kind == ActReject && w.set.Classes[c.class].Effect != Safe {
+	if a.Kind == ActReject && sim.set.Classes[c.class].Effect != Safe {
 		for _, p := range c.attempts {
-			if p.open || p.maybe {
-				w.t.Fatalf("%v: request %d rejected though it may have run", w.now, a.Request)
+			if p.open || p.mayHaveRun {
+				sim.t.Fatalf("%v: request %d rejected though it may have run", sim.now, a.Request)
 			}
 		}
 	}
-	w.over(a.Request)
+	sim.end(a.Request)
 }
 
-func (w *world) over(id uint32) {
-	c := w.calls[id]
-	c.over = true
-	c.answers++
+func (sim *simulation) end(id uint32) {
+	c := sim.requests[id]
+	c.ended = true
+	c.responses++
 }
 
-// step advances the clock and plays one random event.
-func (w *world) step() {
-	w.t.Helper()
-	w.advance(w.now + w.rng.Float64()*10)
-	switch p := w.rng.Float64(); {
+// step advances the clock and runs one random event.
+func (sim *simulation) step() {
+	sim.t.Helper()
+	sim.advance(sim.now + sim.rng.Float64()*10)
+	switch p := sim.rng.Float64(); {
 	case p < 0.35:
-		w.arrive()
+		sim.arrive()
 	case p < 0.9:
-		w.finish()
+		sim.finish()
 	case p < 0.93:
-		w.change()
-	case p < 0.94 && len(w.order) > 0:
-		id := w.order[w.rng.IntN(len(w.order))]
-		if c := w.calls[id]; !c.over {
-			w.over(id)
-			w.hand(Event{Kind: EvRequestAbandoned, Request: id})
+		sim.changeServer()
+	case p < 0.94 && len(sim.order) > 0:
+		id := sim.order[sim.rng.IntN(len(sim.order))]
+		if c := sim.requests[id]; !c.ended {
+			sim.end(id)
+			sim.handle(Event{Kind: EvRequestAbandoned, Request: id})
 		}
-	case p < 0.945 && len(w.probes) > 0:
-		ev := Event{Kind: EvProbeResult, Server: w.probes[0], Outcome: OK, LoadReportLen: 1, LoadReport: [4]float32{w.rng.Float32() * 9}}
-		w.probes = w.probes[1:]
-		if e := w.entry(ev.Server); e.State == Draining && w.set.Safety.DrainCloseTime > 0 {
-			w.used[ev.Server] = w.now
+	case p < 0.945 && len(sim.probes) > 0:
+		ev := Event{Kind: EvProbeResult, Server: sim.probes[0], Outcome: OK, LoadReportLen: 1, LoadReport: [4]float32{sim.rng.Float32() * 9}}
+		sim.probes = sim.probes[1:]
+		if e := sim.entry(ev.Server); e.State == Draining && sim.set.Safety.DrainCloseTime > 0 {
+			sim.drainEvents[ev.Server] = sim.now
 		}
-		w.hand(ev)
-	case p < 0.95 && w.set.PollsList:
-		w.hand(Event{Kind: EvServerList, List: ListFailed})
+		sim.handle(ev)
+	case p < 0.95 && sim.set.PollsList:
+		sim.handle(Event{Kind: EvServerList, List: ListFailed})
 	case p < 0.951:
-		w.advance(w.now + 20000) // many seconds in which only timers and time-outs come
+		sim.advance(sim.now + 20000) // 20 s with timers and timeouts only
 	}
-	w.sweep()
+	sim.sweep()
 }
 
-// advance moves the clock on; timers and time-outs come in their order on the way.
-func (w *world) advance(to float64) {
-	w.t.Helper()
+// advance moves the clock forward, with the timers and timeouts on the way in order.
+func (sim *simulation) advance(to float64) {
+	sim.t.Helper()
 	for {
 		at, timer := to, -1
-		for i, t := range w.timers {
+		for i, t := range sim.timers {
 			if t.at < at {
 				at, timer = t.at, i
 			}
 		}
-		late, attempt := uint32(0), -1
-		for _, id := range w.order {
-			for i, p := range w.calls[id].attempts {
-				if due := w.calls[id].due; p.open && due < at {
-					at, late, attempt = due, id, i
+		timedOut, attempt := uint32(0), -1
+		for _, id := range sim.order {
+			for i, p := range sim.requests[id].attempts {
+				if deadline := sim.requests[id].deadline; p.open && deadline < at {
+					at, timedOut, attempt = deadline, id, i
 				}
 			}
 		}
-		w.now = max(w.now, at)
+		sim.now = max(sim.now, at)
 		switch {
 		case attempt >= 0:
-			w.close(late, attempt, Timeout)
+			sim.endAttempt(timedOut, attempt, Timeout)
 		case timer >= 0:
-			token := w.timers[timer].token
-			w.timers = append(w.timers[:timer], w.timers[timer+1:]...)
-			w.hand(Event{Kind: EvTimer, Token: token})
+			token := sim.timers[timer].token
+			sim.timers = append(sim.timers[:timer], sim.timers[timer+1:]...)
+			sim.handle(Event{Kind: EvTimer, Token: token})
 		default:
 			return
 		}
 	}
 }
 
-func (w *world) arrive() {
-	id := w.nextID
-	w.nextID++
-	c := &call{class: uint16(w.rng.IntN(3)), due: w.now + 50 + w.rng.Float64()*900}
-	w.calls[id] = c
-	w.order = append(w.order, id)
-	w.taken = append(w.taken, w.now)
-	w.hand(Event{Kind: EvRequest, Request: id, Class: c.class, Tenant: uint16(id % 2), Deadline: c.due})
+func (sim *simulation) arrive() {
+	id := sim.nextID
+	sim.nextID++
+	c := &simRequest{class: uint16(sim.rng.IntN(3)), deadline: sim.now + 50 + sim.rng.Float64()*900}
+	sim.requests[id] = c
+	sim.order = append(sim.order, id)
+	sim.arrivals = append(sim.arrivals, sim.now)
+	sim.handle(Event{Kind: EvRequest, Request: id, Class: c.class, Tenant: uint16(id % 2), Deadline: c.deadline})
 }
 
-// finish closes a random open attempt with a random outcome.
-func (w *world) finish() {
-	if len(w.order) == 0 {
+// finish ends an open attempt of a random request with a random outcome.
+func (sim *simulation) finish() {
+	if len(sim.order) == 0 {
 		return
 	}
-	id := w.order[w.rng.IntN(len(w.order))]
-	for i, p := range w.calls[id].attempts {
+	id := sim.order[sim.rng.IntN(len(sim.order))]
+	for i, p := range sim.requests[id].attempts {
 		if p.open {
 			out := OK
-			if w.rng.Float64() < 0.3 {
-				out = []Outcome{Error, NotExecuted, ConnectFailed, Reset, Canceled, NotSent}[w.rng.IntN(6)]
+			if sim.rng.Float64() < 0.3 {
+				out = []Outcome{Error, NotExecuted, ConnectFailed, Reset, Canceled, NotSent}[sim.rng.IntN(6)]
 			}
-			w.close(id, i, out)
+			sim.endAttempt(id, i, out)
 			return
 		}
 	}
 }
 
-func (w *world) close(id uint32, i int, out Outcome) {
-	c := w.calls[id]
+// endAttempt ends attempt i of a request.
+func (sim *simulation) endAttempt(id uint32, i int, out Outcome) {
+	c := sim.requests[id]
 	p := &c.attempts[i]
-	p.open, p.maybe = false, out != NotExecuted && out != ConnectFailed && out != NotSent
-	if out == OK && !c.over {
-		w.over(id)
+	p.open, p.mayHaveRun = false, out != NotExecuted && out != ConnectFailed && out != NotSent
+	if out == OK && !c.ended {
+		sim.end(id)
 	}
-	if e := w.entry(p.server); e.State == Draining && w.set.Safety.DrainCloseTime > 0 {
-		w.used[p.server] = w.now
+	if e := sim.entry(p.server); e.State == Draining && sim.set.Safety.DrainCloseTime > 0 {
+		sim.drainEvents[p.server] = sim.now
 	}
-	w.hand(Event{Kind: EvAttemptEnded, Request: id, Attempt: uint16(i), Server: p.server,
-		Outcome: out, Elapsed: w.now - p.sentAt, RequestEnded: c.over})
+	sim.handle(Event{Kind: EvAttemptEnded, Request: id, Attempt: uint16(i), Server: p.server,
+		Outcome: out, Elapsed: sim.now - p.sentAt, RequestEnded: c.ended})
 }
 
-// change drains, removes, restarts or adds a server.
-func (w *world) change() {
-	e := &w.servers[w.rng.IntN(len(w.servers))]
-	delete(w.used, e.ID)
-	switch w.rng.IntN(4) {
+// changeServer drains, removes or restarts a random server.
+func (sim *simulation) changeServer() {
+	e := &sim.servers[sim.rng.IntN(len(sim.servers))]
+	delete(sim.drainEvents, e.ID)
+	switch sim.rng.IntN(4) {
 	case 0:
-		if e.State != Draining && w.set.Safety.DrainCloseTime > 0 {
-			w.used[e.ID] = w.now
+		if e.State != Draining && sim.set.Safety.DrainCloseTime > 0 {
+			sim.drainEvents[e.ID] = sim.now
 		}
 		e.State = Draining
 	case 1:
 		e.State = Removed
 	default:
 		if e.State != Ready {
-			e.State, e.StartedAt = Ready, w.now
+			e.State, e.StartedAt = Ready, sim.now
 		}
 	}
-	w.hand(Event{Kind: EvServerList, List: ListDelta, Servers: []ServerEntry{*e}})
+	sim.handle(Event{Kind: EvServerList, List: ListDelta, Servers: []ServerEntry{*e}})
 }
 
-// sweep fails the test for a request without a final answer, and forgets ended ones.
-func (w *world) sweep() {
-	for server, at := range w.used {
-		if w.now > at+w.set.Safety.DrainCloseTime {
-			w.t.Fatalf("%v: connections to server %d, which drains, not closed since %v", w.now, server, at)
+// sweep fails the test if idle connections were not closed or a request has no final action in time, and removes
+// ended requests.
+func (sim *simulation) sweep() {
+	for server, at := range sim.drainEvents {
+		if sim.now > at+sim.set.Safety.DrainCloseTime {
+			sim.t.Fatalf("%v: idle connections to draining server %d not closed since %v", sim.now, server, at)
 		}
 	}
-	kept := w.order[:0]
-	for _, id := range w.order {
-		c := w.calls[id]
+	kept := sim.order[:0]
+	for _, id := range sim.order {
+		c := sim.requests[id]
 		open := false
 		for _, p := range c.attempts {
 			open = open || p.open
 		}
-		if !c.over && w.now > c.due+20 {
-			w.t.Fatalf("%v: request %d, due at %v, has no response", w.now, id, c.due)
+		if !c.ended && sim.now > c.deadline+20 {
+			sim.t.Fatalf("%v: request %d, deadline %v, has no final action", sim.now, id, c.deadline)
 		}
-		if c.over && !open {
-			delete(w.calls, id)
+		if c.ended && !open {
+			delete(sim.requests, id)
 			continue
 		}
 		kept = append(kept, id)
 	}
-	w.order = kept
+	sim.order = kept
 }
 
-// TestRulesHoldForRandomEvents: the rules hold for any legal order of events, with one server or several.
+// TestRulesHoldForRandomEvents: the rules hold for any valid sequence of events, with one server or many.
 func TestRulesHoldForRandomEvents(t *testing.T) {
 	sends := 0
 	for seed := range uint64(24) {
-		w := newWorld(t, seed, []int{1, 2, 9, 40}[seed%4])
+		sim := newSimulation(t, seed, []int{1, 2, 9, 40}[seed%4])
 		for range 3000 {
-			w.step()
+			sim.step()
 		}
-		w.advance(w.now + 5000)
-		w.sweep()
-		for _, a := range w.trace {
+		sim.advance(sim.now + 5000)
+		sim.sweep()
+		for _, a := range sim.trace {
 			if a.Kind == ActSend {
 				sends++
 			}
 		}
-		if len(w.order) != 0 || len(w.b.requests) != 0 || w.b.inFlight != 0 {
-			t.Errorf("seed %d: %d requests open, %d held, %d out", seed, len(w.order), len(w.b.requests), w.b.inFlight)
+		if len(sim.order) != 0 || len(sim.b.requests) != 0 || sim.b.inFlight != 0 {
+			t.Errorf("seed %d: %d requests open in the test, %d in the balancer, %d in flight; want none", seed, len(sim.order), len(sim.b.requests), sim.b.inFlight)
 		}
 	}
 	if sends < 5000 {
@@ -364,11 +367,11 @@
 	}
 }
 
-// FuzzHandle feeds raw events; none may panic, and no request may be held for ever.
+// FuzzHandle passes arbitrary events: none may cause a panic, and no request may be held forever.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{1, 0, 2, 3, 9, 5, 3, 1, 7, 3, 4, 4, 200, 1, 2, 5, 1, 1})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		b, err := New(plain(), 3, 0)
+		b, err := New(testSettings(), 3, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -384,7 +387,7 @@
 		}
 		b.Handle(now+1e6, &Event{Kind: EvTimer}, nil)
 		if len(b.queue) != 0 {
-			t.Errorf("%d requests still wait", len(b.queue))
+			t.Errorf("%d requests still queued", len(b.queue))
 		}
 	})
 }
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -12,7 +12,7 @@
 		return
 	}
 	req := b.takeRequest(ev)
-	if req.shed { // it is no demand on the servers, and adds nothing to the retry budget
+	if req.shed { // it is not counted as demand, and adds nothing to the retry budget
 		b.endRequest(req)
 		return
 	}
@@ -26,7 +26,7 @@
 	b.sendProbes(req)
 }
 
-// takeRequest makes the record of a new request.
+// takeRequest creates the record of a new request.
 func (b *Balancer) takeRequest(ev *Event) *request {
 	req := b.newRequest()
 	req.id, req.class, req.tenant, req.deadline = ev.Request, ev.Class, ev.Tenant, ev.Deadline
@@ -44,7 +44,7 @@
 	}
 	req.targetAt = b.now + min(c.Timeout, c.LatencyTarget+c.TargetPerWork*ev.WorkHint)
 	if b.settings.Tier > 0 && c.LateShare == 0 {
-		// Past the target the response is worth nothing to the caller, but the request would hold a slot.
+		// Past the target the response has no value to the caller, but the request would hold a slot.
 		req.deadline = min(req.deadline, req.targetAt)
 	}
 }
@@ -62,11 +62,11 @@
 	b.recentRequests.Add(b.now)
 }
 
-// mustReject returns whether a new request is to be rejected. It takes from the quota of its tenant.
+// mustReject returns whether a new request is to be rejected. It charges the tenant's quota.
 func (b *Balancer) mustReject(req *request) bool {
 	overQuota := b.takeQuota(req)
-	// The paper's queue_length: as many requests as were sent of late in the longest wait. Without a server
-	// the queue is not bounded by it.
+	// The SMACE paper's queue_length: as many requests as are sent in the longest wait at the recent rate.
+	// It does not bound the queue while there is no server.
 	length := 1 + maxQueueWaitShare*b.meanTarget/1000*b.sendRate.Rate(minRateWeight)
 	if len(b.usable) > 0 && len(b.queue) > int(length*b.queueShare(req, overQuota)) {
 		return true
@@ -79,13 +79,13 @@
 	return b.rejectsWaiting() || limit > 0 && len(b.requests) > limit
 }
 
-// rejectsWaiting returns whether requests end at once as there is no server, where that is set.
+// rejectsWaiting returns whether requests end at once because there is no server and the limits say so.
 func (b *Balancer) rejectsWaiting() bool {
 	return b.settings.Limits.RejectWithoutServers && len(b.usable) == 0
 }
 
-// sendProbes asks some servers for their queues, for a new request, where a probe costs next to nothing. So
-// an instance with few requests learns what all replicas have sent.
+// sendProbes requests the queue lengths of some servers for a request, where a probe costs next to nothing.
+// So an instance with few requests learns what all replicas have sent.
 func (b *Balancer) sendProbes(req *request) {
 	if !b.probesEnabled || len(b.usable) == 0 {
 		return
@@ -114,7 +114,7 @@
 
 func (b *Balancer) drawUsable() *server { return b.usable[int(b.random()*float64(len(b.usable)))] }
 
-// handleProbeResult takes a server's report of its queue.
+// handleProbeResult records the queue length that a server reports.
 func (b *Balancer) handleProbeResult(ev *Event) {
 	s := b.servers[ev.Server]
 	if s == nil || !s.probePending {
@@ -123,8 +123,8 @@
 	s.probePending = false
 	b.pendingProbes--
 	b.closeIdleConns(s)
-	field, told := b.settings.QueueLengthField, min(ev.LoadReportLen, len(ev.LoadReport))
-	if ev.Outcome == OK && field > 0 && field <= told {
+	field, reported := b.settings.QueueLengthField, min(ev.LoadReportLen, len(ev.LoadReport))
+	if ev.Outcome == OK && field > 0 && field <= reported {
 		s.queueLength, s.queueLengthAt = float64(ev.LoadReport[field-1]), b.now
 		b.meanQueueLength += latencySmoothing * (s.queueLength - b.meanQueueLength)
 	}
@@ -180,7 +180,7 @@
 	return worst
 }
 
-// takeQuota takes a request from its tenant's quota, and returns whether that was used up.
+// takeQuota charges a request to its tenant's quota, and returns whether the quota was used up.
 func (b *Balancer) takeQuota(req *request) (overQuota bool) {
 	if b.settings.Tier > 0 || int(req.tenant) >= len(b.tenantQuotas) {
 		return false
@@ -218,7 +218,7 @@
 func (b *Balancer) trySend(req *request) bool {
 	if req.heldBackUntil > 0 && b.now >= req.heldBackUntil {
 		req.heldBackUntil = 0
-		b.sendProbes(req) // the reports that held it back are old
+		b.sendProbes(req) // the reports because of which it waits are outdated
 	}
 	atLimit := b.settings.Tier == 0 && float64(b.inFlight) >= b.concurrencyLimit
 	awaitsReports := b.pendingProbes > 0 && b.now < req.probesUntil
@@ -229,7 +229,7 @@
 	return s != nil && b.send(req, s)
 }
 
-// endExpired ends every queued request that cannot be answered in time any more, also behind the head.
+// endExpired ends every queued request that can no longer be completed in time, also behind the head.
 func (b *Balancer) endExpired() {
 	b.expireAt = math.Inf(1)
 	for _, req := range b.queue {
@@ -246,7 +246,7 @@
 	})
 }
 
-// latestStart returns the latest time at which an attempt is of use; in the first tier a response past the
+// latestStart returns the latest time at which an attempt is useful; in the first tier a response past the
 // latency target is not. A mean latency over the threshold's share of the target counts as that share: a
 // class that is never sent would never be measured again.
 func (b *Balancer) latestStart(req *request) float64 {
--- a/balancer/servers.go
+++ b/balancer/servers.go
@@ -7,7 +7,7 @@
 	"milletmast/internal/namehash"
 )
 
-// handleServerList takes a list of servers, or changes of it.
+// handleServerList applies a list of servers, or changes to it.
 func (b *Balancer) handleServerList(ev *Event) {
 	if ev.List == ListFailed {
 		b.scheduleNextPoll()
@@ -24,14 +24,14 @@
 	}
 	b.updateUsable(ev.Servers)
 	if b.rejectsWaiting() {
-		b.expireAt = b.now // what is queued is to wait no longer
+		b.expireAt = b.now // queued requests must not wait any longer
 	}
-	b.removeGone()
+	b.removeUnlisted()
 	b.updateTotals()
 	b.assignHomes()
 }
 
-// scheduleNextPoll polls the list again after a failed poll: later each time, with jitter.
+// scheduleNextPoll schedules a poll of the list after a failed one, with exponential backoff and jitter.
 func (b *Balancer) scheduleNextPoll() {
 	if b.settings.PollsList && b.pollAt == 0 {
 		b.pollAt = b.now + b.pollBackoff*(0.5+b.random())
@@ -39,7 +39,7 @@
 	}
 }
 
-// updateUsable takes entries of a list, and renews what depends on which servers are usable.
+// updateUsable applies list entries, and recomputes what depends on the set of usable servers.
 func (b *Balancer) updateUsable(entries []ServerEntry) {
 	for i := range entries {
 		if s := b.updateServer(&entries[i]); s.listed && !s.inUsable {
@@ -62,7 +62,7 @@
 	}
 }
 
-// updateServer takes an entry of a list. A later start makes a known server another one, which warms up.
+// updateServer applies a list entry. A later start is a new incarnation of the server, which warms up.
 func (b *Balancer) updateServer(e *ServerEntry) *server {
 	s := b.servers[e.ID]
 	if s == nil {
@@ -89,7 +89,7 @@
 	return s
 }
 
-// markLeaving notes a server that may have been removed for good.
+// markLeaving records a server that may have been removed for good.
 func (b *Balancer) markLeaving(s *server) {
 	if !s.leaving {
 		s.leaving = true
@@ -97,9 +97,9 @@
 	}
 }
 
-// removeGone forgets servers that no list names and that nothing is pending of: servers come and go for as
-// long as an instance runs.
-func (b *Balancer) removeGone() {
+// removeUnlisted deletes servers that are no longer listed and have nothing pending. Otherwise the servers that
+// come and go while an instance runs would add up.
+func (b *Balancer) removeUnlisted() {
 	b.leaving = slices.DeleteFunc(b.leaving, func(s *server) bool {
 		gone := !s.listed && s.inFlight+s.longLivedStreams == 0 && !s.probePending
 		if gone {
@@ -111,8 +111,8 @@
 }
 
 // closeIdleConns closes the idle connections to a draining server: when it begins to drain, after each
-// outcome and probe there, and once more later, for one that was still being opened. Without it, an instance
-// that sends seldom would hold the drain up.
+// outcome and probe there, and once more later, for one that was being opened. Otherwise an instance that
+// seldom sends would delay the drain.
 func (b *Balancer) closeIdleConns(s *server) {
 	if s.isReady() || b.settings.Safety.DrainCloseTime <= 0 {
 		return
@@ -125,7 +125,7 @@
 		Action{Kind: ActTimer, Delay: b.settings.Safety.DrainCloseTime / 2})
 }
 
-// closeDueIdleConns does so for those whose time has come. Timers may come timerSlack early.
+// closeDueIdleConns closes idle connections once more where that is due. Timers may fire timerSlack early.
 func (b *Balancer) closeDueIdleConns() {
 	b.closingIdle = slices.DeleteFunc(b.closingIdle, func(s *server) bool {
 		due := b.now >= s.closeIdleAt-timerSlack
@@ -139,8 +139,8 @@
 	})
 }
 
-// assignHomes assigns the zone's servers to the replicas: each gets an even stretch of an order that all
-// know. An instance knows its own requests only, so without this each server would be loaded by chance.
+// assignHomes assigns the zone's servers to the replicas: each gets an equal range of an order that is the
+// same at all. An instance knows only its own requests, so otherwise the load of each server would be random.
 func (b *Balancer) assignHomes() {
 	zones := 1
 	b.homes = slices.DeleteFunc(b.homes, func(s *server) bool {
@@ -155,7 +155,7 @@
 			b.homes = append(b.homes, s)
 		}
 	}
-	// Those that stay are in order, so a few new ones cost a linear pass.
+	// Those that stay are already sorted, so a few new ones cost a linear pass.
 	slices.SortFunc(b.homes, func(x, y *server) int { return cmp.Compare(x.hashOrder, y.hashOrder) })
 	replicas := max(b.settings.Replicas/zones, 1)
 	each := float64(len(b.homes)) / float64(replicas)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -30,9 +30,9 @@
 type Class struct {
 	Name           string
 	PriorityWeight float64 // of a request that is answered in time; default 1
-	LateShare      float64 // share of PriorityWeight that a response after the target is worth
+	LateShare      float64 // share of PriorityWeight that a response after the target counts
 	LatencyTarget  float64
-	TargetPerWork  float64 // by which the target grows with a request's own work
+	TargetPerWork  float64 // added to the target for each unit of a request's WorkHint
 	Timeout        float64
 	Effect         Effect
 	DedupGroup     DedupGroup // keyed only
@@ -40,16 +40,16 @@
 	Streaming      bool
 }
 
-// Tenant is one of those who share the service.
+// Tenant is a group of clients that has a quota of its own.
 type Tenant struct {
 	Name  string
 	Quota float64 // requests a second over all replicas; 0 = no quota
 }
 
-// Limits are what the site permits. Some are for the caller of the module only.
+// Limits are what the site permits. Those for the caller are not used by this package.
 type Limits struct {
 	MaxAttempts             int // of a request; default 1
-	MaxRequests             int // that have not ended, at each replica; 0 = no limit
+	MaxRequests             int // requests that have not ended, at each replica; 0 = no limit
 	CanCancel               bool
 	CanHedge                bool // for the caller
 	CanProbe                bool
@@ -58,52 +58,52 @@
 	ConnectTimeout          float64 // for the caller
 	ConnIdleTimeout         float64 // 0 = not known
 	StreamsPerConn          int     // attempts that a connection carries at once; default 1
-	MinConcurrencyPerServer float64 // in flight for each serving server that are always sent; servers reject what is too much
-	RejectWithoutServers    bool    // without a usable server requests end at once and do not wait for one
+	MinConcurrencyPerServer float64 // least concurrency limit for each serving server; servers reject the excess
+	RejectWithoutServers    bool    // requests end at once while no server is usable, and do not wait for one
 }
 
-// Safety holds the figures of the four rules.
+// Safety holds the parameters of the safety rules.
 type Safety struct {
 	ResponseSlack     float64 // for the caller
 	DrainGrace        float64 // for the caller
 	SlowStartShare    float64 // share of its capacity that a server has at its start, at least
-	SlowStartTime     float64 // after which it has all of it, at the latest
+	SlowStartTime     float64 // time after which it has its full capacity, at the latest
 	OverloadMultiple  float64 // for the caller
 	OverloadTime      float64 // for the caller
 	ListInterval      float64 // longest interval between polls of the list
 	DrainCloseTime    float64 // within which idle connections to a draining server are closed; 0 = no such rule
 	RetryBudgetMin    float64 // retries that are allowed within any RetryBudgetWindow
-	RetryBudgetShare  float64 // and further ones, as a share of its requests
-	RetryBudgetWindow float64 // 0 = the site states no budget
+	RetryBudgetShare  float64 // retries allowed beyond these, as a share of the requests in the window
+	RetryBudgetWindow float64 // 0 = the site sets no budget
 }
 
-// Settings are what an instance of the module is given at its start. Times are milliseconds.
+// Settings configure an instance of the module at its start. Times are in milliseconds.
 type Settings struct {
 	Replicas         int // instances that send to this tier; default 1
-	Rank             int // of this one among them, from 0
+	Rank             int // rank of this instance among them, from 0
 	Tier, Tiers      int // the tier that this instance sends to, and their number; 0 is the first
 	Zone             int
 	PollsList        bool    // the server list is polled, not pushed
 	WeightByWork     bool    // the goal counts requests by their work
-	ProbeCost        float64 // of the goal, for a probe a request
-	QueueLengthField int     // place of the queue's length in a load report, from 1; 0 = none
+	ProbeCost        float64 // cost of one probe for each request, as a share of the goal
+	QueueLengthField int     // position of the queue length in a load report, from 1; 0 = none
 	WorstClassWeight float64 // weight of the worst-served class in the goal, relative to that of all
-	OverQuotaShare   float64 // of a request's priority weight, beyond the quota of its tenant
+	OverQuotaShare   float64 // share of its priority weight that a request beyond its tenant's quota has
 	Classes          []Class
 	Tenants          []Tenant
 	Limits           Limits
 	Safety           Safety
 }
 
-// normalize fills in defaults, and returns an error that names the first setting that cannot be used.
+// normalize fills in defaults, and returns an error that names the first invalid setting.
 func (set *Settings) normalize() error {
 	set.Replicas, set.Tiers = max(set.Replicas, 1), max(set.Tiers, 1)
 	set.Limits.MaxAttempts = max(set.Limits.MaxAttempts, 1)
 	if len(set.Classes) == 0 {
-		return errors.New("settings: Classes is empty")
+		return errors.New("settings: Classes is empty: at least one class is required")
 	}
 	if set.Tier < 0 || set.Tier >= set.Tiers {
-		return fmt.Errorf("settings: Tier %d is outside the %d tiers", set.Tier, set.Tiers)
+		return fmt.Errorf("settings: Tier %d is not between 0 and %d", set.Tier, set.Tiers-1)
 	}
 	for i := range set.Classes {
 		if err := set.Classes[i].validate(); err != nil {
@@ -115,10 +115,11 @@
 
 func (c *Class) validate() error {
 	if c.Effect > Unsafe {
-		return fmt.Errorf("Effect %d is unknown", c.Effect)
+		return fmt.Errorf("Effect %d is unknown: it must be at most %d", c.Effect, Unsafe)
 	}
 	if !(c.Timeout > 0) || !(c.LatencyTarget > 0) || c.DedupWindow < 0 || c.PriorityWeight < 0 {
-		return fmt.Errorf("out of range: Timeout %v, LatencyTarget %v, DedupWindow %v or PriorityWeight %v",
+		return fmt.Errorf("out of range: Timeout %v and LatencyTarget %v must be positive, "+
+			"DedupWindow %v and PriorityWeight %v must not be negative",
 			c.Timeout, c.LatencyTarget, c.DedupWindow, c.PriorityWeight)
 	}
 	return nil
@@ -136,7 +137,7 @@
 		{"RetryBudgetWindow", f.RetryBudgetWindow},
 	} {
 		if !(setting.value >= 0) || math.IsInf(setting.value, 0) {
-			return fmt.Errorf("settings: Safety.%s %v is negative or not a number", setting.name, setting.value)
+			return fmt.Errorf("settings: Safety.%s %v is negative or not a finite number", setting.name, setting.value)
 		}
 	}
 	return nil
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -30,7 +30,7 @@
 	actions   []balancer.Action
 }
 
-// run answers batches until the input ends.
+// run reads batches and writes a reply to each until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
 	h := &host{instances: map[uint16]*balancer.Balancer{}}
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -25,21 +25,21 @@
 	return append(out, tail...)
 }
 
-// script starts an instance with one server and gives it one request.
-func script() []byte {
+// exampleInput returns batches that start an instance with one server and pass it one request.
+func exampleInput() []byte {
 	le := binary.LittleEndian
 	entry := append(le.AppendUint32(nil, 77), make([]byte, 18)...)
 	tail := append([]byte(settings), entry...)
 	start := append([]byte{1, 0, 3, 0}, make([]byte, 8)...)
 	start = le.AppendUint32(le.AppendUint32(start, 0), uint32(len(settings)))
-	roster := le.AppendUint32(le.AppendUint32([]byte{11, 0, 0, 0, 0, 0}, uint32(len(settings))), 1)
+	list := le.AppendUint32(le.AppendUint32([]byte{11, 0, 0, 0, 0, 0}, uint32(len(settings))), 1)
 	change := append([]byte{2, 0, 3, 0}, 0, 0, 0, 0, 1, 0, 0, 0, 1)
 	request := append([]byte{3, 0, 3, 0, 9, 0, 0, 0}, make([]byte, 12)...)
 	request = le.AppendUint64(request, math.Float64bits(1900))
-	return append(batch(1, 1000, tail, start, roster, change), batch(2, 1000, nil, request)...)
+	return append(batch(1, 1000, tail, start, list, change), batch(2, 1000, nil, request)...)
 }
 
-// build compiles the adapter as the deploy file does.
+// build compiles simhost with the command of the deploy file.
 func build(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "simhost")
@@ -49,7 +49,7 @@
 	return bin
 }
 
-func TestAdapterAnswersBatches(t *testing.T) {
+func TestSimhostRepliesToBatches(t *testing.T) {
 	bin := build(t)
 	run := func(in []byte) (string, string, error) {
 		cmd := exec.Command(bin)
@@ -58,9 +58,9 @@
 		err := cmd.Run()
 		return stdout.String(), stderr.String(), err
 	}
-	stdout, stderr, err := run(script())
+	stdout, stderr, err := run(exampleInput())
 	if err != nil || stderr != "" {
-		t.Fatalf("end of input must be a clean exit: %v, %s", err, stderr)
+		t.Fatalf("error %v, standard error %q; want exit code 0 and no output at the end of the input", err, stderr)
 	}
 	le := binary.LittleEndian
 	out := []byte(stdout)
@@ -80,19 +80,20 @@
 		name, want string
 		in         []byte
 	}{
-		{"truncated", "bytes missing", script()[:80]},
+		{"truncated", "bytes missing", exampleInput()[:80]},
 		{"unknown code", "event code 44", batch(1, 0, nil, []byte{44, 0})},
 		{"broken settings", "settings", batch(1, 0, []byte("{"), append(make([]byte, 0, 20), 1, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0))},
 	} {
 		stdout, stderr, err := run(c.in)
 		if err == nil || stdout != "" || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, c.want) {
-			t.Errorf("%s: error %v, out %q, told %q", c.name, err, stdout, stderr)
+			t.Errorf("%s: error %v, standard output %q, standard error %q; want one line with %q", c.name, err, stdout, stderr, c.want)
 		}
 	}
 }
 
-// Settings that the module refuses are that instance's own failure, not the process's.
-func TestRefusedSettingsAreAFault(t *testing.T) {
+// TestInvalidSettingsAreReportedAsFault: settings that the module rejects are a fault of that instance and do not end
+// the process.
+func TestInvalidSettingsAreReportedAsFault(t *testing.T) {
 	text := []byte(`{"stages": ["a"]}`)
 	start := append([]byte{1, 0, 3, 0}, make([]byte, 8)...)
 	start = binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(start, 0), uint32(len(text)))
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -23,7 +23,7 @@
 type Batch struct {
 	Number uint32
 	Now    float64 // time of its events in milliseconds
-	count  int     // of event records
+	count  int     // number of event records
 	body   []byte  // records and tail; valid until the next Read
 }
 
@@ -52,7 +52,7 @@
 	size := int(readUint32(header[4:]))
 	switch {
 	case math.IsNaN(b.Now) || math.IsInf(b.Now, 0):
-		return b, fmt.Errorf("batch %d: the clock is no number", b.Number)
+		return b, fmt.Errorf("batch %d: clock %v is not a finite number", b.Number, b.Now)
 	case size > maxBatchSize:
 		return b, fmt.Errorf("batch %d: length %d is over the limit of %d bytes", b.Number, size, maxBatchSize)
 	case b.count > size/eventSize:
@@ -72,7 +72,7 @@
 		from, step := len(d.body), min(size-len(d.body), maxAllocation)
 		d.body = append(d.body, make([]byte, step)...)
 		if _, err := io.ReadFull(r, d.body[from:]); err != nil {
-			if errors.Is(err, io.EOF) { // only an end between two batches is a clean one
+			if errors.Is(err, io.EOF) { // the input may only end between two batches
 				err = io.ErrUnexpectedEOF
 			}
 			return fmt.Errorf("%d of %d bytes missing: %w", size-from, size, err)
@@ -177,7 +177,7 @@
 func (d *Decoder) defineList(record, tail []byte) error {
 	number, count := readUint32(record[2:]), readUint32(record[10:])
 	if number >= maxLists {
-		return fmt.Errorf("list number %d is over %d", number, maxLists-1)
+		return fmt.Errorf("list number %d is over the limit of %d", number, maxLists-1)
 	}
 	entries, err := tailSlice(tail, readUint32(record[6:]), count, entrySize)
 	if err != nil {
@@ -218,7 +218,7 @@
 	}
 	number := readUint32(record[4:])
 	if number >= maxLists || !d.defined[number] {
-		return fmt.Errorf("list %d was never sent", number)
+		return fmt.Errorf("list %d is not defined: no earlier record defines it", number)
 	}
 	event.Servers = d.lists[number]
 	return nil
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -11,13 +11,13 @@
 	"milletmast/balancer"
 )
 
-// recorder keeps what a batch delivers.
+// recorder is a Handler that records what a batch delivers.
 type recorder struct {
-	started  map[uint16]uint64
-	settings string
-	stopped  []uint16
-	events   []balancer.Event
-	insts    []uint16
+	started   map[uint16]uint64
+	settings  string
+	stopped   []uint16
+	events    []balancer.Event
+	instances []uint16 // of the events
 }
 
 func (r *recorder) Start(inst uint16, seed uint64, settings []byte, _ float64) error {
@@ -33,12 +33,12 @@
 func (r *recorder) Event(inst uint16, _ float64, ev *balancer.Event) error {
 	kept := *ev
 	kept.Servers = append([]balancer.ServerEntry(nil), ev.Servers...)
-	r.insts = append(r.insts, inst)
+	r.instances = append(r.instances, inst)
 	r.events = append(r.events, kept)
 	return nil
 }
 
-func unhex(t *testing.T, text string) []byte {
+func decodeHex(t *testing.T, text string) []byte {
 	t.Helper()
 	raw, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	if err != nil {
@@ -47,14 +47,14 @@
 	return raw
 }
 
-// padded gives one event record: the fields, then zeros to the full size.
-func padded(t *testing.T, fields string) []byte {
+// eventRecord returns an event record: the fields in hex, padded with zeros.
+func eventRecord(t *testing.T, fields string) []byte {
 	t.Helper()
-	raw := unhex(t, fields)
+	raw := decodeHex(t, fields)
 	return append(raw, make([]byte, eventSize-len(raw))...)
 }
 
-// frame builds a batch numbered 12 at the clock of the wire page's example.
+// frame returns a batch with number 12 and the time of the example in the protocol's documentation.
 func frame(records [][]byte, tail []byte) []byte {
 	body := append(bytes.Join(records, nil), tail...)
 	head := []byte{12, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x20, 0x6e, 0xc0, 0x40, byte(len(records)), 0, 0, 0}
@@ -75,7 +75,7 @@
 
 func TestEmptyBatchAndReply(t *testing.T) {
 	var d Decoder
-	b, err := d.Read(bytes.NewReader(unhex(t, "01000000 00000000 00000000206ec040 00000000")))
+	b, err := d.Read(bytes.NewReader(decodeHex(t, "01000000 00000000 00000000206ec040 00000000")))
 	if err != nil || b.Number != 1 || b.Now != 8412.25 {
 		t.Fatalf("batch %+v, error %v", b, err)
 	}
@@ -84,16 +84,16 @@
 	if err := r.WriteTo(&out, b.Number); err != nil {
 		t.Fatal(err)
 	}
-	if want := unhex(t, "01000000 00000000 00000000"); !bytes.Equal(out.Bytes(), want) {
+	if want := decodeHex(t, "01000000 00000000 00000000"); !bytes.Equal(out.Bytes(), want) {
 		t.Errorf("reply %x, want %x", out.Bytes(), want)
 	}
 }
 
 func TestExampleBatch(t *testing.T) {
 	raw := frame([][]byte{
-		padded(t, "0300 0300 c4913a5d 0000 0000 640ad2557c3bf091 0000000020e6c040 0000000000002840 01"),
-		padded(t, "0700 0300 4d00000000000000"),
-		padded(t, "0600 0500 192b6f0e"),
+		eventRecord(t, "0300 0300 c4913a5d 0000 0000 640ad2557c3bf091 0000000020e6c040 0000000000002840 01"),
+		eventRecord(t, "0700 0300 4d00000000000000"),
+		eventRecord(t, "0600 0500 192b6f0e"),
 	}, nil)
 	rec, err := deliver(t, raw)
 	if err != nil {
@@ -112,8 +112,8 @@
 			t.Errorf("event %d: %+v, want %+v", i, got, w)
 		}
 	}
-	if rec.insts[0] != 3 || rec.insts[2] != 5 {
-		t.Errorf("instances %v", rec.insts)
+	if rec.instances[0] != 3 || rec.instances[2] != 5 {
+		t.Errorf("instances %v, want 3 for the first event and 5 for the third", rec.instances)
 	}
 }
 
@@ -127,7 +127,7 @@
 		t.Fatal(err)
 	}
 	got := out.Bytes()
-	want := unhex(t, `0c000000 03000000 59000000
+	want := decodeHex(t, `0c000000 03000000 59000000
 		0100 0300 c4913a5d 074a1203 000000002096c040 00000000
 		0500 0300 0000000000407f40 4d00000000000000 00000000
 		0900 0500 00000000 11000000 000000000000000000000000
@@ -160,7 +160,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var r Reply
 			r.Add(c.inst, &c.action)
-			if want := unhex(t, c.want); !bytes.Equal(r.records, want) {
+			if want := decodeHex(t, c.want); !bytes.Equal(r.records, want) {
 				t.Errorf("record %x, want %x", r.records, want)
 			}
 		})
@@ -168,14 +168,14 @@
 }
 
 func TestGoldenEvents(t *testing.T) {
-	list := unhex(t, "074a1203 00 0000 0000 00 0000803f 0000000000000000 f211902c 00 0000 0000 00 0000c03f 0000000000d4b740")
+	list := decodeHex(t, "074a1203 00 0000 0000 00 0000803f 0000000000000000 f211902c 00 0000 0000 00 0000c03f 0000000000d4b740")
 	raw := frame([][]byte{
-		padded(t, "0b00 00000000 00000000 02000000"),
-		padded(t, "0200 0300 00000000 29000000 01"),
-		padded(t, "0400 0300 c4913a5d 0000 074a1203 0000000000802240"),
-		padded(t, "0500 0300 c4913a5d 00 074a1203 0000 0000000000803240 01 00"),
-		padded(t, "0800 0300 f211902c 00 666666666666f63f 00"),
-		padded(t, "0a00 0300"),
+		eventRecord(t, "0b00 00000000 00000000 02000000"),
+		eventRecord(t, "0200 0300 00000000 29000000 01"),
+		eventRecord(t, "0400 0300 c4913a5d 0000 074a1203 0000000000802240"),
+		eventRecord(t, "0500 0300 c4913a5d 00 074a1203 0000 0000000000803240 01 00"),
+		eventRecord(t, "0800 0300 f211902c 00 666666666666f63f 00"),
+		eventRecord(t, "0a00 0300"),
 	}, list)
 	rec, err := deliver(t, raw)
 	if err != nil {
@@ -189,7 +189,7 @@
 		t.Errorf("servers %+v", servers)
 	}
 	if e := rec.events[1]; e.Kind != balancer.EvFirstByte || e.Server != 0x03124a07 || e.Elapsed != 9.25 {
-		t.Errorf("first %+v", e)
+		t.Errorf("first byte %+v", e)
 	}
 	if e := rec.events[2]; e.Kind != balancer.EvAttemptEnded || e.Outcome != balancer.OK || e.Elapsed != 18.5 || !e.RequestEnded {
 		t.Errorf("outcome %+v", e)
@@ -202,27 +202,27 @@
 	}
 }
 
-// Each malformed frame must end in an error that says what is wrong.
+// TestMalformedFrames: a malformed frame causes an error that names the fault.
 func TestMalformedFrames(t *testing.T) {
-	whole := frame([][]byte{padded(t, "0600 0500 192b6f0e")}, nil)
+	valid := frame([][]byte{eventRecord(t, "0600 0500 192b6f0e")}, nil)
 	for _, c := range []struct {
 		name, want string
 		raw        []byte
 	}{
-		{"short header", "batch header", whole[:10]},
-		{"short body", "bytes missing", whole[:40]},
-		{"no body", "bytes missing", whole[:batchHeaderSize]},
-		{"records over length", "do not fit", append(append([]byte{}, whole[:16]...), append([]byte{9, 0, 0, 0}, whole[20:]...)...)},
-		{"huge length", "over the limit", unhex(t, "01000000 ffffffff 00000000206ec040 00000000")},
-		{"clock", "no number", unhex(t, "01000000 00000000 000000000000f87f 00000000")},
-		{"event code", "event code 99", frame([][]byte{padded(t, "6300 0300")}, nil)},
-		{"outcome", "outcome 7", frame([][]byte{padded(t, "0500 0300 c4913a5d 07")}, nil)},
-		{"list kind", "list kind 9", frame([][]byte{padded(t, "0200 0300 00000000 00000000 09")}, nil)},
-		{"unknown list", "never sent", frame([][]byte{padded(t, "0200 0300 05000000 00000000 03")}, nil)},
-		{"list number", "list number 16", frame([][]byte{padded(t, "0b00 10000000 00000000 00000000")}, nil)},
-		{"list outside", "outside the tail", frame([][]byte{padded(t, "0b00 00000000 00000000 ffffffff")}, nil)},
-		{"settings outside", "outside the tail", frame([][]byte{padded(t, "0100 0300 0000000000000000 ffffffff 02000000")}, nil)},
-		{"server state", "state 3", frame([][]byte{padded(t, "0b00 00000000 00000000 01000000")},
+		{"short header", "batch header", valid[:10]},
+		{"short body", "bytes missing", valid[:40]},
+		{"no body", "bytes missing", valid[:batchHeaderSize]},
+		{"records over length", "do not fit", append(append([]byte{}, valid[:16]...), append([]byte{9, 0, 0, 0}, valid[20:]...)...)},
+		{"huge length", "over the limit", decodeHex(t, "01000000 ffffffff 00000000206ec040 00000000")},
+		{"clock", "clock NaN is not a finite number", decodeHex(t, "01000000 00000000 000000000000f87f 00000000")},
+		{"event code", "event code 99", frame([][]byte{eventRecord(t, "6300 0300")}, nil)},
+		{"outcome", "outcome 7", frame([][]byte{eventRecord(t, "0500 0300 c4913a5d 07")}, nil)},
+		{"list kind", "list kind 9", frame([][]byte{eventRecord(t, "0200 0300 00000000 00000000 09")}, nil)},
+		{"unknown list", "list 5 is not defined", frame([][]byte{eventRecord(t, "0200 0300 05000000 00000000 03")}, nil)},
+		{"list number", "list number 16", frame([][]byte{eventRecord(t, "0b00 10000000 00000000 00000000")}, nil)},
+		{"list outside", "outside the tail", frame([][]byte{eventRecord(t, "0b00 00000000 00000000 ffffffff")}, nil)},
+		{"settings outside", "outside the tail", frame([][]byte{eventRecord(t, "0100 0300 0000000000000000 ffffffff 02000000")}, nil)},
+		{"server state", "state 3", frame([][]byte{eventRecord(t, "0b00 00000000 00000000 01000000")},
 			append([]byte{0, 0, 0, 0, 0, 0, 0, 0, 0, 3}, make([]byte, 12)...))},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -231,13 +231,13 @@
 				t.Fatalf("error %v, want one with %q", err, c.want)
 			}
 			if errors.Is(err, io.EOF) {
-				t.Errorf("%v would pass for a clean end of input", err)
+				t.Errorf("error %v is io.EOF, which means a regular end of input", err)
 			}
 		})
 	}
 }
 
-func TestCleanEnd(t *testing.T) {
+func TestEndOfInputBetweenBatches(t *testing.T) {
 	if _, err := new(Decoder).Read(bytes.NewReader(nil)); !errors.Is(err, io.EOF) || err.Error() != io.EOF.Error() {
 		t.Errorf("error %v, want io.EOF itself", err)
 	}
@@ -259,7 +259,7 @@
 				return
 			}
 			if len(b.body) > len(raw) {
-				t.Fatalf("a body of %d bytes out of %d", len(b.body), len(raw))
+				t.Fatalf("body of %d bytes from an input of %d bytes", len(b.body), len(raw))
 			}
 			if d.Deliver(b, &rec) != nil {
 				return
@@ -284,7 +284,7 @@
 		t.Errorf("class %+v", c)
 	}
 	if d := set.Classes[1]; d.Effect != balancer.Unsafe || d.PriorityWeight != 0 {
-		t.Errorf("an absent effect must be the strictest, a worth of 0 kept: %+v", d)
+		t.Errorf("an absent effect must be read as unsafe, and a priority weight of 0 kept: %+v", d)
 	}
 	if set.Replicas != 4 || set.Rank != 2 || set.Tier != 1 || set.Tiers != 2 || set.Zone != 1 ||
 		!set.PollsList || !set.WeightByWork || set.OverQuotaShare != 1 || set.WorstClassWeight != 0.25 || set.Tenants[0].Quota != 94 ||
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -8,7 +8,7 @@
 	"milletmast/balancer"
 )
 
-// Reply collects the actions that answer one batch.
+// Reply collects the actions that result from one batch.
 type Reply struct {
 	records []byte
 	tail    []byte
@@ -30,7 +30,7 @@
 		put.PutUint32(record[8:], action.Server)
 		putFloat64(record[12:], action.Deadline)
 	case balancer.ActReject:
-		code = actionRefuse
+		code = actionReject
 		put.PutUint32(record[4:], action.Request)
 		putFloat64(record[8:], action.Delay)
 	case balancer.ActFail:
@@ -51,16 +51,16 @@
 		code = actionProbe
 		put.PutUint32(record[4:], action.Server)
 	case balancer.ActCloseIdle:
-		code = actionClose
+		code = actionCloseIdle
 		put.PutUint32(record[4:], action.Server)
 	case balancer.ActSubscribe:
-		code = actionWatch
+		code = actionSubscribe
 		record[4] = 1
 	}
 	put.PutUint16(record, code)
 }
 
-// AddFault appends the message by which an instance reports that it cannot work.
+// AddFault appends a fault action: the instance cannot work, for the reason in the text.
 func (r *Reply) AddFault(instance uint16, text string) {
 	record := r.newRecord(instance)
 	binary.LittleEndian.PutUint16(record, actionFault)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -77,14 +77,14 @@
 	Stream      bool     `json:"stream"`
 }
 
-// effects maps the names of effects.
+// effects maps the names of effects in the settings object.
 var effects = map[string]balancer.Effect{
 	"read_like":       balancer.Safe,
 	"idempotency_key": balancer.Keyed,
 	"non_idempotent":  balancer.Unsafe,
 }
 
-// groups maps the names of the groups that remember a key.
+// groups maps the names of deduplication groups in the settings object.
 var groups = map[string]balancer.DedupGroup{
 	"all":  balancer.DedupAll,
 	"zone": balancer.DedupZone,
@@ -103,7 +103,7 @@
 	return site.Settings, err
 }
 
-// ParseSite parses the same object for a host that knows zones and kinds by name.
+// ParseSite parses the settings object and keeps the names of its zones and kinds.
 func ParseSite(text []byte) (Site, error) {
 	var parsed settingsJSON
 	if err := json.Unmarshal(text, &parsed); err != nil {
@@ -164,14 +164,14 @@
 		effect, found = balancer.Unsafe, true
 	}
 	if !found {
-		return balancer.Class{}, fmt.Errorf("effect %q is unknown", c.Effect)
+		return balancer.Class{}, fmt.Errorf("effect %q is unknown: allowed are read_like, idempotency_key and non_idempotent", c.Effect)
 	}
 	group, found := groups[c.Group]
 	if c.Group == "" {
 		group, found = balancer.DedupCell, true
 	}
 	if !found {
-		return balancer.Class{}, fmt.Errorf("group %q is unknown", c.Group)
+		return balancer.Class{}, fmt.Errorf("group %q is unknown: allowed are all, zone and cell", c.Group)
 	}
 	return balancer.Class{
 		Name: c.Name, PriorityWeight: orDefault(c.Worth, 1), LateShare: c.LateWorth,
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -19,11 +19,11 @@
 	eventSize       = 48
 	actionSize      = 24
 	entrySize       = 22      // of one server of a list
-	maxBatchSize    = 1 << 30 // a longer length is taken for a broken frame
-	maxAllocation   = 1 << 20 // at a time while a batch arrives, so that a false length allocates little
+	maxBatchSize    = 1 << 30 // a batch with a greater length is rejected as corrupt
+	maxAllocation   = 1 << 20 // allocated at a time while a batch is read, so that a false length allocates little
 )
 
-// maxLists is the number of server lists that a process may number.
+// maxLists is the number of server lists that a process may define.
 const maxLists = 16
 
 // Codes of events.
@@ -36,7 +36,7 @@
 	eventRequestAbandoned      = 6
 	eventTimer                 = 7
 	eventProbeResult           = 8
-	eventPeer                  = 9 // ignored: the module has no use for it
+	eventPeer                  = 9 // ignored: the module does not use it
 	eventInstanceStopped       = 10
 	eventListDefined           = 11
 	requestHasHint        byte = 1 // flag of a request's record
@@ -44,19 +44,19 @@
 
 // Codes of actions.
 const (
-	actionSend   = 1
-	actionRefuse = 2
-	actionFail   = 3
-	actionCancel = 4
-	actionTimer  = 5
-	actionProbe  = 6
-	actionClose  = 7
-	actionLog    = 9
-	actionFault  = 10
-	actionWatch  = 11
+	actionSend      = 1
+	actionReject    = 2
+	actionFail      = 3
+	actionCancel    = 4
+	actionTimer     = 5
+	actionProbe     = 6
+	actionCloseIdle = 7
+	actionLog       = 9
+	actionFault     = 10
+	actionSubscribe = 11
 )
 
-// Codes of the kinds of a list.
+// Codes of list kinds.
 const (
 	listFailed = 0
 	listCached = 1
@@ -64,7 +64,7 @@
 	listFull   = 3
 )
 
-// outcomes maps the codes of outcomes.
+// outcomes maps the codes of outcomes on the wire.
 var outcomes = map[byte]balancer.Outcome{
 	0: balancer.OK, 255: balancer.Error, 254: balancer.NotExecuted, 253: balancer.Timeout,
 	252: balancer.ConnectFailed, 251: balancer.Reset, 250: balancer.Canceled, 249: balancer.NotSent,
