--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -109,13 +109,13 @@
 		h.request(1, 0)
 		acts := h.do(Event{Kind: EvRequestAbandoned, Request: 1})
 		if canCancel != (len(acts) == 1 && acts[0].Kind == ActCancel && acts[0].Request == 1) {
-			t.Errorf("CanCancel %v: actions %+v", canCancel, acts)
+			t.Errorf("CanCancel %v: actions %+v, want a cancel only if it is true", canCancel, acts)
 		}
 	}
 }
 
 // TestRetryGoesToAnotherServer: a server that rejects at once does not get the same request again while
-// others are untried.
+// there are servers that it has not tried.
 func TestRetryGoesToAnotherServer(t *testing.T) {
 	h := newHarness(t, testSettings(), serverEntries(3)...)
 	acts := h.request(1, 0)
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -30,7 +30,7 @@
 			before := h.b.inFlight
 			h.do(Event{Kind: EvAttemptEnded, Request: id, Server: leaving.ID, Outcome: OK, Elapsed: 5, RequestEnded: true})
 			if h.b.inFlight != before {
-				t.Errorf("%d requests in flight, want %d", h.b.inFlight, before)
+				t.Errorf("%d requests in flight after a response from the draining server, want %d", h.b.inFlight, before)
 			}
 		}
 	}
@@ -247,7 +247,7 @@
 }
 
 // TestMinConcurrencyPerServer: a replica sends the minimum for each serving server, however small its limit
-// became; without a minimum it keeps to the limit.
+// became. Without a minimum it does not exceed the limit.
 func TestMinConcurrencyPerServer(t *testing.T) {
 	countSends := func(minPerServer float64) int {
 		b, err := New(Settings{
--- a/balancer/servers.go
+++ b/balancer/servers.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// removeUnlisted deletes servers that are no longer listed and have nothing pending. Otherwise the servers that
-// come and go while an instance runs would add up.
+// removeUnlisted deletes servers that are no longer listed and have nothing pending. Otherwise the
+// servers that come and go while an instance runs would add up.
 func (b *Balancer) removeUnlisted() {
 	b.leaving = slices.DeleteFunc(b.leaving, func(s *server) bool {
 		gone := !s.listed && s.inFlight+s.longLivedStreams == 0 && !s.probePending
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -9,7 +9,7 @@
 // Effect says whether a request of a class may be executed more than once.
 type Effect uint8
 
-// The effects.
+// The effects of a request.
 const (
 	Safe   Effect = iota // may be repeated
 	Keyed                // repeats are recognized by a key, within a group of servers and for a time
@@ -19,7 +19,7 @@
 // DedupGroup is the set of servers that recognize repeats of a keyed request.
 type DedupGroup uint8
 
-// The groups.
+// The groups of servers.
 const (
 	DedupAll DedupGroup = iota
 	DedupZone
@@ -29,7 +29,7 @@
 // Class describes a class of requests.
 type Class struct {
 	Name           string
-	PriorityWeight float64 // of a request that is answered in time; default 1
+	PriorityWeight float64 // weight in the goal of a request that is completed in time; default 1
 	LateShare      float64 // share of PriorityWeight that a response after the target counts
 	LatencyTarget  float64
 	TargetPerWork  float64 // added to the target for each unit of a request's WorkHint
@@ -56,7 +56,7 @@
 	RetryAfter              bool    // for the caller
 	MaxRetryAfter           float64 // for the caller
 	ConnectTimeout          float64 // for the caller
-	ConnIdleTimeout         float64 // 0 = not known
+	ConnIdleTimeout         float64 // idle time after which connections are closed; 0 = unknown
 	StreamsPerConn          int     // attempts that a connection carries at once; default 1
 	MinConcurrencyPerServer float64 // least concurrency limit for each serving server; servers reject the excess
 	RejectWithoutServers    bool    // requests end at once while no server is usable, and do not wait for one
@@ -71,8 +71,8 @@
 	OverloadMultiple  float64 // for the caller
 	OverloadTime      float64 // for the caller
 	ListInterval      float64 // longest interval between polls of the list
-	DrainCloseTime    float64 // within which idle connections to a draining server are closed; 0 = no such rule
-	RetryBudgetMin    float64 // retries that are allowed within any RetryBudgetWindow
+	DrainCloseTime    float64 // time within which idle connections to a draining server are closed; 0 = they are not
+	RetryBudgetMin    float64 // retries that are always allowed within a RetryBudgetWindow
 	RetryBudgetShare  float64 // retries allowed beyond these, as a share of the requests in the window
 	RetryBudgetWindow float64 // 0 = the site sets no budget
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -6,8 +6,8 @@
 type server struct {
 	ServerEntry
 	listed             bool // the last complete list had it, and no later change removed it
-	inUsable, inHomes  bool // it is in the Balancer's usable and homes
-	leaving            bool // it is in the Balancer's leaving
+	inUsable, inHomes  bool // it is in Balancer.usable, in Balancer.homes
+	leaving            bool // it is in Balancer.leaving
 	hashOrder          uint64
 	homeShare          float64 // share of this server that is assigned to this replica
 	connected          bool    // it has responded since a connection to it last failed
@@ -59,7 +59,7 @@
 	id            uint32
 	class, tenant uint16
 	priority      float64 // its priority weight as a multiple of its class's
-	maxAttempts   int     // 0 = as in Limits
+	maxAttempts   int     // 0 = Limits.MaxAttempts
 	preferred     []uint32
 	notRepeatable bool
 	shed          bool // the sidecar's degradation level rejects it
@@ -89,7 +89,7 @@
 	maxPriority  float64 // highest recent priority, decaying
 }
 
-// Balancer decides for one instance. It is not safe for concurrent use.
+// Balancer makes the decisions of one instance of a load balancer. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	rng      uint64
