--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,4 @@
-// Command proxy is the data-plane proxy: one beside every endpoint. It carries the traffic.
+// Command proxy is the data-plane proxy, one beside every endpoint. It forwards the requests between services.
 package main
 
 import (
@@ -10,5 +10,5 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run runs the program with arguments and gives its exit code.
+// run runs the program with arguments and returns its exit code.
 func run(args []string) int { return process.Execute("proxy", args, proxy.New, queryCommands()...) }
--- a/cmd/proxy/query.go
+++ b/cmd/proxy/query.go
@@ -24,19 +24,19 @@
 			"proxy",
 			"status",
 			"configuration version, control planes, the endpoint and its admission control, services",
-			func(_ context.Context, addr string, within time.Duration, _ []string) (process.Printer, error) {
-				return proxy.QueryStatus(addr, proxy.StatusQuery{}, within)
+			func(_ context.Context, addr string, timeout time.Duration, _ []string) (process.Printer, error) {
+				return proxy.QueryStatus(addr, proxy.StatusQuery{}, timeout)
 			},
 		),
 		process.QueryCommand(
 			"proxy",
 			"explain",
 			"the events of a request, by the id of its attempt",
-			func(_ context.Context, addr string, within time.Duration, args []string) (process.Printer, error) {
+			func(_ context.Context, addr string, timeout time.Duration, args []string) (process.Printer, error) {
 				if len(args) != 1 {
 					return nil, ff.ErrHelp
 				}
-				s, err := proxy.QueryStatus(addr, proxy.StatusQuery{RequestID: args[0]}, within)
+				s, err := proxy.QueryStatus(addr, proxy.StatusQuery{RequestID: args[0]}, timeout)
 				return requestEvents{s}, err
 			},
 		),
--- a/internal/mesh/proxy/bodybudget.go
+++ b/internal/mesh/proxy/bodybudget.go
@@ -15,27 +15,27 @@
 )
 
 // bodyBudget bounds the memory of the large bodies that a proxy holds.
-type bodyBudget struct{ left atomic.Int64 }
+type bodyBudget struct{ available atomic.Int64 } // in bytes
 
-// reserve reserves memory for the body of a request until that ends. It returns the largest body to
-// accept, or the reply if there is no memory now: nothing of the body was read then.
+// reserve reserves memory for the body of a request until the request ends. It returns the largest
+// body to accept, or a rejecting reply if too little memory is available; the body is unread then.
 func (b *bodyBudget) reserve(req *sidecar.IncomingRequest, limit int64) (int64, *sidecar.Reply) {
 	if req.Length >= 0 && req.Length <= smallBodyBytes {
 		return limit, nil
 	}
 	n := req.Length
-	if n < 0 { // in chunks: the length is not known
-		n = min(limit, max(b.left.Load()/8, smallBodyBytes))
+	if n < 0 { // chunked: the length is unknown
+		n = min(limit, max(b.available.Load()/8, smallBodyBytes))
 		limit = n
 	}
-	if b.left.Add(-n) < 0 {
-		b.left.Add(n)
+	if b.available.Add(-n) < 0 {
+		b.available.Add(n)
 		return 0, &sidecar.Reply{
 			Status:     http.StatusServiceUnavailable,
 			RetryAfter: bodyRetryAfter,
 			Body:       []byte("too many large bodies are under way\n"),
 		}
 	}
-	req.Release = func() { b.left.Add(n) }
+	req.Release = func() { b.available.Add(n) }
 	return limit, nil
 }
--- a/internal/mesh/proxy/config.go
+++ b/internal/mesh/proxy/config.go
@@ -35,7 +35,7 @@
 func (p *Proxy) applyConfig() {
 	text, version := p.state.Config()
 	c, err := meshconfig.Parse(text)
-	if err != nil { // the configuration store has validated it, perhaps in another version of this program
+	if err != nil { // the configuration store has validated it, possibly in another version of this program
 		p.log.Error().Err(err).Uint64("version", version).Msg("reject configuration")
 		return
 	}
@@ -57,7 +57,7 @@
 	p.log.Info().Uint64("version", c.Version).Int("routes", len(c.Routes)).Msg("apply configuration")
 }
 
-// avoid sends no requests to an instance for a while, as its proxy said that it accepts none.
+// avoid keeps requests away from an instance for avoidTime, because its proxy rejected one.
 func (p *Proxy) avoid(instanceID string) {
 	if p.avoided[instanceID].IsZero() {
 		p.avoided[instanceID] = time.Now().Add(avoidTime)
--- a/internal/mesh/proxy/controlplanes.go
+++ b/internal/mesh/proxy/controlplanes.go
@@ -17,13 +17,13 @@
 const (
 	heartbeatInterval  = 800 * time.Millisecond // between two messages to a control plane
 	linkIdleTimeout    = 2200 * time.Millisecond
-	linkQueueLength    = 64                    // messages that a control plane has not taken
-	maxLinks           = 3                     // control planes that are connected at once
-	maxSearchLinks     = 11                    // while none of them has contact with a quorum
-	searchAfter        = linkIdleTimeout / 2   // without contact, others are tried too
+	linkQueueLength    = 64                    // messages that are not yet sent to a control plane
+	maxLinks           = 3                     // simultaneous connections to control planes
+	maxSearchLinks     = 11                    // while no connected control plane has contact with a quorum
+	searchAfter        = linkIdleTimeout / 2   // after this time without contact, more control planes are tried
 	firstBackoff       = 25 * time.Millisecond // before a control plane is retried
 	maxBackoff         = 250 * time.Millisecond
-	configRequestDelay = 60 * time.Millisecond // for the primary control plane to send the configuration unasked
+	configRequestDelay = 60 * time.Millisecond // in which the primary control plane sends the configuration without a request
 	configRequestRetry = 300 * time.Millisecond
 )
 
@@ -32,12 +32,12 @@
 	proxy            *Proxy
 	settings         *nodeconfig.Settings
 	scale            func(time.Duration) time.Duration // scales a time by the settings at the start
-	zones            map[string]string                 // by address of the machine; empty where it is not known
+	zones            map[string]string                 // by address of the control plane; empty if unknown
 	active           map[string]*controlPlaneLink
 	retryAt          map[string]time.Time // by address
 	backoffs         map[string]*transport.Backoff
-	announcedPrimary string    // the primary control plane, as announced last
-	lastContact      time.Time // when one with contact was last connected; the start at first
+	announcedPrimary string    // the primary control plane that was last announced
+	lastContact      time.Time // when a control plane with contact was last connected; initially the start time
 }
 
 type controlPlaneLink struct {
@@ -72,21 +72,22 @@
 	l.tick()
 }
 
-// ranked returns the machines of the core in order of preference.
+// ranked returns the addresses of the control planes in order of preference: those in the own zone
+// first, then by a hash that differs between proxies.
 func (l *controlPlaneLinks) ranked() []string {
 	var out []string
 	for ip := range l.zones {
 		out = append(out, ip)
 	}
-	rank := func(ip string) uint64 { return namehash.Hash(ip + "|" + l.settings.Node) }
-	far := func(ip string) int {
+	tieBreak := func(ip string) uint64 { return namehash.Hash(ip + "|" + l.settings.Node) }
+	zoneDistance := func(ip string) int {
 		if l.zones[ip] == l.settings.Zone {
 			return 0
 		}
 		return 1
 	}
 	slices.SortFunc(out, func(a, b string) int {
-		return cmp.Or(cmp.Compare(far(a), far(b)), cmp.Compare(rank(a), rank(b)))
+		return cmp.Or(cmp.Compare(zoneDistance(a), zoneDistance(b)), cmp.Compare(tieBreak(a), tieBreak(b)))
 	})
 	return out
 }
@@ -150,8 +151,8 @@
 	return farthest
 }
 
-// preferLocal replaces the least preferred connection, if there is none to a reachable machine of
-// the own zone.
+// preferLocal replaces the least preferred connection if the most preferred control plane is in the
+// own zone, not connected and due for a connection attempt.
 func (l *controlPlaneLinks) preferLocal(order []string, now time.Time) {
 	if len(order) == 0 || l.zones[order[0]] != l.settings.Zone || l.active[order[0]] != nil || now.Before(l.retryAt[order[0]]) ||
 		len(l.active) < maxLinks {
@@ -166,8 +167,8 @@
 	}
 }
 
-// primary returns the primary control plane, which sends the nodes and whole configurations: the
-// most preferred connected one, if possible with contact.
+// primary returns the address of the primary control plane, which sends the nodes and complete
+// configurations: the most preferred connected one, if possible one with contact.
 func (l *controlPlaneLinks) primary() string {
 	first := ""
 	for _, ip := range l.ranked() {
@@ -181,22 +182,21 @@
 	return first
 }
 
-// announcePrimary informs the control planes that became and that was the primary one.
+// announcePrimary notifies the new and the previous primary control plane of a change.
 func (l *controlPlaneLinks) announcePrimary() {
-	now := l.primary()
-	if now == l.announcedPrimary {
+	primary, previous := l.primary(), l.announcedPrimary
+	if primary == previous {
 		return
 	}
-	was := l.announcedPrimary
-	l.announcedPrimary = now
-	for _, ip := range []string{now, was} {
+	l.announcedPrimary = primary
+	for _, ip := range []string{primary, previous} {
 		if k := l.active[ip]; k != nil && k.conn != nil {
 			l.send(k, l.message(k))
 		}
 	}
 }
 
-// message returns what every message to a control plane contains.
+// message returns a message with the fields that every message to a control plane carries.
 func (l *controlPlaneLinks) message(k *controlPlaneLink) *discovery.ProxyMessage {
 	_, version := l.proxy.state.Config()
 	return &discovery.ProxyMessage{
@@ -218,19 +218,19 @@
 			err = conn.Send(discoverywire.FromHandshake(&discovery.Handshake{ProxyNode: l.settings.Node}))
 		}
 		if err != nil {
-			p.loop.Post(func() { l.lost(k) })
+			p.loop.Post(func() { l.handleLost(k) })
 			return
 		}
 		out := transport.NewOutbox(conn, linkQueueLength)
 		p.goroutines.Go(out.Run)
 		p.loop.Post(func() {
 			k.conn, k.outbox = conn, out
-			if pause := l.backoffs[ip]; pause != nil {
-				pause.Reset()
+			if backoff := l.backoffs[ip]; backoff != nil {
+				backoff.Reset()
 			}
-			sheet := p.record
+			record := p.record
 			msg := l.message(k)
-			msg.Record = &sheet
+			msg.Record = &record
 			l.send(k, msg)
 			l.announcePrimary()
 		})
@@ -239,17 +239,17 @@
 			if err = conn.Receive(&encoded); err != nil {
 				break
 			}
-			d := encoded.ControlMessage()
-			p.loop.Post(func() { l.handleMessage(k, d) })
+			msg := encoded.ControlMessage()
+			p.loop.Post(func() { l.handleMessage(k, msg) })
 		}
 		p.loop.Post(func() {
 			k.conn = nil
-			l.lost(k)
+			l.handleLost(k)
 		})
 	})
 }
 
-// send queues a message. A control plane that does not take its messages is disconnected.
+// send queues a message. A control plane that does not read its messages is disconnected.
 func (l *controlPlaneLinks) send(k *controlPlaneLink, msg *discovery.ProxyMessage) {
 	if k.outbox.Send(discoverywire.FromProxyMessage(msg)) {
 		k.lastSent = time.Now()
@@ -267,7 +267,8 @@
 	}
 }
 
-// announceConfig informs all control planes that another version is in use: commands wait for that.
+// announceConfig reports the configuration version in use to all control planes: commands wait until
+// the proxies use a new version.
 func (l *controlPlaneLinks) announceConfig() {
 	for _, k := range l.active {
 		if k.conn != nil {
@@ -301,8 +302,8 @@
 	}
 }
 
-// requestConfig requests the configuration that a control plane has announced, until it has
-// arrived.
+// requestConfig requests the configuration that a control plane has announced, and repeats this
+// until it is received.
 func (l *controlPlaneLinks) requestConfig(k *controlPlaneLink) {
 	if l.active[k.ip] == k && k.conn != nil && l.proxy.state.LacksConfig(k.ip) {
 		msg := l.message(k)
@@ -323,13 +324,13 @@
 			msg := l.message(k)
 			msg.Opinions = opinions
 			l.send(k, msg)
-			return // control planes exchange them
+			return // control planes exchange opinions with each other
 		}
 	}
 }
 
-// lost handles the loss of a connection.
-func (l *controlPlaneLinks) lost(k *controlPlaneLink) {
+// handleLost handles the loss of a connection: it schedules a reconnection after a backoff.
+func (l *controlPlaneLinks) handleLost(k *controlPlaneLink) {
 	if l.active[k.ip] != k {
 		return
 	}
@@ -338,9 +339,9 @@
 	if l.backoffs[k.ip] == nil {
 		l.backoffs[k.ip] = &transport.Backoff{Min: firstBackoff, Max: maxBackoff}
 	}
-	pause := l.backoffs[k.ip].Next()
-	l.retryAt[k.ip] = now.Add(pause)
-	l.proxy.loop.PostAfter(pause+time.Millisecond, l.tick)
+	delay := l.backoffs[k.ip].Next()
+	l.retryAt[k.ip] = now.Add(delay)
+	l.proxy.loop.PostAfter(delay+time.Millisecond, l.tick)
 	l.proxy.applyChange(discovery.Change{Nodes: l.proxy.state.ControlPlaneLost(now, k.ip)})
 	l.announcePrimary()
 	l.tick()
--- a/internal/mesh/proxy/controlplanes_test.go
+++ b/internal/mesh/proxy/controlplanes_test.go
@@ -10,8 +10,8 @@
 	"milletmast/internal/mesh/transport"
 )
 
-// A proxy whose control planes have all lost contact tries those farther away too, and keeps one that has contact.
-func TestSearchForAControlPlaneWithContact(t *testing.T) {
+// A proxy whose connected control planes have all lost contact connects to more of them, and keeps one that has contact.
+func TestSearchForControlPlaneWithContact(t *testing.T) {
 	now := time.Now()
 	l := &controlPlaneLinks{scale: (&nodeconfig.Bounds{}).Scale, proxy: &Proxy{state: discovery.NewClientState(now, discovery.Limits{})}, active: map[string]*controlPlaneLink{}, lastContact: now}
 	for n := range maxLinks {
@@ -31,9 +31,9 @@
 		t.Errorf("with one that has contact: %d control planes", got)
 	}
 	if k := l.surplus([]string{"cut0", "cut1", "cut2", "good"}, maxLinks); k == nil || k.ip != "cut2" {
-		t.Errorf("%v is given up, want the farthest without contact", k)
+		t.Errorf("%v is closed, want the least preferred one without contact", k)
 	}
 	if k := l.surplus([]string{"cut0", "cut1", "cut2", "good"}, maxLinks+1); k != nil {
-		t.Errorf("%s is given up, and there are not too many", k.ip)
+		t.Errorf("%s is closed, although there are not too many", k.ip)
 	}
 }
--- a/internal/mesh/proxy/convert.go
+++ b/internal/mesh/proxy/convert.go
@@ -33,7 +33,7 @@
 	return out
 }
 
-// Encode returns the encoded form of what one proxy sends another.
+// Encode returns the encoded form of a gossip message.
 func (g *Gossip) Encode() *wire.Gossip {
 	return &wire.Gossip{
 		Version: g.ConfigVersion,
@@ -46,7 +46,7 @@
 	}
 }
 
-// decodeGossip decodes what one proxy sends another.
+// decodeGossip returns the gossip message of an encoded form.
 func decodeGossip(g *wire.Gossip) *Gossip {
 	return &Gossip{
 		ConfigVersion:     g.Version,
--- a/internal/mesh/proxy/convert_test.go
+++ b/internal/mesh/proxy/convert_test.go
@@ -21,14 +21,14 @@
 	if got := decodeStatus(status.Encode()); !reflect.DeepEqual(got, status) {
 		t.Errorf("status becomes %+v, want %+v", got, status)
 	}
-	talk := &PeerMessage{
+	message := &PeerMessage{
 		StatusQuery: &StatusQuery{RequestID: "r"},
 		Gossip: &Gossip{
 			ConfigVersion: 6, EvacuationsDigest: 7, EjectionsVersion: consensus.Version{Number: 8, Proposer: "a"}, Isolated: true, Uncertain: true,
 			Snapshot: &controlstate.Snapshot{ConfigVersion: 6, Confirmed: true}, Nodes: []discovery.Node{{ObservedRecord: registry.ObservedRecord{Unreachable: true}, Since: time.Unix(9, 0).UTC()}},
 		},
 	}
-	if got := decodePeerMessage(talk.Encode()); !reflect.DeepEqual(got, talk) {
-		t.Errorf("message becomes %+v, want %+v", got, talk)
+	if got := decodePeerMessage(message.Encode()); !reflect.DeepEqual(got, message) {
+		t.Errorf("message becomes %+v, want %+v", got, message)
 	}
 }
--- a/internal/mesh/proxy/gossip.go
+++ b/internal/mesh/proxy/gossip.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	watchedPeers    = 3
-	gossipInterval  = time.Second // between two messages to each watched peer, without a control plane
-	calmIntervals   = 2           // times gossipInterval, with one
-	peerSilentAfter = 4500 * time.Millisecond
+	watchedPeers          = 3
+	gossipInterval        = time.Second // between two messages to each watched peer while no control plane is connected
+	connectedGossipFactor = 2           // times gossipInterval while a control plane is connected
+	peerSilentAfter       = 4500 * time.Millisecond
 )
 
-// Gossip is what proxies send each other: the versions in use, and what the other lacks.
+// Gossip is a message between proxies: the versions in use, and the data that the receiver lacks.
 type Gossip struct {
 	ConfigVersion     uint64
-	EvacuationsDigest uint64            // of the versions of evacuations
+	EvacuationsDigest uint64            // digest of the versions of evacuations
 	EjectionsVersion  consensus.Version // of the ejections
-	Isolated          bool              // it has no control plane and wants to know the nodes
-	Uncertain         bool              // its trust level is Uncertain: it wants the snapshot of a proxy that is certain
+	Isolated          bool              // the sender has no control plane and requests the nodes
+	Uncertain         bool              // the trust level of the sender is Uncertain: it requests the snapshot of a proxy that is certain
 	Snapshot          *controlstate.Snapshot
 	Nodes             []discovery.Node
 }
@@ -52,23 +52,23 @@
 	}
 	w.lastTick = now
 	var all []peerwatch.Node
-	talk := map[string]string{}
+	peerAddrs := map[string]string{}
 	for _, n := range w.proxy.state.Nodes() {
 		if !n.Unreachable && !n.Draining {
 			all = append(all, peerwatch.Node{Name: n.Node, Zone: n.Zone})
-			talk[n.Node] = n.PeerAddr
+			peerAddrs[n.Node] = n.PeerAddr
 		}
 	}
-	come, gone := w.watcher.SetPeers(
+	added, removed := w.watcher.SetPeers(
 		now,
 		peerwatch.SelectPeers(peerwatch.Node{Name: w.proxy.settings.Node, Zone: w.proxy.settings.Zone}, all, watchedPeers),
 	)
-	for _, name := range come {
-		end := make(chan struct{})
-		w.stops[name] = end
-		w.proxy.goroutines.Go(func() { w.gossipWith(name, talk[name], end) })
+	for _, name := range added {
+		stop := make(chan struct{})
+		w.stops[name] = stop
+		w.proxy.goroutines.Go(func() { w.gossipWith(name, peerAddrs[name], stop) })
 	}
-	for _, name := range gone {
+	for _, name := range removed {
 		close(w.stops[name])
 		delete(w.stops, name)
 	}
@@ -91,7 +91,8 @@
 }
 
 // evacuationsDigest returns a digest of the versions of evacuations. A peer with another digest is
-// sent all of them and merges the newer ones: each of the two may lack one of the other's.
+// sent all evacuations and merges the newer ones, as each side may lack an evacuation that the other
+// has.
 func evacuationsDigest(all []controlstate.Evacuation) uint64 {
 	h := xxhash.New()
 	for _, e := range all {
@@ -100,7 +101,8 @@
 	return h.Sum64()
 }
 
-// replyTo returns what a peer lacks. It runs in the loop.
+// replyTo returns the reply to a gossip message, with the data that the peer lacks. It runs in the
+// loop.
 func (p *Proxy) replyTo(peer *Gossip) *Gossip {
 	g := p.digest()
 	if g.ConfigVersion > peer.ConfigVersion || g.EvacuationsDigest != peer.EvacuationsDigest ||
@@ -118,7 +120,7 @@
 }
 
 // gossipWith exchanges messages with a peer while it is watched.
-func (w *watchers) gossipWith(name, addr string, end chan struct{}) {
+func (w *watchers) gossipWith(name, addr string, stop chan struct{}) {
 	p := w.proxy
 	tick := time.NewTicker(gossipInterval)
 	defer tick.Stop()
@@ -130,7 +132,7 @@
 	}()
 	for n := 1; ; n++ {
 		select {
-		case <-end:
+		case <-stop:
 			return
 		case <-p.ctx.Done():
 			return
@@ -143,17 +145,17 @@
 			}
 			conn = c
 		}
-		mine, ok := process.Call(p.loop, p.digest)
+		digest, ok := process.Call(p.loop, p.digest)
 		if !ok {
 			return
 		}
-		if !mine.Isolated && n%calmIntervals > 0 {
+		if !digest.Isolated && n%connectedGossipFactor > 0 {
 			continue
 		}
-		var theirs wire.Gossip
-		if conn.Send((&PeerMessage{Gossip: mine}).Encode()) == nil && conn.Receive(&theirs) == nil {
-			heard := decodeGossip(&theirs)
-			p.loop.Post(func() { w.handleGossip(name, heard) })
+		var encoded wire.Gossip
+		if conn.Send((&PeerMessage{Gossip: digest}).Encode()) == nil && conn.Receive(&encoded) == nil {
+			reply := decodeGossip(&encoded)
+			p.loop.Post(func() { w.handleGossip(name, reply) })
 			continue
 		}
 		conn.Close()
--- a/internal/mesh/proxy/headers.go
+++ b/internal/mesh/proxy/headers.go
@@ -13,12 +13,12 @@
 // Their names are fixed, as proxies are upgraded one at a time.
 const (
 	outcomeHeader          = "Pilot-Word"
-	queueTimeHeader        = "Pilot-Patience" // how long the request may be queued, in ms
+	queueTimeHeader        = "Pilot-Patience" // how long the request may be queued, in milliseconds
 	priorityHeader         = "Pilot-Rank"
 	nonRepeatableHeader    = "Pilot-Once"   // the request may run once only
 	waitDuringWarmupHeader = "Pilot-Stays"  // the request may be queued at an endpoint that is warming up
-	askFirstHeader         = "Pilot-Asks"   // the body follows once the request is admitted
-	indirectFailureHeader  = "Pilot-Behind" // of a response: the failure may be that of a call that the endpoint made
+	admitFirstHeader       = "Pilot-Asks"   // the body follows once the request is admitted
+	indirectFailureHeader  = "Pilot-Behind" // of a response: a call that the endpoint made may have caused the failure
 	meshHeaderPrefix       = "Pilot-"
 
 	idHeader          = "X-Attempt-Id"
@@ -31,7 +31,7 @@
 	warmupHeader      = "X-Warmup-Remaining"
 )
 
-// The outcomes of a request at the proxy beside the endpoint: what is certain about it. A rejection
+// The outcomes of a request at the proxy beside the endpoint, as far as they are certain. A rejection
 // is outcomeRejectedPrefix and the decision. Their texts are fixed, as proxies are upgraded one at
 // a time.
 const (
@@ -55,13 +55,14 @@
 	}
 }
 
-// saysNotExecuted reports whether a response of an endpoint says that the request was not executed
-// and will not be. A success cannot say so.
-func saysNotExecuted(r *sidecar.Reply) bool {
+// isMarkedNotExecuted reports whether a response of an endpoint states, by notExecutedHeader or the
+// status 421, that the request was not executed and will not be. A successful response cannot state it.
+func isMarkedNotExecuted(r *sidecar.Reply) bool {
 	return r.Status >= http.StatusBadRequest && r.Header.Get(notExecutedHeader) != "" || r.Status == http.StatusMisdirectedRequest
 }
 
-// classifyResult returns how an admitted call counts for the endpoint.
+// classifyResult returns the result of an admitted call for outlier detection; isKnown is false if the
+// call says nothing about the health of the endpoint.
 func classifyResult(exchangeOutcome exchange.Outcome, reply *sidecar.Reply) (result outlier.CallResult, isKnown bool) {
 	switch {
 	case exchangeOutcome == exchange.Canceled, exchangeOutcome == exchange.Completed && reply.Header.Get(indirectFailureHeader) != "":
--- a/internal/mesh/proxy/healthcheck.go
+++ b/internal/mesh/proxy/healthcheck.go
@@ -10,7 +10,7 @@
 	"milletmast/internal/sidecar"
 )
 
-// checkHealth probes an endpoint that is not known or does not answer.
+// checkHealth probes an endpoint whose state is unknown or that does not respond.
 func (ep *inboundEndpoint) checkHealth() {
 	ep.mu.Lock()
 	state, _ := ep.controller.State()
@@ -20,7 +20,7 @@
 		ep.probe()
 	}
 	if e := ep.proxy.record.Endpoint; e != nil && e.WarmupLeft > 0 && warm {
-		ep.publishRecord() // proxies that start later must not take it for warming up
+		ep.publishRecord() // otherwise proxies that start later would treat it as warming up
 	}
 }
 
@@ -43,27 +43,27 @@
 		head := func(time.Duration) []byte {
 			return []byte("GET " + path + " HTTP/1.1\r\nHost: " + ep.proxy.settings.LocalApp + "\r\n")
 		}
-		fate, r := ep.pool.RoundTrip(
+		outcome, r := ep.pool.RoundTrip(
 			ep.proxy.ctx,
 			&sidecar.Exchange{Head: head, OmitLength: true, MaxReplyBytes: 64 << 10},
 			time.Now().Add(probeTimeout),
 		)
-		ep.proxy.loop.Post(func() { ep.handleProbe(fate, r) })
+		ep.proxy.loop.Post(func() { ep.handleProbe(outcome, r) })
 	})
 }
 
 // handleProbe handles the result of a health check.
-func (ep *inboundEndpoint) handleProbe(fate exchange.Outcome, r *sidecar.Reply) {
+func (ep *inboundEndpoint) handleProbe(outcome exchange.Outcome, r *sidecar.Reply) {
 	ep.mu.Lock()
 	ep.probing = false
 	state, instanceID := ep.controller.State()
 	changed := false
 	switch {
-	case fate == exchange.NotWritten:
+	case outcome == exchange.NotWritten:
 		if state == admission.Serving {
 			changed = ep.setState(instanceID, admission.Down)
 		}
-	case fate == exchange.Completed && r.Header.Get(instanceHeader) != "":
+	case outcome == exchange.Completed && r.Header.Get(instanceHeader) != "":
 		id := r.Header.Get(instanceHeader)
 		if r.Status == http.StatusOK && (state == admission.Unknown || state == admission.Down || id != instanceID) {
 			changed = ep.setState(id, admission.Serving)
@@ -72,8 +72,8 @@
 			if ep.service == "" {
 				ep.service = ep.proxy.serviceName()
 			}
-			left, told := parseWarmupLeft(r.Header)
-			if told {
+			left, reported := parseWarmupLeft(r.Header)
+			if reported {
 				changed = changed || left > ep.controller.WarmupLeft(time.Now())+tickInterval
 				ep.controller.Report(time.Now(), ep.controller.Capacity(), left)
 			}
@@ -87,7 +87,7 @@
 	}
 }
 
-// parseWarmupLeft returns for how long an endpoint is warming up. A number above maxWarmup in
+// parseWarmupLeft returns the remaining warm-up time that an endpoint reports, if it does. A number above maxWarmup in
 // seconds is taken as milliseconds.
 func parseWarmupLeft(h http.Header) (time.Duration, bool) {
 	n, err := strconv.ParseFloat(h.Get(warmupHeader), 64)
--- a/internal/mesh/proxy/inbound.go
+++ b/internal/mesh/proxy/inbound.go
@@ -16,14 +16,14 @@
 const (
 	maxBodyBytes    = 64 << 20
 	probeTimeout    = time.Second
-	probeInterval   = 300 * time.Millisecond // while the endpoint does not answer
+	probeInterval   = 300 * time.Millisecond // while the endpoint does not respond
 	poolIdleTimeout = 8 * time.Second
 	localLatency    = 5 * time.Millisecond
-	maxWarmup       = time.Minute // a longer warm-up time is taken as milliseconds
+	maxWarmup       = time.Minute // a larger number of seconds is read as milliseconds
 )
 
-// inboundEndpoint is the endpoint beside this proxy: its admission control and the connections to
-// it.
+// inboundEndpoint is the endpoint beside this proxy, with its admission control and the connections
+// to it.
 type inboundEndpoint struct {
 	proxy *Proxy
 	pool  *sidecar.SingleServerPool
@@ -39,8 +39,8 @@
 	lastProbe          time.Time
 	instanceCount      float64 // number of instances seen
 	service            string
-	wasEvacuated       bool // at the last evacuation order
-	wasEjected         bool // the endpoint was ejected
+	wasEvacuated       bool // as of the last evacuation order
+	wasEjected         bool // as of the last configuration or zone change
 }
 
 func newInboundEndpoint(p *Proxy) *inboundEndpoint {
@@ -86,7 +86,7 @@
 	}
 }
 
-// applyEjection notes that the endpoint has returned from an ejection: it is treated as warming up.
+// applyEjection treats the endpoint as warming up once it has returned from an ejection.
 func (ep *inboundEndpoint) applyEjection(state *discovery.ClientState) {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
@@ -117,8 +117,8 @@
 	}
 	changed := ep.setState(e.ID, state)
 	if _, current := ep.controller.State(); current == e.ID {
-		was := ep.controller.WarmupLeft(time.Now())
-		changed = changed || e.WarmupLeft > was+tickInterval || ep.controller.Capacity() != e.Capacity
+		before := ep.controller.WarmupLeft(time.Now())
+		changed = changed || e.WarmupLeft > before+tickInterval || ep.controller.Capacity() != e.Capacity
 		ep.controller.Report(time.Now(), e.Capacity, e.WarmupLeft)
 		ep.service = e.Target
 	}
@@ -155,7 +155,7 @@
 	}
 }
 
-// publishRecord publishes what is known of the endpoint. It runs in the proxy's loop.
+// publishRecord announces the state of the endpoint to the control planes. It runs in the proxy's loop.
 func (ep *inboundEndpoint) publishRecord() {
 	ep.mu.Lock()
 	state, instanceID := ep.controller.State()
@@ -187,7 +187,7 @@
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	_, instanceID := ep.controller.State()
-	least := 0
+	smallest := 0
 	for i := range nodes {
 		e := nodes[i].Endpoint
 		switch {
@@ -195,16 +195,16 @@
 		case e.ID == instanceID:
 			ep.controller.GuessCapacity(e.Capacity)
 			return
-		case e.Target == ep.proxy.serviceName() && (least == 0 || e.Capacity < least):
-			least = e.Capacity
+		case e.Target == ep.proxy.serviceName() && (smallest == 0 || e.Capacity < smallest):
+			smallest = e.Capacity
 		}
 	}
-	if least > 0 {
-		ep.controller.GuessCapacity(least)
+	if smallest > 0 {
+		ep.controller.GuessCapacity(smallest)
 	}
 }
 
-// shutdown stops admitting requests at a time.
+// shutdown rejects all requests from a time on.
 func (ep *inboundEndpoint) shutdown(from time.Time) {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
--- a/internal/mesh/proxy/inboundrequest.go
+++ b/internal/mesh/proxy/inboundrequest.go
@@ -26,7 +26,8 @@
 	writeHead        func(*bytes.Buffer)
 }
 
-// parseInbound reads the headers of another proxy; ok is false if they lack the remaining time.
+// parseInbound reads the headers that another proxy has set; ok is false if the remaining time is
+// missing or invalid.
 func parseInbound(incoming *sidecar.IncomingRequest) (req *inboundRequest, ok bool) {
 	header := incoming.Header
 	left, given, ok := sidecar.Deadline(header, deadlineHeader)
@@ -55,7 +56,7 @@
 		rejected.Header = http.Header{outcomeHeader: {outcomeRejectedPrefix + admission.Full.String()}}
 		return limit, rejected
 	}
-	if incoming.Header.Get(askFirstHeader) == "" {
+	if incoming.Header.Get(admitFirstHeader) == "" {
 		return limit, nil
 	}
 	req, ok := parseInbound(incoming)
@@ -108,8 +109,8 @@
 	return *reply
 }
 
-// handle admits a request and forwards it to the endpoint. It returns what is certain about it, and
-// the response if there is one.
+// handle admits a request and forwards it to the endpoint. It returns the outcome, and the response
+// if there is one.
 func (ep *inboundEndpoint) handle(ctx context.Context, req *inboundRequest) (outcome string, reply *sidecar.Reply) {
 	ticket, outcome := ep.admit(ctx, req)
 	if ticket == nil {
@@ -118,8 +119,8 @@
 	return ep.forward(ctx, req, ticket)
 }
 
-// admit asks for admission and waits in the queue for as long as the request may. It returns the
-// ticket of an admitted request, or the outcome.
+// admit requests admission and waits in the queue for at most the queue time of the request. It
+// returns the ticket of an admitted request, or the outcome of a rejected one.
 func (ep *inboundEndpoint) admit(ctx context.Context, req *inboundRequest) (*admission.Ticket, string) {
 	now := time.Now()
 	queueUntil := now.Add(req.queueTime)
@@ -162,7 +163,7 @@
 	req *inboundRequest,
 	ticket *admission.Ticket,
 ) (outcome string, reply *sidecar.Reply) {
-	begun := time.Now()
+	startedAt := time.Now()
 	exchangeOutcome, reply := ep.pool.RoundTrip(ctx, &sidecar.Exchange{
 		Body: req.body, OmitLength: req.omitLength, ID: req.id, MaxReplyBytes: maxBodyBytes,
 		Head: func(left time.Duration) []byte {
@@ -172,7 +173,7 @@
 			return b.Bytes()
 		},
 	}, req.deadline)
-	if exchangeOutcome == exchange.Completed && reply.AfterOtherResponse && saysNotExecuted(reply) {
+	if exchangeOutcome == exchange.Completed && reply.AfterOtherResponse && isMarkedNotExecuted(reply) {
 		exchangeOutcome, reply = exchange.ConnectionFailed, nil
 	}
 	ep.mu.Lock()
@@ -190,7 +191,7 @@
 	}
 	if exchangeOutcome == exchange.Completed {
 		stripMeshHeaders(reply.Header)
-		if reply.Status >= http.StatusInternalServerError && ep.proxy.failedSince(begun) {
+		if reply.Status >= http.StatusInternalServerError && ep.proxy.failedSince(startedAt) {
 			reply.Header.Set(indirectFailureHeader, "1")
 		}
 	}
--- a/internal/mesh/proxy/behind_test.go
+++ b/internal/mesh/proxy/indirectfailure_test.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// An endpoint whose own calls fail has nothing said against it: what it calls is to blame. One that fails by itself has.
-func TestIndirectFailureIsNotTheEndpoints(t *testing.T) {
+// A failure that a call of the endpoint has caused does not count as a failure of the endpoint. A failure of its own does.
+func TestIndirectFailureDoesNotCountAgainstEndpoint(t *testing.T) {
 	for name, c := range map[string]struct {
-		calls bool // the endpoint makes a call of its own, which fails
-		bad   int
-	}{"by itself": {false, 2}, "what it calls fails": {true, 0}} {
+		makesCall bool // the endpoint makes a call, which fails
+		failures  int
+	}{"the endpoint fails": {false, 2}, "its call fails": {true, 0}} {
 		t.Run(name, func(t *testing.T) {
-			_, from, to := calm(t)
-			for i := range 3 { // few failures among good answers: more, and it would be avoided
+			_, from, to := startTwoProxies(t)
+			for i := range 3 { // with a larger fraction of failures, the endpoint would be avoided
 				if r, _ := from.send("POST", "/pay/", fmt.Sprint("good-", i), "", nil); r.StatusCode != http.StatusOK {
 					t.Fatal(r.Status)
 				}
 			}
 			to.behave(func(w http.ResponseWriter, r *http.Request, _ []byte) {
 				if r.URL.Path == "/pay/inner" {
-					w.WriteHeader(http.StatusOK) // without a seal: no sound answer
+					w.WriteHeader(http.StatusOK) // without a seal: not a valid response
 					return
 				}
-				if c.calls {
+				if c.makesCall {
 					if r, _ := to.send("POST", "/pay/inner", "inner-"+r.Header.Get(idHeader), "", nil); r.StatusCode != http.StatusBadGateway {
-						t.Errorf("the inner call ends %s", r.Status)
+						t.Errorf("the inner call returns %s", r.Status)
 					}
 				}
 				w.Header().Set(sealHeader, "s")
@@ -40,15 +40,15 @@
 					t.Fatalf("the client gets %s, %v", r.Status, r.Header)
 				}
 			}
-			w := from.proxy.observer
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			bad := 0
-			for _, o := range w.outbound.Opinions(time.Now()) {
-				bad += o.Failures
+			observer := from.proxy.observer
+			observer.mu.Lock()
+			defer observer.mu.Unlock()
+			failures := 0
+			for _, o := range observer.outbound.Opinions(time.Now()) {
+				failures += o.Failures
 			}
-			if bad != c.bad {
-				t.Errorf("%d failures are held against it, want %d", bad, c.bad)
+			if failures != c.failures {
+				t.Errorf("%d failures count against the endpoint, want %d", failures, c.failures)
 			}
 		})
 	}
--- a/internal/mesh/proxy/observer.go
+++ b/internal/mesh/proxy/observer.go
@@ -11,7 +11,7 @@
 
 const opinionInterval = time.Second
 
-// callObserver records the calls of this proxy, for package outlier.
+// callObserver records the results of the calls of this proxy for outlier detection.
 type callObserver struct {
 	mu       sync.Mutex
 	outbound *outlier.Observer
@@ -26,17 +26,17 @@
 }
 
 // recordOutbound records the result of a call to an instance.
-func (obs *callObserver) recordOutbound(service, instance string, k outlier.CallResult) {
+func (obs *callObserver) recordOutbound(service, instance string, result outlier.CallResult) {
 	obs.mu.Lock()
 	defer obs.mu.Unlock()
-	obs.outbound.Record(time.Now(), service, instance, k)
+	obs.outbound.Record(time.Now(), service, instance, result)
 }
 
 // recordInbound records the result of a call that was admitted here.
-func (obs *callObserver) recordInbound(service, instance string, k outlier.CallResult) {
+func (obs *callObserver) recordInbound(service, instance string, result outlier.CallResult) {
 	obs.mu.Lock()
 	defer obs.mu.Unlock()
-	obs.inbound.Record(time.Now(), service, instance, k)
+	obs.inbound.Record(time.Now(), service, instance, result)
 }
 
 // setPolled sets the instances that a control plane polls about.
@@ -50,8 +50,8 @@
 	obs.polled[controlPlane] = instances
 }
 
-// opinions returns the opinions that matter: of instances that this proxy finds unhealthy, and of
-// those that it was polled about.
+// opinions returns the opinions to send: about instances that this proxy finds unhealthy, and about
+// those that a control plane polls about.
 func (obs *callObserver) opinions(now time.Time) []outlier.Opinion {
 	obs.mu.Lock()
 	defer obs.mu.Unlock()
--- a/internal/mesh/proxy/outboundlistener.go
+++ b/internal/mesh/proxy/outboundlistener.go
@@ -10,7 +10,7 @@
 	"milletmast/internal/sidecar"
 )
 
-// outboundListener serves requests that begin on this machine.
+// outboundListener serves the requests of clients on this machine.
 type outboundListener struct{ proxy *Proxy }
 
 // Open handles the head of a request.
@@ -55,7 +55,7 @@
 	return reply
 }
 
-// timeLeft returns the time that a request had when it came.
+// timeLeft returns the time until the deadline of a request, as of when the request was received.
 func timeLeft(req *sidecar.IncomingRequest) time.Duration {
 	left, given, _ := sidecar.Deadline(req.Header, deadlineHeader)
 	if !given {
@@ -64,8 +64,8 @@
 	return left
 }
 
-// awaitConfig waits for the first configuration, for a fraction of the time that a request has: a
-// proxy that has just started gets it soon.
+// awaitConfig waits for the first configuration, for a fraction of the remaining time of a request: a
+// proxy that has just started receives it soon.
 func (p *Proxy) awaitConfig(req *sidecar.IncomingRequest) *routing {
 	timer := time.NewTimer(min(time.Duration(configWaitFraction*float64(timeLeft(req))), maxConfigWait))
 	defer timer.Stop()
@@ -77,7 +77,7 @@
 	return p.routing.Load()
 }
 
-// failedSince reports whether a request that began on this machine has failed since a time. If the
-// endpoint has failed a request meanwhile, that may have been a call of its own, and not the
-// endpoint's fault.
+// failedSince reports whether a request of a client on this machine has failed since a time. The
+// endpoint may have made that request while it served another: if it fails the other too, the failed
+// call may be the cause, and not the endpoint.
 func (p *Proxy) failedSince(at time.Time) bool { return p.lastFailure.Load() >= at.UnixNano() }
--- a/internal/mesh/proxy/outboundrequest.go
+++ b/internal/mesh/proxy/outboundrequest.go
@@ -18,7 +18,7 @@
 	"milletmast/internal/sidecar"
 )
 
-// serve serves one request.
+// serve forwards one request to an endpoint of the service and returns the response.
 func (u *upstreamService) serve(ctx context.Context, req *sidecar.IncomingRequest, route *meshconfig.Route) sidecar.Reply {
 	now := time.Now()
 	deadline := req.ReceivedAt.Add(timeLeft(req))
@@ -84,17 +84,18 @@
 	return table.Rank(clientKey, affinityDepth)
 }
 
-// affinityDepth is how many preferred endpoints are tried before any other is as good.
+// affinityDepth is the number of preferred endpoints; the order of the others does not depend on the
+// client.
 const affinityDepth = 3
 
-// claimsNotExecuted reports whether a status says that the request was not executed and never will
-// be.
-func claimsNotExecuted(status int) bool {
+// statusMeansNotExecuted reports whether clients read a status as a statement that the request was not
+// executed and never will be.
+func statusMeansNotExecuted(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable ||
 		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
 
-// outboundRequest is a request over its attempts.
+// outboundRequest is a request of a client, with the state that its attempts share.
 type outboundRequest struct {
 	service       *upstreamService
 	request       *sidecar.IncomingRequest
@@ -105,7 +106,7 @@
 	reached       atomic.Int32 // attempts that reached an endpoint; one may still be in flight when the request has its response
 }
 
-// writeHead writes the head of the request for an instance, without the remaining time.
+// writeHead writes the head of the request for an instance, except for the remaining time.
 func (out *outboundRequest) writeHead(b *bytes.Buffer, instanceID string) {
 	b.WriteString(out.request.Method + " " + out.request.URI + " HTTP/1.1\r\nHost: " + out.request.Host + "\r\n")
 	sidecar.WriteLines(b, out.request.Header)
@@ -149,7 +150,8 @@
 	return result
 }
 
-// plan decides what the next attempt may do, and takes a retry off the budget if it needs one.
+// plan returns the limits of the next attempt, and takes a retry off the budget if the attempt needs
+// one.
 func (out *outboundRequest) plan(instanceID string) (plan attemptPlan) {
 	service := out.service
 	service.mu.Lock()
@@ -186,11 +188,11 @@
 	})
 }
 
-// exchange returns the exchange with another proxy.
+// exchange returns the exchange with the proxy beside an endpoint.
 func (out *outboundRequest) exchange(instanceID string, plan attemptPlan) *sidecar.Exchange {
-	askTimeLeft := time.Duration(0)
-	if len(out.request.Body) >= askFirstBytes {
-		askTimeLeft = plan.queueTime + askTimeout
+	admitTimeLeft := time.Duration(0)
+	if len(out.request.Body) >= admitFirstBytes {
+		admitTimeLeft = plan.queueTime + admitTimeout
 	}
 	return &sidecar.Exchange{
 		Body:          out.request.Body,
@@ -198,7 +200,7 @@
 		ID:            out.request.Header.Get(idHeader),
 		PeerIsOurs:    true,
 		MaxReplyBytes: maxBodyBytes,
-		AskTimeout:    askTimeLeft,
+		AskTimeout:    admitTimeLeft,
 		Head: func(left time.Duration) []byte {
 			var b bytes.Buffer
 			out.writeHead(&b, instanceID)
@@ -210,8 +212,8 @@
 			if out.route.Kind != meshconfig.Safe {
 				sidecar.WriteLine(&b, nonRepeatableHeader, "1")
 			}
-			if askTimeLeft > 0 {
-				sidecar.WriteLine(&b, askFirstHeader, "1")
+			if admitTimeLeft > 0 {
+				sidecar.WriteLine(&b, admitFirstHeader, "1")
 			}
 			if plan.waitDuringWarmup {
 				sidecar.WriteLine(&b, waitDuringWarmupHeader, "1")
@@ -237,10 +239,10 @@
 	}
 }
 
-// interpret translates what is certain about an attempt for the decision module.
+// interpret translates the outcome of an attempt for the decision module.
 func (out *outboundRequest) interpret(outcome string, reply *sidecar.Reply, instanceID string) sidecar.AttemptResult {
 	if reason, ok := strings.CutPrefix(outcome, outcomeRejectedPrefix); ok {
-		if reason == admission.Full.String() || reason == admission.WarmingUp.String() { // it is busy, not unhealthy
+		if reason == admission.Full.String() || reason == admission.WarmingUp.String() { // the endpoint is busy, not unhealthy
 			return sidecar.AttemptResult{Outcome: balancer.NotSent}
 		}
 		out.service.proxy.loop.Post(func() { out.service.proxy.avoid(instanceID) })
@@ -255,7 +257,7 @@
 		return sidecar.AttemptResult{Outcome: balancer.Timeout}
 	case outcome != outcomeAnswered || reply == nil || !out.isAnsweredBy(reply):
 		return sidecar.AttemptResult{Outcome: balancer.Reset}
-	case saysNotExecuted(reply):
+	case isMarkedNotExecuted(reply):
 		if reply.Status == http.StatusMisdirectedRequest {
 			out.service.proxy.loop.Post(func() { out.service.proxy.avoid(instanceID) })
 		}
@@ -264,18 +266,18 @@
 		return sidecar.AttemptResult{Outcome: balancer.Reset}
 	case reply.Status < 300:
 		return sidecar.AttemptResult{Outcome: balancer.OK, Reply: reply}
-	case claimsNotExecuted(reply.Status): // the endpoint did not say that the request was not executed: the status must not say so either
+	case statusMeansNotExecuted(reply.Status): // the endpoint did not set notExecutedHeader, so the client must not get this status
 		return sidecar.AttemptResult{Outcome: balancer.Error}
 	case reply.Status < 500:
 		return sidecar.AttemptResult{Outcome: balancer.Canceled, Reply: reply}
 	}
-	if reply.Header.Get(indirectFailureHeader) != "" { // another one behind the endpoint has failed
+	if reply.Header.Get(indirectFailureHeader) != "" { // a service that the endpoint called may have failed
 		return sidecar.AttemptResult{Outcome: balancer.Canceled, Reply: reply, ServerFailure: true}
 	}
 	return sidecar.AttemptResult{Outcome: balancer.Error, Reply: reply, ServerFailure: true}
 }
 
-// isAnsweredBy reports whether a response names this request.
+// isAnsweredBy reports whether a response carries the id of this request.
 func (out *outboundRequest) isAnsweredBy(reply *sidecar.Reply) bool {
 	return exchange.ResponseMatches(out.request.Header.Get(idHeader), reply.Header[idHeader], false)
 }
@@ -286,7 +288,7 @@
 	return reply.Header.Get(sealHeader) != "" && reply.Header.Get("Content-Encoding") == "" && reply.Header.Get(notExecutedHeader) == ""
 }
 
-// attemptPlan is what one attempt of a request may do.
+// attemptPlan holds the limits of one attempt of a request.
 type attemptPlan struct {
 	locality         locality
 	queueTime        time.Duration // for which it may be queued at the endpoint
--- a/internal/mesh/proxy/path_test.go
+++ b/internal/mesh/proxy/path_test.go
@@ -27,24 +27,24 @@
 )
 
 func TestMain(m *testing.M) {
-	// The library looks each second whether its file was closed.
+	// buntdb checks once a second whether its file was closed.
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/tidwall/buntdb.(*DB).backgroundManager"))
 }
 
-// mesh is a core machine and some proxies with endpoints, on addresses of their own of the loopback network.
+// mesh is a core machine and some proxies with endpoints, each on its own loopback address.
 type mesh struct {
 	t      *testing.T
 	port   int
 	client *http.Client
 	done   sync.WaitGroup
-	// stopCore ends the core machine's programs.
-	stopCore func()
-	liar     func(name string) *fakeserver.MisbehavingServer // makes the endpoints of the service "one"; nil for usual ones
+	// stopCore stops the control plane and the configuration store of the core machine.
+	stopCore    func()
+	misbehaving func(name string) *fakeserver.MisbehavingServer // creates the endpoints of the service "one"; nil for regular ones
 }
 
 const coreIP = "127.0.8.100"
 
-// The ports of a mesh: those of a node's listeners end portsBelowOwn-1 below its port, the processes' own lie beside it.
+// The ports of a mesh: the listeners of a node use ports down to portsBelowOwn-1 below mesh.port; the programs use the ports next to mesh.port.
 const portsBelowOwn, portsPerMesh = 20, 22
 
 func newMesh(t *testing.T) *mesh {
@@ -72,7 +72,7 @@
 	return m
 }
 
-// settings are those of a machine. Its own ports are in the places of the system's, the others above.
+// settings returns the settings of a machine.
 func (m *mesh) settings(node, ip string) *nodeconfig.Settings {
 	at := func(n int) string { return fmt.Sprintf("%s:%d", ip, m.port-10-n) }
 	return &nodeconfig.Settings{
@@ -83,20 +83,20 @@
 	}
 }
 
-// endpoint is a stand-in endpoint beside a proxy.
+// endpoint is a fake endpoint beside a proxy.
 type endpoint struct {
-	m      *mesh
-	s      *nodeconfig.Settings
-	id     string
-	proxy  *Proxy
-	stop   func()
-	server *httptest.Server
-	liar   *fakeserver.MisbehavingServer
-	seq    int
+	m           *mesh
+	s           *nodeconfig.Settings
+	id          string
+	proxy       *Proxy
+	stop        func()
+	server      *httptest.Server
+	misbehaving *fakeserver.MisbehavingServer
+	seq         int
 
 	mu   sync.Mutex
 	seen []http.Header
-	do   func(w http.ResponseWriter, r *http.Request, body []byte) // nil: it serves
+	do   func(w http.ResponseWriter, r *http.Request, body []byte) // nil for a successful response
 }
 
 // start starts a proxy with an endpoint beside it.
@@ -119,11 +119,11 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	if m.liar != nil && target == "one" {
-		e.liar = m.liar(name)
-		e.liar.Instance = e.id
-		e.liar.Serve(ln)
-		m.t.Cleanup(func() { stop(); e.liar.Close() })
+	if m.misbehaving != nil && target == "one" {
+		e.misbehaving = m.misbehaving(name)
+		e.misbehaving.Instance = e.id
+		e.misbehaving.Serve(ln)
+		m.t.Cleanup(func() { stop(); e.misbehaving.Close() })
 		return e
 	}
 	e.server = &httptest.Server{Listener: ln, Config: &http.Server{Handler: http.HandlerFunc(e.serve)}}
@@ -155,28 +155,30 @@
 	fmt.Fprintf(w, "%s %s %s", r.Method, r.RequestURI, body)
 }
 
+// behave sets how the endpoint responds, and forgets the requests that it has received.
 func (e *endpoint) behave(do func(http.ResponseWriter, *http.Request, []byte)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.do, e.seen = do, nil
 }
 
-func (e *endpoint) runs() int {
+// requestCount returns the number of requests that reached the endpoint since the last behave.
+func (e *endpoint) requestCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.seen)
 }
 
-// heartbeat has the endpoint say a state until its proxy acknowledges it.
-func (e *endpoint) beat(state string) {
+// sendHeartbeat sends a heartbeat with a state until the proxy acknowledges it.
+func (e *endpoint) sendHeartbeat(state string) {
 	e.m.t.Helper()
 	e.seq++
 	text := fmt.Sprintf(`{"target":%q,"address":%q,"zone":"north","epoch":"v1","capacity":9,"state":%q,"warmup_left_s":0,"call_seq":%d}`, e.s.Target, e.s.LocalApp, state, e.seq)
-	e.m.until("POST", "http://"+e.s.Control+"/api/Endpoints.Heartbeat/"+e.id, text)
+	e.m.callUntilOK("POST", "http://"+e.s.Control+"/api/Endpoints.Heartbeat/"+e.id, text)
 }
 
-// until sends a call again and again until its status is as wanted.
-func (m *mesh) until(method, url, body string) string {
+// callUntilOK repeats a call until its status is 200, and returns the body.
+func (m *mesh) callUntilOK(method, url, body string) string {
 	m.t.Helper()
 	last := ""
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
@@ -193,11 +195,11 @@
 		}
 		last = r.Status
 	}
-	m.t.Fatalf("%s %s ends %s, want 200", method, url, last)
+	m.t.Fatalf("%s %s returns %s, want 200", method, url, last)
 	return ""
 }
 
-// send sends one request to a proxy.
+// send sends one request to the outbound listener of the proxy beside the endpoint.
 func (e *endpoint) send(method, path, id, body string, more http.Header) (*http.Response, string) {
 	e.m.t.Helper()
 	req, err := http.NewRequest(method, "http://"+e.s.Outbound+path, strings.NewReader(body))
@@ -226,14 +228,14 @@
 "tuples":[["a","shop.example","/read/","safe",2,0.5,2,"one",2],["b","shop.example","/pay/","mutating",2,0.5,1,"one",2]]},
 "services":{"attributes":["name","probe_path","max_conns","warmup_s","warmup_per_s"],"tuples":[["one","/health",100,1,10],["two","/health",100,1,10]]}}`
 
-// calm is a mesh with an endpoint of one service and a proxy beside one of another, all of which know each other.
-func calm(t *testing.T) (m *mesh, from, to *endpoint) {
+// startTwoProxies starts a mesh with two proxies, from and to, beside endpoints of different services, and waits until requests of from reach to.
+func startTwoProxies(t *testing.T) (m *mesh, from, to *endpoint) {
 	m = newMesh(t)
 	from, to = m.start("from", "127.0.8.1", "two"), m.start("to", "127.0.8.2", "one")
-	m.until("POST", "http://"+m.settings("core", coreIP).Control+"/api/Config.Replace", testConfig)
-	from.beat("serving")
-	to.beat("serving")
-	m.until("GET", "http://"+from.s.Readiness+"/api/readiness", "")
+	m.callUntilOK("POST", "http://"+m.settings("core", coreIP).Control+"/api/Config.Replace", testConfig)
+	from.sendHeartbeat("serving")
+	to.sendHeartbeat("serving")
+	m.callUntilOK("GET", "http://"+from.s.Readiness+"/api/readiness", "")
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 		if r, _ := from.send("GET", "/read/first", "first", "", nil); r.StatusCode == http.StatusOK {
 			to.behave(nil)
@@ -244,9 +246,10 @@
 	return nil, nil, nil
 }
 
-// A request goes there and back through both proxies, with what the endpoint is owed and nothing that proxies say to each other.
+// A request and its response pass through both proxies. The endpoint gets all headers that it needs, and neither it nor the client gets a
+// header that proxies exchange.
 func TestRequestRoundTrip(t *testing.T) {
-	m, from, to := calm(t)
+	m, from, to := startTwoProxies(t)
 	r, body := from.send("POST", "/pay/now?x=%20y", "id-1", "some coins", http.Header{
 		callerHeader: {"somebody else"}, targetHeader: {"i-other"}, "Pilot-Word": {"answer"}, "X-Mine": {"kept"}, "Connection": {"X-Hop"}, "X-Hop": {"1"},
 	})
@@ -267,12 +270,12 @@
 	if r, _ := from.send("GET", "/nowhere/", "id-2", "", nil); r.StatusCode != http.StatusNotFound {
 		t.Errorf("no route: %s", r.Status)
 	}
-	if text := m.until("GET", "http://"+m.settings("core", coreIP).Control+"/api/Config.Read", ""); text != testConfig {
+	if text := m.callUntilOK("GET", "http://"+m.settings("core", coreIP).Control+"/api/Config.Read", ""); text != testConfig {
 		t.Errorf("read back %q", text)
 	}
 }
 
-// What an endpoint does to a request, what its client is told then, and how often it has run.
+// For each behavior of an endpoint: the response that the client gets, and how often the request has run.
 func TestRequestOutcomes(t *testing.T) {
 	raw := func(text string) func(http.ResponseWriter, *http.Request, []byte) {
 		return func(w http.ResponseWriter, r *http.Request, _ []byte) {
@@ -283,7 +286,7 @@
 			}
 		}
 	}
-	answer := func(status int, header ...string) func(http.ResponseWriter, *http.Request, []byte) {
+	respond := func(status int, header ...string) func(http.ResponseWriter, *http.Request, []byte) {
 		return func(w http.ResponseWriter, r *http.Request, _ []byte) {
 			for i := 0; i < len(header); i += 2 {
 				w.Header().Set(header[i], header[i+1])
@@ -292,7 +295,7 @@
 			_, _ = io.WriteString(w, "body")
 		}
 	}
-	once := func(first func(http.ResponseWriter, *http.Request, []byte)) func(http.ResponseWriter, *http.Request, []byte) {
+	onFirstRequest := func(behavior func(http.ResponseWriter, *http.Request, []byte)) func(http.ResponseWriter, *http.Request, []byte) {
 		var mu sync.Mutex
 		n := 0
 		return func(w http.ResponseWriter, r *http.Request, body []byte) {
@@ -301,10 +304,10 @@
 			again := n > 1
 			mu.Unlock()
 			if again {
-				answer(http.StatusOK, sealHeader, "s")(w, r, body)
+				respond(http.StatusOK, sealHeader, "s")(w, r, body)
 				return
 			}
-			first(w, r, body)
+			behavior(w, r, body)
 		}
 	}
 	const sealed = "HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nX-Server-Seal: s\r\nContent-Length: 4\r\n\r\n"
@@ -314,30 +317,30 @@
 		status     int
 		runs       int
 	}{
-		{"served", "/pay/", answer(http.StatusOK, sealHeader, "s"), 200, 1},
-		{"its own failure", "/pay/", answer(http.StatusInternalServerError, sealHeader, "s"), 500, 1},
-		{"its own no", "/pay/", answer(http.StatusForbidden, sealHeader, "s"), 403, 1},
-		{"without a seal", "/pay/", answer(http.StatusOK), 502, 1},
-		{"encoded", "/pay/", answer(http.StatusOK, sealHeader, "s", "Content-Encoding", "br"), 502, 1},
-		{"a promise it does not make", "/pay/", answer(http.StatusServiceUnavailable), 502, 1},
-		{"cut off", "/pay/", raw(sealed + "bo"), 502, 1},
-		{"no answer", "/pay/", raw(""), 502, 1},
-		{"no words", "/pay/", raw("what?\r\n\r\n"), 502, 1},
-		{"an answer too many before", "/pay/", raw(strings.Replace(sealed, "ID", "older", 1) + "late" + sealed + "body"), 200, 1},
-		{"an answer too many behind", "/pay/", raw(sealed + "body" + sealed + "more"), 200, 1},
-		{"not run, then served", "/pay/", once(answer(http.StatusServiceUnavailable, notExecutedHeader, "1")), 200, 2},
-		{"safe, cut off, then served", "/read/", once(raw(sealed + "bo")), 200, 2},
+		{"served", "/pay/", respond(http.StatusOK, sealHeader, "s"), 200, 1},
+		{"server error", "/pay/", respond(http.StatusInternalServerError, sealHeader, "s"), 500, 1},
+		{"client error", "/pay/", respond(http.StatusForbidden, sealHeader, "s"), 403, 1},
+		{"without a seal", "/pay/", respond(http.StatusOK), 502, 1},
+		{"encoded", "/pay/", respond(http.StatusOK, sealHeader, "s", "Content-Encoding", "br"), 502, 1},
+		{"503 without the not-executed header", "/pay/", respond(http.StatusServiceUnavailable), 502, 1},
+		{"body cut off", "/pay/", raw(sealed + "bo"), 502, 1},
+		{"no response", "/pay/", raw(""), 502, 1},
+		{"not HTTP", "/pay/", raw("what?\r\n\r\n"), 502, 1},
+		{"extra response before", "/pay/", raw(strings.Replace(sealed, "ID", "older", 1) + "late" + sealed + "body"), 200, 1},
+		{"extra response after", "/pay/", raw(sealed + "body" + sealed + "more"), 200, 1},
+		{"not executed, then served", "/pay/", onFirstRequest(respond(http.StatusServiceUnavailable, notExecutedHeader, "1")), 200, 2},
+		{"safe, body cut off, then served", "/read/", onFirstRequest(raw(sealed + "bo")), 200, 2},
 	} {
-		t.Run(c.name, func(t *testing.T) { // a mesh of its own: what went before has its servers avoided
-			_, from, to := calm(t)
+		t.Run(c.name, func(t *testing.T) { // a new mesh for each case: the case before may have made the proxy avoid the endpoint
+			_, from, to := startTwoProxies(t)
 			to.behave(c.do)
 			method := "GET"
 			if c.path == "/pay/" {
 				method = "POST"
 			}
 			r, body := from.send(method, c.path, fmt.Sprint("fate-", i), "", nil)
-			if r.StatusCode != c.status || to.runs() != c.runs {
-				t.Errorf("%s after %d runs, want %d after %d", r.Status, to.runs(), c.status, c.runs)
+			if r.StatusCode != c.status || to.requestCount() != c.runs {
+				t.Errorf("%s after %d requests at the endpoint, want %d after %d", r.Status, to.requestCount(), c.status, c.runs)
 			}
 			if r.StatusCode == http.StatusOK && body != "body" {
 				t.Errorf("body %q", body)
@@ -346,88 +349,88 @@
 	}
 }
 
-// A large body goes only to a gate that has let its request in.
+// A large body is sent only once the proxy beside the endpoint has admitted the request.
 func TestLargeBodyIsSentAfterAdmission(t *testing.T) {
-	_, from, to := calm(t)
+	_, from, to := startTwoProxies(t)
 	body := strings.Repeat("film", 64<<10)
 	if r, text := from.send("POST", "/pay/", "large", body, nil); r.StatusCode != http.StatusOK || text != "POST /pay/ "+body {
 		t.Fatalf("%s, %d bytes", r.Status, len(text))
 	}
 	to.behave(nil)
 	to.proxy.inbound.shutdown(time.Now())
-	if r, _ := from.send("POST", "/pay/", "none", body, nil); r.StatusCode != http.StatusServiceUnavailable || to.runs() != 0 {
-		t.Fatalf("%s after %d runs", r.Status, to.runs())
+	if r, _ := from.send("POST", "/pay/", "none", body, nil); r.StatusCode != http.StatusServiceUnavailable || to.requestCount() != 0 {
+		t.Fatalf("%s after %d requests at the endpoint", r.Status, to.requestCount())
 	}
 }
 
-// Once its leaving has been acknowledged and the drain is over, nothing reaches an endpoint, whatever others believe: the
-// request is refused as one that has not run, with a time to come back.
+// After the acknowledged deregistration of an endpoint no request reaches it, even if other proxies do not know of it yet: the request is rejected
+// with 503 and Retry-After.
 func TestNoRequestAfterDeregistration(t *testing.T) {
-	m, from, to := calm(t)
-	to.beat("draining")
-	m.until("POST", "http://"+to.s.Control+"/api/Endpoints.Deregister/"+to.id, "")
+	m, from, to := startTwoProxies(t)
+	to.sendHeartbeat("draining")
+	m.callUntilOK("POST", "http://"+to.s.Control+"/api/Endpoints.Deregister/"+to.id, "")
 	to.behave(nil)
 	r, _ := from.send("POST", "/pay/", "late", "", nil)
-	if r.StatusCode != http.StatusServiceUnavailable || r.Header.Get("Retry-After") == "" || to.runs() != 0 {
-		t.Fatalf("%s, Retry-After %q, %d runs", r.Status, r.Header.Get("Retry-After"), to.runs())
+	if r.StatusCode != http.StatusServiceUnavailable || r.Header.Get("Retry-After") == "" || to.requestCount() != 0 {
+		t.Fatalf("%s, Retry-After %q, %d requests at the endpoint", r.Status, r.Header.Get("Retry-After"), to.requestCount())
 	}
-	to.beat("serving") // a late one of a life that has ended
-	if r, _ := from.send("POST", "/pay/", "later", "", nil); r.StatusCode != http.StatusServiceUnavailable || to.runs() != 0 {
-		t.Fatalf("after a late beat: %s, %d runs", r.Status, to.runs())
+	to.sendHeartbeat("serving") // a late heartbeat of an instance that has ended
+	if r, _ := from.send("POST", "/pay/", "later", "", nil); r.StatusCode != http.StatusServiceUnavailable || to.requestCount() != 0 {
+		t.Fatalf("after a late heartbeat: %s, %d requests at the endpoint", r.Status, to.requestCount())
 	}
 }
 
-// Somebody keeps to one endpoint, whichever proxy the request begins at, and goes to the next of its own order when that leaves.
+// The requests of a client go to the same endpoint from every proxy. When that endpoint leaves, only its clients move.
 func TestAffinity(t *testing.T) {
 	m := newMesh(t)
 	a, b, c := m.start("a", "127.0.8.1", "one"), m.start("b", "127.0.8.2", "one"), m.start("c", "127.0.8.3", "one")
 	all := []*endpoint{a, b, c}
 	text := strings.Replace(testConfig, `"max_tries"],`, `"max_tries","affinity"],`, 1)
 	text = strings.Replace(strings.Replace(text, `"one",2],`, `"one",2,"header:X-Counter"],`, 1), `"one",2]]`, `"one",2,""]]`, 1)
-	m.until("POST", "http://"+m.settings("core", coreIP).Control+"/api/Config.Replace", text)
+	m.callUntilOK("POST", "http://"+m.settings("core", coreIP).Control+"/api/Config.Replace", text)
 	for _, e := range all {
-		e.beat("serving")
+		e.sendHeartbeat("serving")
 		e.behave(func(w http.ResponseWriter, _ *http.Request, _ []byte) {
 			w.Header().Set(sealHeader, "s")
 			_, _ = io.WriteString(w, e.id)
 		})
 	}
-	serve := func(from *endpoint, who int) string {
+	serve := func(from *endpoint, clientIndex int) string {
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
-			if r, body := from.send("GET", "/read/", "id", "", http.Header{"X-Counter": {fmt.Sprint(who)}}); r.StatusCode == http.StatusOK {
+			if r, body := from.send("GET", "/read/", "id", "", http.Header{"X-Counter": {fmt.Sprint(clientIndex)}}); r.StatusCode == http.StatusOK {
 				return body
 			}
 		}
-		t.Fatalf("%d is not served", who)
+		t.Fatalf("client %d is not served", clientIndex)
 		return ""
 	}
 	seen := map[string]bool{}
 	for end := time.Now().Add(10 * time.Second); len(seen) < 3 && time.Now().Before(end); {
-		for who := range 30 { // until all know all
-			seen[serve(a, who)], seen[serve(b, who)], seen[serve(c, who)] = true, true, true
+		for clientIndex := range 30 { // until every proxy knows every endpoint
+			seen[serve(a, clientIndex)], seen[serve(b, clientIndex)], seen[serve(c, clientIndex)] = true, true, true
 		}
 	}
 	at := map[int]string{}
-	for who := range 30 {
-		at[who] = serve(a, who)
+	for clientIndex := range 30 {
+		at[clientIndex] = serve(a, clientIndex)
 		for _, from := range []*endpoint{b, c, a} {
-			if got := serve(from, who); got != at[who] {
-				t.Errorf("%d is at %s and at %s", who, at[who], got)
+			if got := serve(from, clientIndex); got != at[clientIndex] {
+				t.Errorf("client %d is at %s and at %s", clientIndex, at[clientIndex], got)
 			}
 		}
 	}
-	c.beat("draining")
-	m.until("POST", "http://"+c.s.Control+"/api/Endpoints.Deregister/"+c.id, "")
-	for who := range 30 {
-		if got := serve(b, who); got != at[who] && at[who] != c.id {
-			t.Errorf("%d moved from %s to %s as %s left", who, at[who], got, c.id)
+	c.sendHeartbeat("draining")
+	m.callUntilOK("POST", "http://"+c.s.Control+"/api/Endpoints.Deregister/"+c.id, "")
+	for clientIndex := range 30 {
+		if got := serve(b, clientIndex); got != at[clientIndex] && at[clientIndex] != c.id {
+			t.Errorf("client %d moved from %s to %s as %s left", clientIndex, at[clientIndex], got, c.id)
 		}
 	}
 }
 
-// Two requests in one, and what is none: the answer is 400 and the connection ends.
+// An ambiguous request, such as one that smuggles a second request, and an invalid one are rejected with 400, and the connection is closed.
 func TestInvalidRequestsReachNoEndpoint(t *testing.T) {
-	_, from, to := calm(t)
+	_, from, to := startTwoProxies(t)
 	for _, text := range []string{
 		"GET /read/ HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /read/two HTTP/1.1\r\nHost: shop.example\r\n\r\n",
 		"GET /read/ HTTP/1.1\r\nHost: shop.example\r\nHost: other.example\r\n\r\n",
@@ -442,17 +445,17 @@
 		got, err := io.ReadAll(conn)
 		conn.Close()
 		if err != nil || !bytes.HasPrefix(got, []byte("HTTP/1.1 400 ")) || bytes.Count(got, []byte("HTTP/1.1")) != 1 {
-			t.Errorf("%q is answered %q, %v", text, got, err)
+			t.Errorf("%q: response %q, %v", text, got, err)
 		}
 	}
-	if to.runs() != 0 {
-		t.Errorf("%d requests ran", to.runs())
+	if to.requestCount() != 0 {
+		t.Errorf("%d requests reached the endpoint", to.requestCount())
 	}
 }
 
-// A proxy that is started anew on a machine whose clock went back is believed all the same.
+// The records of a proxy that restarts with a lower incarnation, after the clock of its machine went back, are still applied.
 func TestClockWentBack(t *testing.T) {
-	_, from, to := calm(t)
+	_, from, to := startTwoProxies(t)
 	to.stop()
 	to.mu.Lock()
 	to.id = "i-to-again"
@@ -467,18 +470,18 @@
 	ended.Go(func() { _ = p.Run(ctx) })
 	defer ended.Wait()
 	defer stop()
-	to.beat("serving")
+	to.sendHeartbeat("serving")
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 		if r, _ := from.send("GET", "/read/", "again", "", nil); r.StatusCode == http.StatusOK {
 			return
 		}
 	}
-	t.Fatal("its endpoint is not reached any more")
+	t.Fatal("no request reaches the endpoint of the restarted proxy")
 }
 
-// While no control plane can be reached, what one proxy goes by reaches the others that watch it.
+// While no control plane is reachable, the snapshot of a proxy reaches the proxies that watch it.
 func TestGossipWithoutControlPlanes(t *testing.T) {
-	m, from, to := calm(t)
+	m, from, to := startTwoProxies(t)
 	m.stopCore()
 	newer := strings.Replace(testConfig, `"r2"`, `"r9"`, 1)
 	from.proxy.loop.Post(func() {
@@ -492,17 +495,17 @@
 		}
 		if s.Version == 9 {
 			if r, _ := to.send("GET", "/read/", "evacuated", "", nil); r.StatusCode != http.StatusServiceUnavailable {
-				t.Fatalf("in a zone that is evacuated: %s", r.Status)
+				t.Fatalf("in an evacuated zone: %s", r.Status)
 			}
 			return
 		}
 	}
-	t.Fatal("the other proxy does not hear of it")
+	t.Fatal("the other proxy does not receive the newer snapshot")
 }
 
-// Each process tells how things are, and proxies the story of a request.
+// Each process reports its status, and proxies also the events of a request.
 func TestStatusAndEvents(t *testing.T) {
-	m, from, to := calm(t)
+	m, from, to := startTwoProxies(t)
 	from.send("POST", "/pay/", "story-1", "", nil)
 	core := m.settings("core", coreIP)
 	k, err := configstore.QueryStatus(configstore.Address(coreIP, core), 5*time.Second)
@@ -513,14 +516,14 @@
 	if err != nil || l.ConfigVersion != 2 || !l.HasContact || len(l.Proxies) != 2 || l.Proxies[1].ConfigVersion != 2 || l.Proxies[1].Endpoint.ID != to.id {
 		t.Errorf("control plane: %+v, %v", l, err)
 	}
-	ask := func(e *endpoint) *Status {
+	queryStatus := func(e *endpoint) *Status {
 		s, err := QueryStatus(fmt.Sprintf("%s:%d", e.s.IP, e.s.Port(2)), StatusQuery{RequestID: "story-1"}, 5*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return s
 	}
-	a, b := ask(from), ask(to)
+	a, b := queryStatus(from), queryStatus(to)
 	var text bytes.Buffer
 	a.Print(&text)
 	b.Print(&text)
@@ -531,7 +534,7 @@
 		`event=attempt instance=i-to`, `outcome="answer"`, "event=answered status=200 attempts=1 reached=1", "event=forwarded instance=i-to",
 	} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("%q is not told:\n%s", want, text.String())
+			t.Errorf("%q is missing in the report:\n%s", want, text.String())
 		}
 	}
 }
--- a/internal/mesh/proxy/proxy.go
+++ b/internal/mesh/proxy/proxy.go
@@ -1,5 +1,5 @@
 // Package proxy is the process of the data-plane proxy, one beside every endpoint. Outbound, it
-// forwards the requests that begin on its machine to the proxies beside other endpoints, with a
+// forwards the requests of clients on its machine to the proxies beside other endpoints, with a
 // decision module for each service. Inbound, it admits requests to its own endpoint (package
 // admission).
 package proxy
@@ -33,39 +33,39 @@
 
 const (
 	tickInterval    = 250 * time.Millisecond
-	keepMissing     = 5 * time.Second        // for which a node is kept that no control plane reports any more
+	keepMissing     = 5 * time.Second        // how long a node is kept after no control plane reports it any more
 	connIdleTimeout = 20 * time.Second       // of connections between proxies
-	headTimeout     = 3 * time.Second        // for the head of a request to be received
-	apiDrainTimeout = 200 * time.Millisecond // for calls of the endpoint that are in flight at shutdown
+	headTimeout     = 3 * time.Second        // until the head of a request is received
+	apiDrainTimeout = 200 * time.Millisecond // until API calls in flight at shutdown are aborted
 )
 
-// Times of a shutdown. After SIGTERM readiness fails, which clients notice at their second check; until then requests are
-// served as always. Then the other proxies are notified, and a little later nothing more is accepted.
+// Times of a shutdown. After SIGTERM readiness fails, which clients detect at their second check; until then requests are
+// served normally. Then the other proxies are notified, and after that no more requests are accepted.
 const (
-	maxAcceptTime   = 2600 * time.Millisecond // from SIGTERM until nothing more is accepted
-	acceptFraction  = 0.5                     // of the grace time, is the most of it
-	announceMargin  = 600 * time.Millisecond  // before that, when the other proxies are notified
-	closeMargin     = 200 * time.Millisecond  // before that, when the endpoint beside this proxy gets nothing new any more
-	killMargin      = 600 * time.Millisecond  // before SIGKILL, when the last connections are closed
-	finalAnswerTime = 200 * time.Millisecond  // before that, when everything unanswered gets a response of the proxy
+	maxAcceptTime   = 2600 * time.Millisecond // from SIGTERM until no more requests are accepted
+	acceptFraction  = 0.5                     // limit of the same time, as a fraction of the grace time
+	announceMargin  = 600 * time.Millisecond  // before accepting ends: the other proxies are notified
+	closeMargin     = 200 * time.Millisecond  // before accepting ends: the endpoint beside this proxy gets no more new requests
+	killMargin      = 600 * time.Millisecond  // before SIGKILL: the last connections are closed
+	finalAnswerTime = 200 * time.Millisecond  // before the last connections are closed: the proxy responds to all unfinished requests
 )
 
-// Proxy is a running proxy. Its state is owned by the goroutine of loop; what requests read is in
-// routing.
+// Proxy is a running proxy. Its state is owned by the goroutine of loop; requests read the immutable
+// routing instead.
 type Proxy struct {
 	settings *nodeconfig.Settings
 	log      zerolog.Logger
 	loop     *process.Loop
 
 	state         *discovery.ClientState
-	loggedTrust   discovery.TrustLevel // as logged last
+	loggedTrust   discovery.TrustLevel // trust level that was last logged
 	controlPlanes *controlPlaneLinks
 	watchers      *watchers
 	record        registry.NodeRecord
 	routing       atomic.Pointer[routing]
 	configured    chan struct{}               // closed once there is a configuration
 	services      map[string]*upstreamService // by name
-	avoided       map[string]time.Time        // instances that get no requests until a time, as their proxies rejected some
+	avoided       map[string]time.Time        // instances that get no requests until the given time, because their proxies rejected some
 	inbound       *inboundEndpoint
 	observer      *callObserver
 	events        *eventlog.Recorder
@@ -74,7 +74,7 @@
 	bodies        bodyBudget
 	target        atomic.Pointer[string] // service of the endpoint on this machine
 	draining      atomic.Bool
-	lastFailure   atomic.Int64 // when a request that began on this machine last failed, in ns since 1970
+	lastFailure   atomic.Int64 // when a request of a client on this machine last failed, in nanoseconds since 1970
 
 	goroutines        sync.WaitGroup
 	inboundPort       *sidecar.Port
@@ -92,10 +92,10 @@
 	services map[string]*upstreamService
 }
 
-// New opens the ports.
+// New creates a proxy and opens its API, readiness and peer ports.
 func New(settings *nodeconfig.Settings, log zerolog.Logger) (*Proxy, error) {
 	if settings.Inbound == "" || settings.Outbound == "" || settings.Readiness == "" || settings.Control == "" || settings.LocalApp == "" {
-		return nil, Start.New("%s: bind.inbound, bind.outbound, bind.readiness, bind.control and local_app are needed", settings.Path)
+		return nil, Start.New("%s: bind.inbound, bind.outbound, bind.readiness, bind.control and local_app must be set", settings.Path)
 	}
 	p := &Proxy{
 		settings: settings, log: log, loop: process.NewLoop(512), state: discovery.NewClientState(time.Now(), clientLimits(settings)),
@@ -112,7 +112,7 @@
 	p.events = eventlog.New(maxEvents)
 	p.controlPlanes = newControlPlaneLinks(p)
 	p.watchers = newWatchers(p)
-	p.bodies.left.Store(int64(bodyMemoryFraction * float64(settings.MemoryMB) * (1 << 20)))
+	p.bodies.available.Store(int64(bodyMemoryFraction * float64(settings.MemoryMB) * (1 << 20)))
 	var err error
 	if p.controlListener, err = net.Listen("tcp", settings.Control); err != nil {
 		return nil, Start.Wrap(err, "listen")
@@ -127,17 +127,17 @@
 }
 
 // clientLimits returns the limits of the discovery state: a new proxy waits for a confirmed
-// snapshot for as long as machines may take to regain contact and a configuration to converge.
+// snapshot for as long as control planes may take to regain contact and a configuration to converge.
 func clientLimits(settings *nodeconfig.Settings) discovery.Limits {
 	return discovery.Limits{KeepMissing: keepMissing, ContactTimeout: settings.Bounds.Converge + settings.Bounds.Contact}
 }
 
 // Run serves until ctx ends, then drains.
 func (p *Proxy) Run(ctx context.Context) error {
-	inner, stop := context.WithCancel(context.Background())
+	running, stop := context.WithCancel(context.Background())
 	defer p.goroutines.Wait()
 	defer stop()
-	p.ctx = inner
+	p.ctx = running
 	var err error
 	maxConns := p.settings.Descriptors / 4
 	limits := sidecar.PortLimits{MaxConns: maxConns, IdleTimeout: connIdleTimeout, HeadTimeout: headTimeout}
@@ -147,26 +147,26 @@
 	if p.outboundPort, err = sidecar.NewPort(p.settings.Outbound, limits, &outboundListener{p}); err != nil {
 		return Start.Wrap(err, "listen")
 	}
-	p.goroutines.Go(func() { p.loop.Run(inner, tickInterval, p.tick) })
+	p.goroutines.Go(func() { p.loop.Run(running, tickInterval, p.tick) })
 	p.goroutines.Go(func() {
-		transport.Serve(inner, p.peerListener, func(raw net.Conn) { p.goroutines.Go(func() { p.servePeerConn(raw) }) })
+		transport.Serve(running, p.peerListener, func(raw net.Conn) { p.goroutines.Go(func() { p.servePeerConn(raw) }) })
 	})
 	defer p.peerListener.Close()
 	p.controlPlanes.addSeeds()
-	calls := &http.Server{Handler: controlapi.NewHandler(p.handleCall)}
-	ready := &http.Server{Handler: controlapi.NewHandler(p.handleCall)}
-	ended := make(chan error, 2)
-	serving, silent := context.WithCancel(context.Background())
-	defer silent()
+	apiServer := &http.Server{Handler: controlapi.NewHandler(p.handleCall)}
+	readyServer := &http.Server{Handler: controlapi.NewHandler(p.handleCall)}
+	serveErrors := make(chan error, 2)
+	serving, stopServing := context.WithCancel(context.Background())
+	defer stopServing()
 	p.goroutines.Go(func() {
-		ended <- controlapi.Serve(serving, calls, func() error { return calls.Serve(p.controlListener) }, apiDrainTimeout)
+		serveErrors <- controlapi.Serve(serving, apiServer, func() error { return apiServer.Serve(p.controlListener) }, apiDrainTimeout)
 	})
 	p.goroutines.Go(func() {
-		ended <- controlapi.Serve(serving, ready, func() error { return ready.Serve(p.readinessListener) }, apiDrainTimeout)
+		serveErrors <- controlapi.Serve(serving, readyServer, func() error { return readyServer.Serve(p.readinessListener) }, apiDrainTimeout)
 	})
 	p.log.Info().Str("outbound", p.settings.Outbound).Str("target", p.settings.Target).Msg("serve")
 	select {
-	case err := <-ended:
+	case err := <-serveErrors:
 		return Start.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
@@ -184,7 +184,7 @@
 // serviceName returns the service of the endpoint on this machine, by the settings as last read.
 func (p *Proxy) serviceName() string { return *p.target.Load() }
 
-// tick does what is due.
+// tick runs the periodic tasks. It runs in the loop.
 func (p *Proxy) tick() {
 	now := time.Now()
 	changed := p.state.Merge(now)
@@ -213,7 +213,7 @@
 	p.controlPlanes.announceRecord(p.record)
 }
 
-// handleCall handles a call of the endpoint beside this proxy, or of the platform.
+// handleCall handles an API call of the endpoint beside this proxy, or of the platform.
 func (p *Proxy) handleCall(c controlapi.Command, done func(controlapi.Result)) {
 	switch c := c.(type) {
 	case controlapi.Readiness:
--- a/internal/mesh/proxy/requestevents.go
+++ b/internal/mesh/proxy/requestevents.go
@@ -12,8 +12,8 @@
 	"milletmast/internal/sidecar"
 )
 
-// The events of a request, as "proxy explain" prints them: one line of key=value pairs each. The details are put together by
-// hand, as this is on the path of every request.
+// The events of a request, as "proxy explain" prints them: one line of key=value pairs each. The details are concatenated
+// without a formatter, because every request runs this code.
 
 // recordReceived records that a client's request was matched to a route.
 func (p *Proxy) recordReceived(id string, route *meshconfig.Route, service string) {
@@ -24,14 +24,14 @@
 // recordClientGone records that the client closed its connection or cancelled its stream.
 func (p *Proxy) recordClientGone(id string) { p.recordEvent(id, "event=client_gone") }
 
-// recordAnswered records the response to a client, and how many attempts it took.
+// recordAnswered records the response to a client, and the number of attempts.
 func (p *Proxy) recordAnswered(id string, status int, out *outboundRequest) {
 	attempts, reached := strconv.Itoa(int(out.attempts.Load())), strconv.Itoa(int(out.reached.Load()))
 	p.recordEvent(id, "event=answered status="+strconv.Itoa(status)+" attempts="+attempts+" reached="+reached)
 }
 
-// recordAttempt records an attempt: what the proxy beside the endpoint is certain of (headers.go), and what the decision
-// module receives.
+// recordAttempt records an attempt: its outcome at the proxy beside the endpoint (headers.go), and its result for the
+// decision module.
 func (p *Proxy) recordAttempt(id string, attempt *sidecar.ServiceAttempt, outcome string, result balancer.Outcome) {
 	p.recordEvent(id, "event=attempt instance="+attempt.Server+" addr="+attempt.Addr+" outcome="+strconv.Quote(outcome)+
 		" result="+attemptResultNames[result])
--- a/internal/mesh/proxy/status.go
+++ b/internal/mesh/proxy/status.go
@@ -19,13 +19,13 @@
 	peerConnTimeout = 4 * time.Second
 )
 
-// PeerMessage is a message to a proxy: a query of an operator, or gossip of another proxy.
+// PeerMessage is a message to a proxy: a status query of an operator, or gossip of another proxy.
 type PeerMessage struct {
 	StatusQuery *StatusQuery
 	Gossip      *Gossip
 }
 
-// StatusQuery asks for the status report, with the events of a request if one is named.
+// StatusQuery requests the status report, with the events of a request if its id is given.
 type StatusQuery struct{ RequestID string }
 
 // Status is the status report of a proxy.
@@ -34,16 +34,16 @@
 	Version          uint64
 	Ready            bool
 	Trust            string   // trust level of the control state: waiting, uncertain or certain
-	ControlPlanes    []string // the connected ones
+	ControlPlanes    []string // addresses of the connected ones
 	Endpoint         string
 	EndpointState    string
-	InFlight, Queued int // at the endpoint, and waiting for it
+	InFlight, Queued int // requests at the endpoint, and requests that wait for it
 	Capacity         int
 	Services         []ServiceStatus
 	Events           []eventlog.Event
 }
 
-// ServiceStatus is the status of a service, as this proxy sends to it.
+// ServiceStatus is the status of a service that this proxy sends requests to.
 type ServiceStatus struct {
 	Name      string
 	Instances []InstanceStatus
@@ -70,7 +70,7 @@
 		t := decodePeerMessage(&encoded)
 		switch {
 		case t.StatusQuery != nil:
-			p.answerQuery(conn, t.StatusQuery)
+			p.sendStatus(conn, t.StatusQuery)
 			return
 		case t.Gossip != nil:
 			g, ok := process.Call(p.loop, func() *Gossip { return p.replyTo(t.Gossip) })
@@ -83,8 +83,8 @@
 	}
 }
 
-// answerQuery answers a query.
-func (p *Proxy) answerQuery(conn *transport.Conn, q *StatusQuery) {
+// sendStatus sends the status report that an operator has requested.
+func (p *Proxy) sendStatus(conn *transport.Conn, q *StatusQuery) {
 	s, ok := process.Call(p.loop, p.status)
 	if !ok {
 		return
@@ -92,7 +92,7 @@
 	if q.RequestID != "" {
 		s.Events = p.events.ForRequest(q.RequestID)
 	}
-	_ = conn.Send(s.Encode()) // a query that is gone needs no report
+	_ = conn.Send(s.Encode()) // the operator may have disconnected
 }
 
 // status returns the status report. It runs in the loop.
@@ -105,8 +105,8 @@
 		Ready:   !p.draining.Load() && p.routing.Load().config != nil,
 		Trust:   p.state.Trust().String(),
 	}
-	for ip, connection := range p.controlPlanes.active {
-		if connection.conn != nil {
+	for ip, link := range p.controlPlanes.active {
+		if link.conn != nil {
 			s.ControlPlanes = append(s.ControlPlanes, ip)
 		}
 	}
@@ -118,8 +118,8 @@
 	for name, service := range p.services {
 		v := ServiceStatus{Name: name}
 		service.mu.Lock()
-		for _, b := range service.endpoints {
-			v.Instances = append(v.Instances, InstanceStatus{b.Name, b.Zone, !b.Draining})
+		for _, e := range service.endpoints {
+			v.Instances = append(v.Instances, InstanceStatus{e.Name, e.Zone, !e.Draining})
 		}
 		service.mu.Unlock()
 		s.Services = append(s.Services, v)
@@ -127,7 +127,7 @@
 	return s
 }
 
-// QueryStatus asks a proxy for its status report.
+// QueryStatus requests the status report of a proxy.
 func QueryStatus(addr string, q StatusQuery, timeout time.Duration) (*Status, error) {
 	var s wire.Status
 	if err := transport.Call(context.Background(), addr, timeout, (&PeerMessage{StatusQuery: &q}).Encode(), &s); err != nil {
--- a/internal/mesh/proxy/upstream.go
+++ b/internal/mesh/proxy/upstream.go
@@ -20,32 +20,32 @@
 	defaultTargetLatency = 500 * time.Millisecond
 	defaultDeadline      = 5 * time.Second
 
-	targetLatencyFraction = 0.7  // of the deadline, is the least target latency: a late response has some value too
-	queueTimeFraction     = 0.25 // of the target latency, for which a request may be queued at one endpoint
+	targetLatencyFraction = 0.7  // of the deadline: minimum of the target latency, as a late response is worth something too
+	queueTimeFraction     = 0.25 // of the target latency: time for which a request may be queued at one endpoint
 	minQueueTime          = 60 * time.Millisecond
-	retryAfterFraction    = 0.25 // of the remaining time, is the longest Retry-After
-	configWaitFraction    = 0.1  // of the remaining time, for which a request waits for the first configuration
+	retryAfterFraction    = 0.25 // of the remaining time: the longest Retry-After
+	configWaitFraction    = 0.1  // of the remaining time: time for which a request waits for the first configuration
 	maxConfigWait         = 250 * time.Millisecond
-	askTimeout            = 500 * time.Millisecond // beyond the queue time, for the decision on a large body to arrive
+	admitTimeout          = 500 * time.Millisecond // beyond the queue time, until the decision on a large body is received
 )
 
 // Limits of a request.
 const (
-	extraAttempts    = 5       // beyond those that may reach an endpoint, as some are rejected
-	maxLocalAttempts = 5       // endpoints of the own zone; the request is queued only at the last, as another may be free
-	askFirstBytes    = 8 << 10 // a body from this size on is sent only once the request is admitted
+	extraAttempts    = 5       // attempts beyond those that may reach an endpoint, as some are rejected
+	maxLocalAttempts = 5       // attempts in the own zone; the request is queued only at the last, as another endpoint may be free
+	admitFirstBytes  = 8 << 10 // a body of this size or more is sent only once the request is admitted
 )
 
 // Settings of the decision modules.
 const (
 	moduleIdleTimeout  = 15 * time.Second
-	retireTimeout      = 30 * time.Second // for the requests of a module that was replaced
-	topPriorityWeight  = 4.0              // of priority 0; each further priority has half of it
-	maxPriority        = 16               // higher ones have the same weight
-	latePriorityWeight = 0.3              // of a response after the target latency
-	minInFlight        = 5                // requests always allowed in flight to an endpoint: admission control there limits them exactly
-	moduleCopies       = 1                // senders that a module assumes: admission control counts, so none has to keep to a share
-	maxStreams         = 1024             // connections between proxies are opened as needed: admission control limits those to endpoints
+	retireTimeout      = 30 * time.Second // until the requests of a replaced module are aborted
+	topPriorityWeight  = 4.0              // of priority 0; each following priority has half the weight of the one before
+	maxPriority        = 16               // higher numbers have the same weight
+	latePriorityWeight = 0.3              // of a response after the target latency, relative to one in time
+	minInFlight        = 5                // requests always allowed in flight to an endpoint; its admission control limits them exactly
+	moduleReplicas     = 1                // replicas that a module assumes; admission control limits all together, so none has a share
+	maxStreams         = 1024             // no effective limit between proxies; admission control limits the connections to endpoints
 )
 
 // upstreamService is a service that requests are forwarded to: its decision modules and its
@@ -68,7 +68,7 @@
 // locality is where an instance is.
 type locality struct{ sameNode, sameZone bool }
 
-// lane is a decision module and the classes that it knows.
+// lane is a decision module and the classes that it was built for.
 type lane struct {
 	service *sidecar.Service
 	classes []classKey
@@ -89,7 +89,7 @@
 	return defaultLane
 }
 
-// classKey is what makes requests alike for the decision module.
+// classKey identifies a class of requests of the decision module.
 type classKey struct {
 	safe          bool
 	targetLatency time.Duration
@@ -119,7 +119,7 @@
 	return key
 }
 
-// configure applies a configuration: new classes need a new module.
+// configure applies a configuration. A module with new classes is rebuilt.
 func (u *upstreamService) configure(config *meshconfig.Config) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -148,7 +148,7 @@
 	settings := u.proxy.settings
 	zones := u.zoneNames()
 	moduleSettings := balancer.Settings{
-		Replicas: moduleCopies,
+		Replicas: moduleReplicas,
 		Zone:     slices.Index(zones, settings.Zone),
 		Limits: balancer.Limits{
 			MaxAttempts:             extraAttempts + 2,
@@ -175,8 +175,8 @@
 	var learned *balancer.LearnedState
 	old := lane.service
 	if old != nil {
-		memory := old.LearnedState()
-		learned = &memory
+		state := old.LearnedState()
+		learned = &state
 	}
 	next, err := sidecar.NewService(moduleSettings, zones, rand.Uint64(), settings.Descriptors/4, learned)
 	if err != nil {
@@ -184,24 +184,24 @@
 		return
 	}
 	lane.service = next
-	next.SetEndpoints(u.endpointsFor(laneIndex), moduleCopies, 0)
+	next.SetEndpoints(u.endpointsFor(laneIndex), moduleReplicas, 0)
 	if old != nil {
 		u.proxy.goroutines.Go(func() { old.Shutdown(u.proxy.ctx, time.Now().Add(retireTimeout)) })
 	}
 }
 
-// abort ends all requests in flight with a response.
+// abort responds to all requests in flight, which ends them.
 func (u *upstreamService) abort() {
-	u.eachModule((*sidecar.Service).AnswerAll)
+	u.forEachModule((*sidecar.Service).AnswerAll)
 }
 
-// close ends the service and the requests that it still has.
+// close ends the service and the requests in flight.
 func (u *upstreamService) close() {
-	u.eachModule(func(s *sidecar.Service) { s.Shutdown(u.proxy.ctx, time.Now()) })
+	u.forEachModule(func(s *sidecar.Service) { s.Shutdown(u.proxy.ctx, time.Now()) })
 }
 
-// eachModule calls a function for each module.
-func (u *upstreamService) eachModule(do func(*sidecar.Service)) {
+// forEachModule calls a function for each module.
+func (u *upstreamService) forEachModule(do func(*sidecar.Service)) {
 	u.mu.Lock()
 	lanes := u.lanes
 	u.mu.Unlock()
@@ -234,7 +234,7 @@
 	return names
 }
 
-// updateEndpoints gives the modules the endpoints of the service. It runs in the proxy's loop.
+// updateEndpoints passes the endpoints of the service to its modules. It runs in the proxy's loop.
 func (u *upstreamService) updateEndpoints(nodes []discovery.Node) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -256,9 +256,9 @@
 	}
 	u.proxies = max(u.proxies, 1)
 	u.affinityTable = affinity.NewTable(accepting)
-	for node, lane := range u.lanes {
+	for laneIndex, lane := range u.lanes {
 		if lane.service != nil {
-			lane.service.SetEndpoints(u.endpointsFor(node), moduleCopies, 0)
+			lane.service.SetEndpoints(u.endpointsFor(laneIndex), moduleReplicas, 0)
 		}
 	}
 }
--- a/internal/mesh/proxy/wire/wire.go
+++ b/internal/mesh/proxy/wire/wire.go
@@ -1,7 +1,7 @@
 // Package wire holds the encoded forms of the messages that proxies exchange and of the status report of a proxy.
 //
 // encoding/gob writes the names of struct types and fields between processes that are upgraded one machine at a time, so the
-// names in this package never change; the golden files of package compat check them. Package proxy converts at the edge.
+// names in this package never change; the golden files of package compat check them. Package proxy converts between them and its own types.
 package wire
 
 import (
