--- a/cmd/configstore/main.go
+++ b/cmd/configstore/main.go
@@ -1,4 +1,4 @@
-// Command configstore is the replicated configuration store, on core machines, with the disk.
+// Command configstore is the replicated configuration store, on core machines. It stores its state on disk.
 package main
 
 import (
@@ -10,7 +10,7 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run runs the program with arguments and gives its exit code.
+// run runs the program with arguments and returns its exit code.
 func run(args []string) int {
 	return process.Execute("configstore", args, configstore.New, queryCommands()...)
 }
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -10,7 +10,7 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run runs the program with arguments and gives its exit code.
+// run runs the program with arguments and returns its exit code.
 func run(args []string) int {
 	return process.Execute("controlplane", args, controlplane.New, queryCommands()...)
 }
--- a/cmd/controlplane/query.go
+++ b/cmd/controlplane/query.go
@@ -42,21 +42,25 @@
 	}
 }
 
-// statusCommand returns a command that answers from the status report, with a bounded number of arguments.
-func statusCommand(name, help string, least, most int, answer func(*controlplane.Status, []string) (process.Printer, error)) *ff.Command {
+// statusCommand returns a command with minArgs to maxArgs arguments that prints a report made from the status report.
+func statusCommand(
+	name, help string,
+	minArgs, maxArgs int,
+	report func(*controlplane.Status, []string) (process.Printer, error),
+) *ff.Command {
 	return process.QueryCommand(
 		"controlplane",
 		name,
 		help,
-		func(_ context.Context, addr string, within time.Duration, args []string) (process.Printer, error) {
-			if len(args) < least || len(args) > most {
+		func(_ context.Context, addr string, timeout time.Duration, args []string) (process.Printer, error) {
+			if len(args) < minArgs || len(args) > maxArgs {
 				return nil, ff.ErrHelp
 			}
-			s, err := controlplane.QueryStatus(addr, within)
+			s, err := controlplane.QueryStatus(addr, timeout)
 			if err != nil {
 				return nil, err
 			}
-			return answer(s, args)
+			return report(s, args)
 		},
 	)
 }
--- a/internal/mesh/admission/controller.go
+++ b/internal/mesh/admission/controller.go
@@ -1,8 +1,8 @@
 // Package admission is the admission control beside an endpoint. Every request reaches the endpoint
-// through it, so the rules of the endpoint are decided once, exactly, here: no request after a
-// drain, into an evacuated zone or for another instance, no more a second than an endpoint that is
-// warming up bears, no more at once than it has capacity for. A rejected request never reached the
-// endpoint. The package is pure: the time goes in, decisions come out.
+// through it, so it enforces the rules of the endpoint exactly: no request after a drain, into an
+// evacuated zone or for another instance, no more requests a second than an endpoint that is warming
+// up can take, and no more requests at once than its capacity. A rejected request never reached the
+// endpoint. The package reads no clock and does no I/O: callers pass the time and get decisions.
 package admission
 
 import (
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// State is the state of the endpoint, as far as it is known here.
+// State is the last known state of the endpoint.
 type State uint8
 
 // The states. SetState is the one function that changes them.
 const (
 	Unknown  State = iota // no instance is known
 	Serving               // it accepts requests
-	Draining              // it was acknowledged that it may leave: for a while, requests in transit are still admitted
-	Down                  // it does not answer
+	Draining              // its departure was acknowledged: for a while, requests in transit are still admitted
+	Down                  // it does not respond
 	Gone                  // it has ended
 )
 
@@ -26,19 +26,19 @@
 	return [...]string{"unknown", "serving", "draining", "down", "gone"}[s]
 }
 
-// Decision is the decision on a request. All but Admit and Queue mean that it never reached the
-// endpoint. Proxies send its text to each other, so the text does not change.
+// Decision is the decision on a request. All but Admit and Queue mean that the request never reached
+// the endpoint. Proxies send the text of a decision to each other, so the texts do not change.
 type Decision uint8
 
 // The decisions.
 const (
 	Admit Decision = iota
 	Queue
-	NoInstance    // no instance is known, or it does not answer, or it has ended
+	NoInstance    // no instance is known, or it does not respond, or it has ended
 	OtherInstance // the request is for another instance
 	ShuttingDown  // the endpoint drains, or this proxy shuts down
 	Evacuated     // the zone is evacuated
-	WarmingUp     // the endpoint is warming up and has had its share of this second
+	WarmingUp     // the endpoint is warming up and has received its share of this second
 	Full          // the endpoint and the queue are full
 )
 
@@ -46,29 +46,29 @@
 	return [...]string{"pass", "wait", "nolife", "otherlife", "leaving", "evacuated", "cold", "full"}[v]
 }
 
-// Limits are the limits of the rules and the settings.
+// Limits are the limits that admission control enforces.
 type Limits struct {
-	Drain        time.Duration // from the acknowledgement to the last request that may reach the endpoint
-	WarmupExcess float64
-	WarmupSlack  float64
-	WarmupRate   float64 // requests a second to an endpoint that is warming up; 0 for no limit
-	MaxConns     int     // 0 for no limit
+	Drain        time.Duration // from the acknowledgment of a departure to the last request that may reach the endpoint
+	WarmupExcess float64       // factor of WarmupRate that any second may reach
+	WarmupSlack  float64       // requests that any second may have beyond that
+	WarmupRate   float64       // requests a second to an endpoint that is warming up; 0 for no limit
+	MaxConns     int           // 0 for no limit
 }
 
 const (
 	drainFraction        = 0.5         // of the drain time, in which requests in transit are still admitted
-	warmupWindow         = time.Second // over which the rule about warming up counts requests
+	warmupWindow         = time.Second // over which requests to an endpoint that is warming up are counted
 	warmupRateFraction   = 1.0         // of WarmupRate
-	warmupExcessFraction = 0.6         // of what the rule allows, at most
-	defaultCapacity      = 6           // of an endpoint that has not reported its capacity, if no other proxy knows it
+	warmupExcessFraction = 0.6         // of what WarmupExcess and WarmupSlack allow
+	defaultCapacity      = 6           // if neither the endpoint nor another proxy has reported the capacity
 )
 
 // Request is a request for admission.
 type Request struct {
-	InstanceID       string // the instance that it is for
-	Priority         int    // the lower goes first in the queue
-	NonRepeatable    bool   // it may run once only: while the endpoint warms up it goes before repeatable requests of its priority
-	WaitDuringWarmup bool   // it may be queued at an endpoint that is warming up, as its sender knows of no warm one
+	InstanceID       string // the instance that the request is for
+	Priority         int    // a lower number goes first in the queue
+	NonRepeatable    bool   // it may run once only: during a warm-up it goes before repeatable requests of its priority
+	WaitDuringWarmup bool   // it may be queued at an endpoint that is warming up, as its sender knows no warm one
 	Deadline         time.Time
 }
 
@@ -77,15 +77,15 @@
 	limits           Limits
 	state            State
 	instanceID       string
-	endedInstances   map[string]bool // instances that have ended
+	endedInstances   map[string]bool // ids of instances that have ended
 	capacity         int
 	guessedCapacity  int // until the endpoint reports its capacity
 	warmAt           time.Time
-	closeAt          time.Time // with Draining: nothing is admitted from then on
+	closeAt          time.Time // with Draining: no request is admitted from then on
 	shutdownAt       time.Time // when this proxy stops admitting; zero for never
 	evacuated        bool
 	evacuationNumber uint64 // version of the evacuation order that is applied
-	evacuationKnown  bool   // until then nothing is admitted
+	evacuationKnown  bool   // until then no request is admitted
 	warmupUncertain  bool   // the endpoint may be warming up without having reported it
 	inFlight         int
 	queue            []*Ticket
@@ -94,7 +94,7 @@
 	lastSequence     uint64
 }
 
-// New returns a controller that knows of no instance.
+// New returns a controller without an instance.
 func New(limits Limits) *Controller {
 	return &Controller{limits: limits, endedInstances: map[string]bool{}}
 }
@@ -102,23 +102,23 @@
 // SetLimits replaces the limits.
 func (c *Controller) SetLimits(limits Limits) { c.limits = limits }
 
-// State returns the state and the instance.
+// State returns the state and the id of the instance.
 func (c *Controller) State() (State, string) { return c.state, c.instanceID }
 
-// InFlight returns the number of requests that the endpoint is working on.
+// InFlight returns the number of requests that the endpoint is processing.
 func (c *Controller) InFlight() int { return c.inFlight }
 
 // Queued returns the number of requests that wait for the endpoint.
 func (c *Controller) Queued() int { return len(c.queue) }
 
-// Capacity returns how many requests the endpoint works on at once, as it reports.
+// Capacity returns the number of requests that the endpoint processes at once, as it last reported.
 func (c *Controller) Capacity() int { return c.capacity }
 
 // GuessCapacity sets the likely capacity, which is used until the endpoint reports its own.
-func (c *Controller) GuessCapacity(slots int) { c.guessedCapacity = slots }
+func (c *Controller) GuessCapacity(capacity int) { c.guessedCapacity = capacity }
 
-// SetState is the one function that changes the state: an instance is in a state from now on. It
-// reports whether anything changed. An instance that has ended stays so, and one that drains never
+// SetState sets the state of an instance; no other method changes the state. It reports whether
+// anything changed. An instance that has ended stays so, and one that drains never
 // serves again.
 func (c *Controller) SetState(now time.Time, instanceID string, to State) bool {
 	isNew := instanceID != c.instanceID
@@ -143,7 +143,7 @@
 	c.state = to
 	switch to {
 	case Draining:
-		if c.closeAt = now; !first { // of an instance that is first seen draining, an earlier process may have acknowledged it long ago
+		if c.closeAt = now; !first { // first seen draining: an earlier process may have acknowledged its departure long ago
 			c.closeAt = now.Add(time.Duration(drainFraction * float64(c.limits.Drain)))
 		}
 	case Gone:
@@ -163,9 +163,9 @@
 // Shutdown rejects all requests from a time on, as this proxy shuts down.
 func (c *Controller) Shutdown(from time.Time) { c.shutdownAt = from }
 
-// SetEvacuation starts or ends an evacuation; after its end the endpoint may be warming up until it
-// reports more. An order with a lower number than the applied one changes nothing; 0 is that of
-// none.
+// SetEvacuation starts or ends an evacuation. After the end, the endpoint is treated as warming up
+// until it reports its warm-up time. An order with a lower number than the applied one changes
+// nothing. Number 0 means that the zone had no order.
 func (c *Controller) SetEvacuation(number uint64, on bool) {
 	if number < c.evacuationNumber {
 		return
@@ -179,7 +179,7 @@
 // IsEvacuated reports whether the zone is evacuated.
 func (c *Controller) IsEvacuated() bool { return c.evacuated }
 
-// rejection returns why no request is admitted now; Admit if none is rejected for a general reason.
+// rejection returns the reason to reject all requests for an instance now, or Admit if there is none.
 func (c *Controller) rejection(now time.Time, instanceID string) Decision {
 	switch {
 	case instanceID != c.instanceID && c.instanceID != "":
@@ -194,7 +194,7 @@
 	return Admit
 }
 
-// maxInFlight returns how many requests may be in flight at once.
+// maxInFlight returns the number of requests that may be in flight at once.
 func (c *Controller) maxInFlight() int {
 	n := cmp.Or(c.capacity, c.guessedCapacity, defaultCapacity)
 	if c.limits.MaxConns > 0 {
@@ -203,7 +203,7 @@
 	return n
 }
 
-// capacityDecision returns whether one more request fits now: Admit, Full or WarmingUp.
+// capacityDecision returns whether the endpoint can take one more request now: Admit, Full or WarmingUp.
 func (c *Controller) capacityDecision(now time.Time) Decision {
 	if c.inFlight >= c.maxInFlight() {
 		return Full
--- a/internal/mesh/admission/queue.go
+++ b/internal/mesh/admission/queue.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Ticket is a request that was admitted or is queued.
+// Ticket is a request that is admitted or queued.
 type Ticket struct {
 	Request
 	sequence   uint64
-	ahead      bool // goes before others of its priority
+	ahead      bool // goes before other requests of its priority
 	admitted   bool
-	admittedAt time.Time // when it was admitted
+	admittedAt time.Time
 }
 
-// early is positive for a ticket that goes before others of its priority.
-func (t *Ticket) early() int {
+// precedence orders tickets of one priority: a higher one goes first.
+func (t *Ticket) precedence() int {
 	if t.ahead {
 		return 1
 	}
@@ -33,31 +33,31 @@
 	c.admissions = append(c.admissions, now)
 }
 
-// Admit decides on a request. With Queue, ProcessQueue returns its outcome later.
-func (c *Controller) Admit(now time.Time, a Request) (*Ticket, Decision) {
-	if v := c.rejection(now, a.InstanceID); v != Admit {
+// Admit decides on a request. After the decision Queue, ProcessQueue returns the outcome later.
+func (c *Controller) Admit(now time.Time, req Request) (*Ticket, Decision) {
+	if v := c.rejection(now, req.InstanceID); v != Admit {
 		return nil, v
 	}
-	t := &Ticket{Request: a}
+	t := &Ticket{Request: req}
 	v := c.capacityDecision(now)
 	if v == Admit && len(c.queue) == 0 {
 		c.admit(now, t)
 		return t, Admit
 	}
-	if v == WarmingUp && !a.WaitDuringWarmup || len(c.queue) >= c.maxInFlight() || !now.Before(a.Deadline) {
+	if v == WarmingUp && !req.WaitDuringWarmup || len(c.queue) >= c.maxInFlight() || !now.Before(req.Deadline) {
 		return nil, cmp.Or(v, Full)
 	}
 	c.lastSequence++
-	t.sequence, t.ahead = c.lastSequence, a.NonRepeatable && c.isWarmingUp(now)
+	t.sequence, t.ahead = c.lastSequence, req.NonRepeatable && c.isWarmingUp(now)
 	at, _ := slices.BinarySearchFunc(c.queue, t, func(a, b *Ticket) int {
-		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(b.early(), a.early()), cmp.Compare(a.sequence, b.sequence))
+		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(b.precedence(), a.precedence()), cmp.Compare(a.sequence, b.sequence))
 	})
 	c.queue = slices.Insert(c.queue, at, t)
 	return t, Queue
 }
 
-// Recheck decides again on a request that was admitted before its body arrived and goes to the
-// endpoint only now. With another decision than Admit it is released.
+// Recheck decides again on a request that was admitted before its body was received and is sent to
+// the endpoint only now. With any decision but Admit, the request is released.
 func (c *Controller) Recheck(now time.Time, t *Ticket) Decision {
 	v := c.rejection(now, t.InstanceID)
 	if i := slices.Index(c.admissions, t.admittedAt); v == Admit && now.After(t.admittedAt) {
@@ -88,8 +88,8 @@
 	}
 }
 
-// earlier returns the earlier of two times; a zero time is none.
-func earlier(a, b time.Time) time.Time {
+// minTime returns the earlier of two times; a is ignored if it is zero.
+func minTime(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
 	}
@@ -103,7 +103,7 @@
 }
 
 // ProcessQueue decides on the queued requests as far as possible, and returns when to call it
-// again; zero for no such time.
+// again; zero if no queued request remains.
 func (c *Controller) ProcessQueue(now time.Time) (out []QueueOutcome, at time.Time) {
 	keep := c.queue[:0:0]
 	for _, t := range c.queue {
@@ -119,9 +119,9 @@
 			out = append(out, QueueOutcome{t, Admit})
 		} else {
 			keep = append(keep, t)
-			at = earlier(at, t.Deadline)
+			at = minTime(at, t.Deadline)
 			if v == WarmingUp {
-				at = earlier(at, c.nextWarmupSlot(now))
+				at = minTime(at, c.nextWarmupSlot(now))
 			}
 		}
 	}
--- a/internal/mesh/admission/retrybudget.go
+++ b/internal/mesh/admission/retrybudget.go
@@ -6,22 +6,22 @@
 	"milletmast/internal/stats"
 )
 
-// RetryBudget is this proxy's share of the retries that all proxies may make together to one
+// RetryBudget is this proxy's share of the retries that all proxies together may send to one
 // service: within any window, a fraction of its own requests plus its share of the free retries. It
 // is not safe for concurrent use.
 type RetryBudget struct {
 	Window    time.Duration
-	Ratio     float64
+	Ratio     float64 // retries per request
 	startedAt time.Time
 	requests  stats.SlidingCounter // in seconds since startedAt
 	retries   stats.SlidingCounter
 }
 
-// budgetFraction is the fraction of the bound that is used: the calls that a retry causes at other
-// services count as well.
+// budgetFraction is the fraction of the bound that is used, because the calls that a retry causes at
+// other services count too.
 const budgetFraction = 0.5
 
-// seconds returns a time as the tallies count it.
+// seconds returns a time in seconds since the first use, as the counters expect it.
 func (r *RetryBudget) seconds(now time.Time) float64 {
 	if r.startedAt.IsZero() {
 		r.startedAt = now
@@ -36,8 +36,8 @@
 	r.requests.Add(at)
 }
 
-// TakeRetry takes a retry off the budget, if there is one; free is this proxy's share of the free
-// retries.
+// TakeRetry takes a retry off the budget and reports whether there was one; free is this proxy's
+// share of the free retries.
 func (r *RetryBudget) TakeRetry(now time.Time, free float64) bool {
 	at := r.seconds(now)
 	from := at - r.Window.Seconds()
--- a/internal/mesh/admission/warmup.go
+++ b/internal/mesh/admission/warmup.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// isWarmingUp reports whether the limit for warming up applies.
+// isWarmingUp reports whether the limit for an endpoint that is warming up applies.
 func (c *Controller) isWarmingUp(now time.Time) bool {
 	return c.limits.WarmupRate > 0 && (c.warmupUncertain || now.Before(c.warmAt))
 }
 
-// warmupShare returns how many requests an endpoint that is warming up gets in any second: the rate
-// that it bears, and at most a fraction of what the rule allows. (A fifth more made its worst
-// seconds worse.) For a second from its first request on, a controller takes what the rule leaves
-// beside that: this proxy may have been restarted and not know what its predecessor admitted.
+// warmupShare returns the number of requests that an endpoint that is warming up gets in any second:
+// its configured rate, but at most a fraction of what the rule allows. A share one fifth larger made
+// the worst seconds of such endpoints worse. In the second after its first admission, a controller
+// takes at most what the rule allows beyond that share: this proxy may have been restarted, and does
+// not know which requests the process before it admitted.
 func (c *Controller) warmupShare(now time.Time) int {
 	allowed := c.limits.WarmupRate*c.limits.WarmupExcess + c.limits.WarmupSlack
 	share := math.Floor(math.Min(warmupRateFraction*c.limits.WarmupRate, warmupExcessFraction*allowed))
@@ -28,8 +29,8 @@
 // is not after now means at once.
 func (c *Controller) nextWarmupSlot(now time.Time) (at time.Time) {
 	c.dropOldAdmissions(now)
-	if n, most := len(c.admissions), c.warmupShare(now); n >= most {
-		at = c.admissions[n-most].Add(warmupWindow + 1)
+	if n, limit := len(c.admissions), c.warmupShare(now); n >= limit {
+		at = c.admissions[n-limit].Add(warmupWindow + 1)
 	}
 	return at
 }
@@ -43,8 +44,8 @@
 	c.admissions = slices.Delete(c.admissions, 0, old)
 }
 
-// WarmupLeft returns for how long the endpoint is still warming up.
+// WarmupLeft returns the remaining warm-up time of the endpoint.
 func (c *Controller) WarmupLeft(now time.Time) time.Duration { return max(c.warmAt.Sub(now), 0) }
 
-// AssumeWarmingUp treats the endpoint as warming up until it reports more.
+// AssumeWarmingUp treats the endpoint as warming up until it reports its warm-up time.
 func (c *Controller) AssumeWarmingUp() { c.warmupUncertain = true }
--- a/internal/mesh/affinity/keysource.go
+++ b/internal/mesh/affinity/keysource.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// KeySource says how a route recognizes a client.
+// KeySource is the part of a request by which a route identifies a client.
 type KeySource struct {
 	kind    string // header, cookie, path or address; empty for none
 	name    string // of the header or cookie
@@ -14,7 +14,7 @@
 }
 
 // ParseKeySource parses header:NAME, cookie:NAME, path:N (the Nth segment of the path, from 1) or
-// address. An empty text is no source.
+// address. The empty text means no key source.
 func ParseKeySource(text string) (KeySource, error) {
 	from, rest, _ := strings.Cut(text, ":")
 	switch {
@@ -29,10 +29,10 @@
 			return KeySource{kind: from, segment: n}, nil
 		}
 	}
-	return KeySource{}, InvalidKey.New("%q is none of header:NAME, cookie:NAME, path:N and address", text)
+	return KeySource{}, InvalidKey.New("key source %q: want header:NAME, cookie:NAME, path:N or address", text)
 }
 
-// Extract returns the key of the client of a request; ok is false if the request has none.
+// Extract returns the key that identifies the client of a request; ok is false if the request has none.
 func (k KeySource) Extract(h http.Header, path, address string) (client string, ok bool) {
 	switch k.kind {
 	case "header":
--- a/internal/mesh/affinity/table.go
+++ b/internal/mesh/affinity/table.go
@@ -1,7 +1,7 @@
 // Package affinity assigns clients to endpoints by weighted rendezvous hashing (D. Thaler and C.
-// Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998). Proxies that know the same
+// Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998). Proxies with the same
 // endpoints make the same choice without communication, and only the share of an endpoint that
-// joins, leaves or changes its weight moves. The package is pure.
+// joins, leaves or changes its weight moves. The package keeps no state and does no I/O.
 package affinity
 
 import (
@@ -18,8 +18,8 @@
 // InvalidKey is the type of errors of a key source that cannot be parsed.
 var InvalidKey = space.NewType("invalid_key")
 
-// Node is an endpoint with its weight, the capacity that it reports. Weights are whole numbers, so
-// small changes of load move no client.
+// Node is an endpoint with its weight, which is the capacity that it reports. Weights are integers, so
+// that small changes of load move no client.
 type Node struct {
 	Name   string
 	Weight int
@@ -57,20 +57,20 @@
 	best := make([]scoredNode, 0, limit+1)
 	for i, h := range t.hashes {
 		u := (float64(namehash.Mix(key^h)>>11) + 0.5) / (1 << 53)
-		p := scoredNode{-t.weights[i] / math.Log(u), i}
-		if len(best) == limit && p.score <= best[limit-1].score {
+		scored := scoredNode{-t.weights[i] / math.Log(u), i}
+		if len(best) == limit && scored.score <= best[limit-1].score {
 			continue
 		}
 		at := len(best)
-		for at > 0 && (best[at-1].score < p.score || best[at-1].score == p.score && t.names[best[at-1].node] > t.names[i]) {
+		for at > 0 && (best[at-1].score < scored.score || best[at-1].score == scored.score && t.names[best[at-1].node] > t.names[i]) {
 			at--
 		}
-		best = slices.Insert(best, at, p)
+		best = slices.Insert(best, at, scored)
 		best = best[:min(len(best), limit)]
 	}
 	out := make([]string, len(best))
-	for i, p := range best {
-		out[i] = t.names[p.node]
+	for i, scored := range best {
+		out[i] = t.names[scored.node]
 	}
 	return out
 }
--- a/internal/mesh/affinity/table_test.go
+++ b/internal/mesh/affinity/table_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func nodes(t *rapid.T) []Node {
+func drawNodes(t *rapid.T) []Node {
 	out := make([]Node, rapid.IntRange(2, 12).Draw(t, "nodes"))
 	for i := range out {
 		out[i] = Node{fmt.Sprint("n", i), rapid.SampledFrom([]int{1, 2, 9}).Draw(t, "weight")}
@@ -17,44 +17,44 @@
 	return out
 }
 
-// One that leaves gives up only its own, and they go where their own order says; one that joins takes only what is to be its.
+// When a node leaves, only its keys move, each to the second node of its ranking. The reverse holds when a node joins.
 func TestNodeChangeMovesOnlyItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := nodes(t)
-		gone := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
-		left := append(append([]Node{}, all[:gone]...), all[gone+1:]...)
+		all := drawNodes(t)
+		leaving := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
+		remaining := append(append([]Node{}, all[:leaving]...), all[leaving+1:]...)
 		for i := range 300 {
-			who := fmt.Sprint("somebody", i)
-			before, after := NewTable(all).Rank(who, 2), NewTable(left).Rank(who, 1)
+			key := fmt.Sprint("somebody", i)
+			before, after := NewTable(all).Rank(key, 2), NewTable(remaining).Rank(key, 1)
 			want := before[0]
-			if want == all[gone].Name {
+			if want == all[leaving].Name {
 				want = before[1]
 			}
 			if after[0] != want {
-				t.Fatalf("%s moves from %v to %s as %s leaves", who, before, after[0], all[gone].Name)
+				t.Fatalf("%s moves from %v to %s as %s leaves", key, before, after[0], all[leaving].Name)
 			}
 		}
 	})
 }
 
-// A node that grows takes more and gives nothing up; nobody else's keys move between others.
+// When the weight of a node grows, keys move only to that node: none leaves it and none moves between other nodes.
 func TestWeightChangeMovesOnlyTheDifference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := nodes(t)
-		grows := rapid.IntRange(0, len(all)-1).Draw(t, "grows")
-		more := append([]Node{}, all...)
-		more[grows].Weight++
+		all := drawNodes(t)
+		growing := rapid.IntRange(0, len(all)-1).Draw(t, "grows")
+		grown := append([]Node{}, all...)
+		grown[growing].Weight++
 		for i := range 300 {
-			who := fmt.Sprint("somebody", i)
-			before, after := NewTable(all).Rank(who, 1)[0], NewTable(more).Rank(who, 1)[0]
-			if before != after && after != all[grows].Name {
-				t.Fatalf("%s moves from %s to %s as %s grows", who, before, after, all[grows].Name)
+			key := fmt.Sprint("somebody", i)
+			before, after := NewTable(all).Rank(key, 1)[0], NewTable(grown).Rank(key, 1)[0]
+			if before != after && after != all[growing].Name {
+				t.Fatalf("%s moves from %s to %s as %s grows", key, before, after, all[growing].Name)
 			}
 		}
 	})
 }
 
-// Each node is first for its part, by size: within five standard deviations.
+// Each node is first for the share of keys that its weight gives it, within five standard deviations.
 func TestSharesFollowWeights(t *testing.T) {
 	all := []Node{{"a", 1}, {"b", 2}, {"c", 9}}
 	const n = 200000
@@ -71,42 +71,42 @@
 	}
 }
 
-// Through a busy morning of nodes that come and go, keys move as often as they must and no more.
-func TestRankUnderLoad(t *testing.T) {
-	view := []Node{{"a", 9}, {"b", 9}, {"c", 4}, {"d", 2}}
+// While nodes join and leave one after the other, no key moves unless it has to: its node left, or the joined node ranks first for it.
+func TestRankMovesNoOtherKeys(t *testing.T) {
+	current := []Node{{"a", 9}, {"b", 9}, {"c", 4}, {"d", 2}}
 	const keys = 5000
 	at := make([]string, keys)
 	for i := range at {
-		at[i] = NewTable(view).Rank(fmt.Sprint("counter ", i), 1)[0]
+		at[i] = NewTable(current).Rank(fmt.Sprint("counter ", i), 1)[0]
 	}
-	moves, must := 0, 0
+	moves, necessary := 0, 0
 	for _, step := range []struct {
-		come Node
-		gone string
+		joins  Node
+		leaves string
 	}{{Node{"e", 9}, ""}, {Node{}, "b"}, {Node{"f", 2}, "c"}, {Node{"b2", 9}, ""}, {Node{}, "a"}, {Node{"g", 4}, "d"}} {
 		var next []Node
-		for _, n := range view {
-			if n.Name != step.gone {
+		for _, n := range current {
+			if n.Name != step.leaves {
 				next = append(next, n)
 			}
 		}
-		if step.come.Name != "" {
-			next = append(next, step.come)
+		if step.joins.Name != "" {
+			next = append(next, step.joins)
 		}
 		for i := range at {
 			now := NewTable(next).Rank(fmt.Sprint("counter ", i), 1)[0]
 			if now != at[i] {
 				moves++
-				if at[i] == step.gone || now == step.come.Name {
-					must++
+				if at[i] == step.leaves || now == step.joins.Name {
+					necessary++
 				}
 				at[i] = now
 			}
 		}
-		view = next
+		current = next
 	}
-	if moves != must || moves == 0 {
-		t.Fatalf("%d moves, %d of them had to be", moves, must)
+	if moves != necessary || moves == 0 {
+		t.Fatalf("%d moves, %d of them necessary", moves, necessary)
 	}
 }
 
@@ -119,18 +119,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if who, ok := k.Extract(h, "/a/b/c", "10.0.0.1"); who != want || ok != (want != "") {
-			t.Errorf("%q: %q %v", text, who, ok)
+		if key, ok := k.Extract(h, "/a/b/c", "10.0.0.1"); key != want || ok != (want != "") {
+			t.Errorf("%q: %q %v", text, key, ok)
 		}
 	}
 	for _, text := range []string{"header", "path:0", "path:x", "name:x", "address:1"} {
 		if _, err := ParseKeySource(text); err == nil {
-			t.Errorf("%q passes", text)
+			t.Errorf("%q is accepted", text)
 		}
 	}
 }
 
-func BenchmarkOrder(b *testing.B) {
+func BenchmarkRank(b *testing.B) {
 	for _, n := range []int{4, 40, 400} {
 		var all []Node
 		for i := range n {
--- a/internal/mesh/process/commands.go
+++ b/internal/mesh/process/commands.go
@@ -17,7 +17,7 @@
 	"milletmast/internal/mesh/nodeconfig"
 )
 
-// Process is a process of the mesh.
+// Process is a long-running process of the mesh: a proxy, a control plane or a configuration store.
 type Process interface {
 	Run(ctx context.Context) error          // until ctx ends
 	SettingsChanged(s *nodeconfig.Settings) // applies settings that were read again
@@ -29,10 +29,10 @@
 	program string,
 	args []string,
 	newProcess func(*nodeconfig.Settings, zerolog.Logger) (P, error),
-	more ...*ff.Command,
+	extraCommands ...*ff.Command,
 ) int {
 	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // to the very end: a hangup that is not handled would end a process that drains
+	signal.Notify(hup, syscall.SIGHUP) // until the process exits: an unhandled SIGHUP would end a draining process
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	root := commands(program, func(s *nodeconfig.Settings, log zerolog.Logger) error {
@@ -47,7 +47,7 @@
 		defer stop()
 		return p.Run(ctx)
 	})
-	root.Subcommands = append(root.Subcommands, more...)
+	root.Subcommands = append(root.Subcommands, extraCommands...)
 	if err := root.ParseAndRun(ctx, args); err != nil {
 		if !errors.Is(err, ff.ErrHelp) {
 			fmt.Fprintln(os.Stderr, program+":", err)
@@ -68,7 +68,7 @@
 	}
 	root.Subcommands = []*ff.Command{
 		{
-			Name: "run", Usage: program + " run", ShortHelp: "run by the settings that " + nodeconfig.PathVariable + " names",
+			Name: "run", Usage: program + " run", ShortHelp: "run with the settings file that " + nodeconfig.PathVariable + " names",
 			Exec: func(context.Context, []string) error {
 				s, err := nodeconfig.Load()
 				if err != nil {
@@ -86,18 +86,18 @@
 				if len(files) == 0 {
 					return ff.ErrHelp
 				}
-				var faults []error
+				var errs []error
 				for _, file := range files {
-					faults = append(faults, checkFile(file))
+					errs = append(errs, checkFile(file))
 				}
-				return errors.Join(faults...)
+				return errors.Join(errs...)
 			},
 		},
 	}
 	return root
 }
 
-// maxConfigBytes bounds a configuration file.
+// maxConfigBytes is the largest size of a configuration file.
 const maxConfigBytes = 32 << 20
 
 // checkFile checks a settings file, or a configuration in a file that ends in .json.
@@ -111,7 +111,7 @@
 		return err
 	}
 	if info.Size() > maxConfigBytes {
-		return fmt.Errorf("%s: %d bytes are more than %d", path, info.Size(), maxConfigBytes)
+		return fmt.Errorf("%s: %d bytes are over the limit of %d bytes for a configuration", path, info.Size(), maxConfigBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/mesh/process/loop.go
+++ b/internal/mesh/process/loop.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Loop runs functions one after the other in one goroutine, which owns what they touch.
+// Loop runs functions one after the other in one goroutine, which owns the state that they access.
 type Loop struct {
 	queue chan func()
-	done  chan struct{} // closed once no posted function runs any more
+	done  chan struct{} // closed once the loop has ended: no posted function runs after that
 }
 
 // NewLoop returns a loop whose queue holds at most capacity functions.
@@ -44,7 +44,7 @@
 	return time.AfterFunc(delay, func() { l.Post(f) })
 }
 
-// Call has a loop run f and returns its result; ok is false if the loop ended before.
+// Call runs f in a loop and returns its result; ok is false if the loop ended first.
 func Call[T any](l *Loop, f func() T) (v T, ok bool) {
 	done := make(chan T, 1)
 	l.Post(func() { done <- f() })
--- a/internal/mesh/process/loop_test.go
+++ b/internal/mesh/process/loop_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A delayed function runs in the loop; one that was stopped, or is due after the end of the loop, does not run.
+// A delayed function runs in the loop. One that was stopped or is due after the end of the loop does not run.
 func TestPostAfter(t *testing.T) {
 	loop := NewLoop(1)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/mesh/process/process.go
+++ b/internal/mesh/process/process.go
@@ -1,4 +1,4 @@
-// Package process is what the processes of the mesh have in common: the event loop, signals,
+// Package process contains what the processes of the mesh have in common: the event loop, signals,
 // logging, the settings file and its reload, status queries, and the ports of the programs.
 package process
 
@@ -15,7 +15,7 @@
 	"milletmast/internal/mesh/nodeconfig"
 )
 
-// The indexes of the programs' ports among those that the platform gives to the system.
+// The indexes of the programs' ports in the port range that the platform assigns to the system.
 const (
 	ControlPlanePort = iota
 	ConfigStorePort
@@ -26,7 +26,7 @@
 
 // newLogger returns a logger that writes one line of key=value pairs for each event.
 func newLogger(to io.Writer, program, node string) zerolog.Logger {
-	plain := func(i any) string {
+	toText := func(i any) string {
 		if text, ok := i.([]byte); ok { // zerolog passes booleans and lists as text
 			return string(text)
 		}
@@ -34,16 +34,16 @@
 	}
 	w := zerolog.ConsoleWriter{
 		Out: to, NoColor: true, TimeFormat: time.RFC3339Nano,
-		FormatTimestamp:  func(i any) string { return "time=" + plain(i) },
-		FormatLevel:      func(i any) string { return "level=" + plain(i) },
-		FormatMessage:    func(i any) string { return "event=" + quoteValue(plain(i)) },
-		FormatFieldName:  func(i any) string { return plain(i) + "=" },
-		FormatFieldValue: func(i any) string { return quoteValue(plain(i)) },
+		FormatTimestamp:  func(i any) string { return "time=" + toText(i) },
+		FormatLevel:      func(i any) string { return "level=" + toText(i) },
+		FormatMessage:    func(i any) string { return "event=" + quoteValue(toText(i)) },
+		FormatFieldName:  func(i any) string { return toText(i) + "=" },
+		FormatFieldValue: func(i any) string { return quoteValue(toText(i)) },
 	}
 	return zerolog.New(w).With().Timestamp().Str("program", program).Str("node", node).Logger()
 }
 
-// quoteValue returns a value as one word.
+// quoteValue quotes a value that is empty or that contains spaces, quotes or equals signs.
 func quoteValue(s string) string {
 	if s == "" || strings.ContainsAny(s, " \t\n\r\"=") {
 		return fmt.Sprintf("%q", strings.Trim(s, `"`))
@@ -58,11 +58,11 @@
 	hup <-chan os.Signal,
 	s *nodeconfig.Settings,
 	log zerolog.Logger,
-	changed func(*nodeconfig.Settings),
+	onChange func(*nodeconfig.Settings),
 ) {
 	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
-	last := stampOf(s.Path)
+	last := readFileStamp(s.Path)
 	for {
 		requested := false
 		select {
@@ -72,7 +72,7 @@
 			requested = true
 		case <-tick.C:
 		}
-		now := stampOf(s.Path)
+		now := readFileStamp(s.Path)
 		if now == last && !requested {
 			continue
 		}
@@ -83,16 +83,17 @@
 			continue
 		}
 		log.Info().Str("path", s.Path).Msg("reload settings")
-		changed(next)
+		onChange(next)
 	}
 }
 
+// fileStamp identifies a version of a file. The zero value is that of a file that cannot be read.
 type fileStamp struct {
-	at   time.Time
-	size int64
+	modifiedAt time.Time
+	size       int64
 }
 
-func stampOf(path string) fileStamp {
+func readFileStamp(path string) fileStamp {
 	info, err := os.Stat(path)
 	if err != nil {
 		return fileStamp{}
--- a/internal/mesh/process/process_test.go
+++ b/internal/mesh/process/process_test.go
@@ -14,7 +14,7 @@
 	"milletmast/internal/mesh/nodeconfig"
 )
 
-// drainer is a process that, once it is told to end, has something left to finish.
+// drainer is a process that still receives signals while it drains.
 type drainer struct {
 	t       *testing.T
 	changed chan bool
@@ -27,25 +27,25 @@
 	<-d.changed
 	d.signal(syscall.SIGTERM)
 	<-ctx.Done()
-	d.signal(syscall.SIGHUP) // ends this test's process, if nobody hears it
+	d.signal(syscall.SIGHUP) // ends the process of this test unless it is handled
 	d.signal(syscall.SIGHUP)
 	return nil
 }
 
-// signal sends one to this process, and waits for a later one that was sent behind it.
+// signal sends a signal to this process, and waits until a second signal that was sent after it is received.
 func (d *drainer) signal(s syscall.Signal) {
-	behind := make(chan os.Signal, 1)
-	signal.Notify(behind, syscall.SIGUSR1)
-	defer signal.Stop(behind)
+	second := make(chan os.Signal, 1)
+	signal.Notify(second, syscall.SIGUSR1)
+	defer signal.Stop(second)
 	for _, each := range []syscall.Signal{s, syscall.SIGUSR1} {
 		if err := syscall.Kill(os.Getpid(), each); err != nil {
 			d.t.Error(err)
 		}
 	}
-	<-behind
+	<-second
 }
 
-// A hangup that comes while a process finishes what it has does not end it; one before has the settings read again.
+// A SIGHUP during a drain does not end the process. A SIGHUP before that reloads the settings.
 func TestHangupDoesNotEndADrainingProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.conf")
 	text := "node=a\nip=127.0.0.1\nzone=z\nseeds=127.0.0.1:8306\nephemeral_ports=7620,7635\n"
--- a/internal/mesh/process/query.go
+++ b/internal/mesh/process/query.go
@@ -14,26 +14,26 @@
 // Printer is a report that can be written as text.
 type Printer interface{ Print(w io.Writer) }
 
-// QueryCommand returns a command that queries a running process at the address of its own port.
+// QueryCommand returns a command that queries a running process at its peer port.
 func QueryCommand(
 	program, name, help string,
 	query func(ctx context.Context, addr string, timeout time.Duration, args []string) (Printer, error),
 ) *ff.Command {
 	flags := ff.NewFlagSet(name)
-	address := flags.StringLong("at", "", "address and port that the process listens on for the system's own talk")
-	timeout := flags.DurationLong("within", 2*time.Second, "time for the answer")
-	asJSON := flags.BoolLong("json", "answer as JSON")
+	address := flags.StringLong("at", "", "address and port on which the process serves its peers and queries")
+	timeout := flags.DurationLong("within", 2*time.Second, "timeout of the query")
+	asJSON := flags.BoolLong("json", "print the report as JSON")
 	return &ff.Command{
 		Name: name, Usage: program + " " + name + " --at ADDRESS [--json]", ShortHelp: help, Flags: flags,
 		Exec: func(ctx context.Context, args []string) error {
 			if *address == "" {
-				return fmt.Errorf("--at is needed: the address of a %s", program)
+				return fmt.Errorf("--at is missing: the address and port of a %s are needed", program)
 			}
-			answer, err := query(ctx, *address, *timeout, args)
+			report, err := query(ctx, *address, *timeout, args)
 			if err != nil {
 				return err
 			}
-			return WriteReport(os.Stdout, answer, *asJSON)
+			return WriteReport(os.Stdout, report, *asJSON)
 		},
 	}
 }
--- a/internal/mesh/process/runtime.go
+++ b/internal/mesh/process/runtime.go
@@ -6,10 +6,10 @@
 	"milletmast/internal/mesh/nodeconfig"
 )
 
-// Memory is priced and bounded. Little is live, so frequent garbage collection costs little.
+// Memory has a price and a limit. The live heap is small, so frequent garbage collection costs little.
 const (
 	gcPercent           = 50  // percent of the live heap
-	memoryLimitFraction = 0.8 // of the memory limit, from which the collector runs as often as needed
+	memoryLimitFraction = 0.8 // of the memory limit; above it the collector runs as often as needed
 )
 
 // tuneRuntime sets the limits of the Go runtime.
--- a/internal/mesh/process/stall_test.go
+++ b/internal/mesh/process/stall_test.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// A process that was stalled knows it before its first look and for a while after, and no other is taken for one.
+// A stall is detected before the first tick after it and for resumeGrace after that tick. A process whose ticks are slightly late is not taken as stalled.
 func TestStallDetector(t *testing.T) {
 	at := time.Unix(1000, 0)
 	var s StallDetector
 	if s.JustResumed(at) {
-		t.Error("before its first look")
+		t.Error("stalled before the first tick")
 	}
 	for range 10 {
 		s.Tick(at)
 		at = at.Add(stallThreshold * 3 / 4)
 		if s.JustResumed(at) {
-			t.Error("as it looks a little late")
+			t.Error("stalled although the tick is only a little late")
 		}
 	}
 	s.Tick(at)
 	at = at.Add(20 * time.Second)
 	if !s.JustResumed(at) {
-		t.Error("it is not known before the first look")
+		t.Error("the stall is not detected before the next tick")
 	}
 	s.Tick(at)
 	if !s.JustResumed(at) || !s.JustResumed(at.Add(resumeGrace-1)) {
-		t.Error("it is not known after the first look")
+		t.Error("the stall is not detected after the next tick")
 	}
 	s.Tick(at.Add(resumeGrace))
 	if s.JustResumed(at.Add(resumeGrace)) {
-		t.Error("it lasts")
+		t.Error("still stalled after resumeGrace")
 	}
 }
