--- a/internal/mesh/proxy/controlplanes.go
+++ b/internal/mesh/proxy/controlplanes.go
@@ -72,9 +72,9 @@
 	l.tick()
 }
 
-// ranked returns the addresses of the control planes in order of preference: those in the own zone
+// rankControlPlanes returns the addresses of the control planes in order of preference: those in the own zone
 // first, then by a hash that differs between proxies.
-func (l *controlPlaneLinks) ranked() []string {
+func (l *controlPlaneLinks) rankControlPlanes() []string {
 	var out []string
 	for ip := range l.zones {
 		out = append(out, ip)
@@ -95,7 +95,7 @@
 // tick opens connections while there are too few, closes surplus ones, and sends heartbeats.
 func (l *controlPlaneLinks) tick() {
 	now := time.Now()
-	order := l.ranked()
+	order := l.rankControlPlanes()
 	limit := l.limit(now)
 	for _, ip := range order {
 		if len(l.active) >= limit {
@@ -171,7 +171,7 @@
 // configurations: the most preferred connected one, if possible one with contact.
 func (l *controlPlaneLinks) primary() string {
 	first := ""
-	for _, ip := range l.ranked() {
+	for _, ip := range l.rankControlPlanes() {
 		if k := l.active[ip]; k != nil && k.conn != nil {
 			if l.proxy.state.HasContact(ip) {
 				return ip
