--- a/internal/mesh/modelcheck/bytes.go
+++ b/internal/mesh/modelcheck/bytes.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	messageBytes = 200 // of a message without values, about
-	stateBytes   = 40  // of a register state in it
+	messageBytes = 200 // approximate size of a message without values
+	stateBytes   = 40  // approximate size of one register state
 )
 
 // bodySize returns how many bytes a body stands for: one that ends in "*1000000" stands for a
--- a/internal/mesh/modelcheck/check.go
+++ b/internal/mesh/modelcheck/check.go
@@ -10,31 +10,31 @@
 	"milletmast/internal/mesh/consensus"
 )
 
-// op is one attempt of a command: when it was called, and its result, if any.
+// op is one attempt to run a command at one node.
 type op struct {
 	command  Command
 	target   int
 	change   consensus.Change
 	called   time.Duration
 	returned time.Duration
-	result   consensus.Result // its outcome is 0 while there is none
+	result   consensus.Result // its outcome is 0 until there is an answer
 }
 
-// ackedVersion is a version that was acknowledged by a time.
+// ackedVersion is a version and the time at which an operator received its acknowledgement.
 type ackedVersion struct {
 	at     time.Duration
 	number uint64
 }
 
-// history is what was observed from outside.
+// history is what clients observe and what stores report as committed.
 type history struct {
 	ops       []*op
-	lastRead  map[string]consensus.Version // the last version that an operator has read, by key
-	acked     map[string][]ackedVersion    // by key, rising
+	lastRead  map[string]consensus.Version // the last version that an operator has received, by key
+	acked     map[string][]ackedVersion    // by key, in the order of time and of version
 	contentOf map[string]map[consensus.Version]string
 	versionAt map[string]map[consensus.Ballot]consensus.Version
 	configs   map[uint64]*consensus.VoterConfig // the committed voter configurations, by epoch
-	handovers []time.Duration                   // when the coordinator role was handed over, recently
+	handovers []time.Duration                   // the times at which the coordinator role was handed over within the last second
 	newest    *consensus.VoterConfig
 }
 
@@ -65,14 +65,14 @@
 		return
 	}
 	key := x.command.Key
-	sim.checkContent(key, r.Value, "an answer")
+	sim.checkContent(key, r.Value, "an answer to an operator")
 	if fs := sim.acked[key]; len(fs) == 0 || fs[len(fs)-1].number < r.Value.Version.Number {
 		sim.acked[key] = append(fs, ackedVersion{sim.now, r.Value.Version.Number})
 	}
 	sim.lastRead[key] = r.Value.Version
 }
 
-// checkContent checks that a version has one content.
+// checkContent checks that each version of a key has one content only. Where names the source of v in a violation.
 func (sim *simulation) checkContent(key string, v *consensus.Value, where string) {
 	all := sim.contentOf[key]
 	if all == nil {
@@ -80,12 +80,13 @@
 		sim.contentOf[key] = all
 	}
 	if old, ok := all[v.Version]; ok && old != string(v.Body) {
-		sim.violation("two contents: %s %v is %q and, by %s, %q", key, v.Version, old, where, v.Body)
+		sim.violation("two contents: of %s %v: %q, and %q from %s", key, v.Version, old, v.Body, where)
 	}
 	all[v.Version] = string(v.Body)
 }
 
-// checkCommitted checks all that a store knows as committed, and its voter configuration.
+// checkCommitted checks all registers that a store holds as committed, and its voter configuration: a ballot has one value, and a
+// higher ballot has no lower version.
 func (sim *simulation) checkCommitted(p *storeProcess) {
 	for _, r := range p.AllCommitted() {
 		if r.Value.Voters == nil {
@@ -98,14 +99,21 @@
 		}
 		if old, ok := at[r.Accepted]; ok {
 			if old != r.Value.Version {
-				sim.violation("two values: at one ballot of %s: %v and %v", r.Key, old, r.Value.Version)
+				sim.violation("two values: of %s at one ballot: %v and %v", r.Key, old, r.Value.Version)
 			}
 			continue
 		}
 		at[r.Accepted] = r.Value.Version
 		for b, version := range at {
 			if c := b.Compare(r.Accepted); c < 0 && version.Compare(r.Value.Version) > 0 || c > 0 && version.Compare(r.Value.Version) < 0 {
-				sim.violation("went back: %s: %v at %v, %v at %v", r.Key, version, b, r.Value.Version, r.Accepted)
+				sim.violation(
+					"went back: versions of %s against the order of ballots: %v at %v, %v at %v",
+					r.Key,
+					version,
+					b,
+					r.Value.Version,
+					r.Accepted,
+				)
 			}
 		}
 	}
@@ -118,11 +126,11 @@
 func (sim *simulation) checkLease(p *storeProcess) {
 	now := sim.time()
 	left := p.LeaseRemaining(now)
-	if p.machine.process != p || p.storageFailed || p.busy || left == 0 {
+	if p.node.process != p || p.storageFailed || p.busy || left == 0 {
 		return
 	}
 	requestedAt := sim.now + left - leaseTime
-	if sim.hooks.wrap != nil { // what the store reports of its lease is not trusted: no lease is longer than this
+	if sim.hooks.wrap != nil { // the planted fault may be in the reported lease: assume the longest one
 		requestedAt = sim.now - leaseTime
 	} else if until := now.Add(left); until.Equal(p.leaseSeen) {
 		return
@@ -145,7 +153,7 @@
 		}
 		if number < fs[i].number {
 			sim.violation(
-				"old: %s hands out %s of number %d, %d was acknowledged at %v, its lease is of %v",
+				"old: %s serves %s version %d, but version %d was acknowledged at %v and its lease was requested at %v",
 				p.Self().DiskID,
 				key,
 				number,
@@ -157,15 +165,14 @@
 	}
 }
 
-// Bounds of the attempts without an answer for which porcupine is run: its work doubles with each.
-// For configurations it only confirms the order of the versions.
+// Most attempts without an answer in a history that porcupine checks: each of them doubles its work. For configurations porcupine only
+// confirms what checkVersionOrder finds, so that the limit is lower.
 const (
-	mostUnclear       = 3
-	maxConfigAttempts = 1 // for configurations
+	maxUnanswered       = 3
+	maxUnansweredConfig = 1
 )
 
-// checkHistory checks the whole history: always by the order of the versions, and with porcupine
-// where few attempts have no answer.
+// checkHistory checks the history of each key by the order of its versions, and with porcupine if few of its attempts have no answer.
 func (sim *simulation) checkHistory() {
 	if len(sim.report.Violations) > 0 {
 		return
@@ -174,20 +181,20 @@
 	for _, key := range sim.keys() {
 		sim.checkVersionOrder(key)
 		var ops []porcupine.Operation
-		unclear := 0
+		unanswered := 0
 		for i, x := range sim.ops {
 			if x.command.Key != key || x.change.Kind == 0 || x.result.Outcome == 0 && (x.change.Kind == consensus.Read || sim.covered(x)) {
-				continue // it reached no store, or says nothing
+				continue // it reached no store, or has no effect that another attempt cannot have
 			}
 			o := porcupine.Operation{ClientId: i, Input: x, Call: int64(x.called), Output: x.result, Return: int64(x.returned)}
 			if x.result.Outcome == 0 {
-				unclear++
+				unanswered++
 				o.Return = int64(sim.now) + int64(time.Hour)
 			}
 			ops = append(ops, o)
 		}
 		sim.report.Attempts += len(ops)
-		if unclear > mostUnclear || unclear > maxConfigAttempts && key == "config" {
+		if unanswered > maxUnanswered || unanswered > maxUnansweredConfig && key == "config" {
 			sim.report.SkippedHistories++
 			continue
 		}
@@ -212,9 +219,9 @@
 	})
 }
 
-// stateDigest returns a digest of the state of all stores, without times and numbers: which are
-// running, how far their epochs are behind, their roles and leases, and for each key whether they
-// hold the newest value and have promised more.
+// stateDigest returns a digest of the state of all stores, by which a benchmark counts distinct states. Times and version numbers are
+// left out. It covers which stores run, how far their epochs are behind, their roles and leases, and for each key whether they hold
+// the newest value and have promised a higher ballot.
 func (sim *simulation) stateDigest() uint64 {
 	newest := map[string]consensus.Ballot{}
 	for _, p := range sim.running() {
@@ -225,21 +232,21 @@
 		}
 	}
 	h := xxhash.New()
-	say := func(x ...byte) { h.Write(x) }
+	add := func(x ...byte) { h.Write(x) }
 	bit := func(b bool) byte {
 		if b {
 			return 1
 		}
 		return 0
 	}
-	say(byte(len(sim.newest.Voters)), byte(len(sim.newest.Incoming)))
-	for _, m := range sim.machines {
+	add(byte(len(sim.newest.Voters)), byte(len(sim.newest.Incoming)))
+	for _, m := range sim.nodes {
 		p := m.process
 		if p == nil {
-			say(9, bit(m.removed))
+			add(9, bit(m.removed))
 			continue
 		}
-		say(
+		add(
 			bit(m.frozen > 0),
 			bit(p.storageFailed),
 			bit(p.busy),
@@ -248,7 +255,7 @@
 			bit(p.LeaseRemaining(sim.time()) > 0),
 		)
 		for _, x := range p.Acceptor().States() {
-			say(bit(x.Accepted == newest[x.Key]), bit(x.Promised != x.Accepted), bit(x.Accepted == consensus.Ballot{}))
+			add(bit(x.Accepted == newest[x.Key]), bit(x.Promised != x.Accepted), bit(x.Accepted == consensus.Ballot{}))
 		}
 	}
 	return h.Sum64()
--- a/internal/mesh/modelcheck/discovery.go
+++ b/internal/mesh/modelcheck/discovery.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	heartbeatInterval = 500 * time.Millisecond // of a control plane to its store
-	pushInterval      = 800 * time.Millisecond // of a control plane to each proxy
-	gossipInterval    = time.Second            // of a proxy to the one that it watches
-	idleTimeout       = 2200 * time.Millisecond
-	contactTimeout    = 5 * time.Second // of a proxy without a confirmed snapshot
-	linksPerProxy     = 2               // control planes that a proxy is connected to
+	heartbeatInterval = 500 * time.Millisecond  // of a control plane to its store
+	pushInterval      = 800 * time.Millisecond  // of a control plane to each proxy
+	gossipInterval    = time.Second             // of a proxy, with a random other one
+	idleTimeout       = 2200 * time.Millisecond // of a connection of a proxy, without a message
+	contactTimeout    = 5 * time.Second         // of a proxy, without a confirmed snapshot
+	linksPerProxy     = 2                       // control planes that a proxy is connected to
 )
 
-// discoverySim is the control planes and proxies of a run: the real discovery.StoreContact beside
-// each store, the real discovery.ClientState in each proxy. They have a random source of their own,
-// so that a run of the stores alone is the same with and without them.
+// discoverySim simulates the control planes and proxies of a run: a real discovery.StoreContact beside each store and a real
+// discovery.ClientState in each proxy. It has a random source of its own, so that the stores of a run behave the same with it and
+// without it.
 type discoverySim struct {
 	sim           *simulation
 	rng           *rand.Rand
@@ -33,7 +33,7 @@
 	for range proxies {
 		p := &simProxy{name: fmt.Sprintf("p%d", len(s.proxies)), cut: map[int]int{}}
 		s.proxies = append(s.proxies, p)
-		sim.after(s.randomDuration(time.Second), func() { s.begin(p) })
+		sim.after(s.randomDuration(time.Second), func() { s.restartProxy(p) })
 		s.every(gossipInterval, func() { s.gossip(p) })
 	}
 	s.every(50*time.Millisecond, s.step)
@@ -41,29 +41,29 @@
 		p, at, d := s.proxies[s.rng.IntN(len(s.proxies))], s.randomDuration(sim.plan.End), s.randomDuration(sim.plan.End/2)
 		switch s.rng.IntN(5) {
 		case 0:
-			sim.at(at, func() { s.begin(p) })
+			sim.at(at, func() { s.restartProxy(p) })
 		case 1:
 			sim.at(at, func() {
 				p.frozen++
 				sim.after(d, func() { s.thaw(p) })
 			})
 		case 2:
-			n := 1 + s.rng.IntN(sim.plan.Machines)
-			for _, i := range s.rng.Perm(sim.plan.Machines)[:n] {
+			n := 1 + s.rng.IntN(sim.plan.Nodes)
+			for _, i := range s.rng.Perm(sim.plan.Nodes)[:n] {
 				sim.at(at, func() {
 					p.cut[i]++
 					sim.after(d, func() { p.cut[i] = max(p.cut[i]-1, 0) })
 				})
 			}
 		case 3: // the process of a control plane alone
-			i := s.rng.IntN(sim.plan.Machines)
+			i := s.rng.IntN(sim.plan.Nodes)
 			sim.at(at, func() {
 				if l := s.controlPlane(i); l != nil {
 					l.incarnation = 0
 				}
 			})
-		case 4: // it is frozen between a heartbeat and the acknowledgement
-			i := s.rng.IntN(sim.plan.Machines)
+		case 4: // the control plane is frozen between a heartbeat and the acknowledgement
+			i := s.rng.IntN(sim.plan.Nodes)
 			sim.at(at, func() {
 				if l := s.controlPlane(i); l != nil {
 					l.freezeAfterHeartbeat = d
@@ -77,7 +77,7 @@
 	return time.Duration(s.rng.Int64N(int64(d) + 1))
 }
 
-// every calls f at an interval, to the end of the run.
+// every calls f at an interval until the end of the run.
 func (s *discoverySim) every(d time.Duration, f func()) {
 	s.sim.after(d/2+s.randomDuration(d), func() {
 		f()
@@ -92,12 +92,12 @@
 	return nil
 }
 
-// step follows the machines: a control plane runs while its machine does, and reconnects to its
-// store after a restart of either.
+// step updates the control planes and proxies: a control plane runs while its node does, and reconnects to its store after a restart
+// of either.
 func (s *discoverySim) step() {
 	w := s.sim
-	for len(s.controlPlanes) < len(w.machines) {
-		l := &simControlPlane{machine: w.machines[len(s.controlPlanes)]}
+	for len(s.controlPlanes) < len(w.nodes) {
+		l := &simControlPlane{node: w.nodes[len(s.controlPlanes)]}
 		s.controlPlanes = append(s.controlPlanes, l)
 		s.every(heartbeatInterval, func() { s.heartbeat(l) })
 		s.every(pushInterval, func() { s.push(l) })
@@ -105,16 +105,16 @@
 	for _, l := range s.controlPlanes {
 		s.drain(l)
 		switch {
-		case l.machine.process == nil:
+		case l.node.process == nil:
 			l.incarnation, l.store = 0, nil
 		case l.isFrozen():
 			s.pushSnapshot(l)
-		case l.incarnation == 0 || l.store != l.machine.process:
+		case l.incarnation == 0 || l.store != l.node.process:
 			if l.incarnation == 0 {
 				w.lastIncarnation++
 				l.incarnation, l.contact = w.lastIncarnation, discovery.NewStoreContact()
 			}
-			l.store, l.lastSnapshot, l.hadLease = l.machine.process, nil, false
+			l.store, l.lastSnapshot, l.hadLease = l.node.process, nil, false
 			l.contact.StoreLost(w.time())
 			s.heartbeat(l)
 		default:
--- a/internal/mesh/modelcheck/discoverycheck.go
+++ b/internal/mesh/modelcheck/discoverycheck.go
@@ -10,8 +10,7 @@
 	"milletmast/internal/mesh/discovery"
 )
 
-// checkServed checks what a control plane serves under a lease: nothing older than what was
-// acknowledged a lease before.
+// checkServed checks that what a control plane serves under a lease is not older than what was acknowledged leaseTime before.
 func (sim *simulation) checkServed(l *simControlPlane, f *controlstate.Snapshot) {
 	versions := map[string]uint64{"config": f.ConfigVersion, "removals": f.EjectionsVersion.Number}
 	for _, e := range f.Evacuations {
@@ -24,8 +23,8 @@
 		}
 		if i >= 0 && versions[key] < fs[i].number {
 			sim.violation(
-				"old snapshot: the control plane of m%d says %s of number %d, %d was acknowledged at %v",
-				l.machine.index,
+				"old snapshot: the control plane of m%d serves %s version %d, but version %d was acknowledged at %v",
+				l.node.index,
 				key,
 				versions[key],
 				fs[i].number,
@@ -35,12 +34,12 @@
 	}
 }
 
-// checkProxy checks what a proxy uses: never an older version than before in its life, and one
-// content for each version.
+// checkProxy checks that a proxy never uses an older version than before in the same incarnation, and that each version has one
+// content.
 func (sim *simulation) checkProxy(p *simProxy) {
 	body, version := p.state.Config()
 	if version < p.configVersion {
-		sim.violation("proxy back: %s goes by %d after %d", p.name, version, p.configVersion)
+		sim.violation("proxy went back: %s uses configuration %d after %d", p.name, version, p.configVersion)
 	}
 	p.configVersion = version
 	if version > 0 {
@@ -48,7 +47,7 @@
 	}
 	for _, e := range p.state.Snapshot().Evacuations {
 		if e.Version.Compare(p.evacuations[e.Zone]) < 0 {
-			sim.violation("proxy back: %s goes by %v of %s after %v", p.name, e.Version, e.Zone, p.evacuations[e.Zone])
+			sim.violation("proxy went back: %s uses %v of the evacuation of %s after %v", p.name, e.Version, e.Zone, p.evacuations[e.Zone])
 		}
 		p.evacuations[e.Zone] = e.Version
 	}
@@ -72,7 +71,7 @@
 	for _, p := range s.proxies {
 		_, version := p.state.Config()
 		all += fmt.Sprintf(
-			" %s life=%d %v version=%d frozen=%d connected=%v;",
+			" %s incarnation=%d %v version=%d frozen=%d connected=%v;",
 			p.name,
 			p.incarnation,
 			p.state.Trust(),
@@ -95,7 +94,7 @@
 			s.thaw(p)
 		}
 		if p.state == nil {
-			s.begin(p)
+			s.restartProxy(p)
 		}
 	}
 }
--- a/internal/mesh/modelcheck/disk.go
+++ b/internal/mesh/modelcheck/disk.go
@@ -6,13 +6,13 @@
 	"milletmast/internal/mesh/consensus"
 )
 
-// write is one transaction, which is on disk as a whole or not at all.
+// write is one atomic transaction.
 type write struct {
 	registers []consensus.Register
 	set       *consensus.VoterConfig
 }
 
-// disk distinguishes what is synced from what is only written.
+// disk distinguishes synced records from those that are only written.
 type disk struct {
 	name      string
 	registers map[string]consensus.Register
@@ -35,13 +35,13 @@
 	d.written = nil
 }
 
-// losePower loses the power: of what was written and not synced, a prefix remains.
-func (d *disk) losePower(lot *rand.Rand) {
-	d.written = d.written[:lot.IntN(len(d.written)+1)]
+// losePower simulates a power loss: of the writes that were not synced, a random prefix remains.
+func (d *disk) losePower(rng *rand.Rand) {
+	d.written = d.written[:rng.IntN(len(d.written)+1)]
 	d.sync()
 }
 
-// read returns what a process that starts reads: all that was written.
+// read returns what a starting process reads: everything that was written.
 func (d *disk) read() (consensus.VoterConfig, []consensus.Register) {
 	d.sync()
 	var out []consensus.Register
--- a/internal/mesh/modelcheck/fault.go
+++ b/internal/mesh/modelcheck/fault.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// loss is a disk that was lost.
+// loss is the loss of a disk.
 type loss struct {
 	disk     string
 	at       time.Duration
-	wasVoter bool // it was a voter of the newest configuration or of a proposed one
+	wasVoter bool // the disk was a voter of the newest configuration
 }
 
-// faultKinds are the kinds of faults that are drawn, by the names of the bench, each as often as it
-// is listed.
+// faultKinds are the kinds of faults from which Draw chooses, by the names of the bench. A kind that is listed twice is drawn twice as
+// often.
 var faultKinds = []string{
 	"node_kill",
 	"node_kill",
@@ -50,9 +50,9 @@
 	"core_cut": {"", "one_way", "other_way"},
 }
 
-// inject starts a fault, and schedules its end.
+// inject starts a fault and schedules its end.
 func (sim *simulation) inject(t Fault) {
-	m := sim.machines[t.Machine%len(sim.machines)]
+	m := sim.nodes[t.Node%len(sim.nodes)]
 	switch t.Kind {
 	case "link_cut", "core_cut", "node_cut", "core_part", "pair_cut", "reset_conns", "link_loss", "link_twice", "link_slow":
 		sim.injectNetwork(m, t)
@@ -60,24 +60,24 @@
 		sim.injectDisk(m, t)
 	case "ack_lost":
 		sim.applyFor(&sim.lostReplies, t.Duration, nil)
-	case "clock_step": // the machines use the monotonic clock
+	case "clock_step": // no effect: the state machines use the monotonic clock
 	default:
 		sim.injectProcess(m, t)
 	}
 }
 
-// injectProcess starts a fault of processes or whole machines.
-func (sim *simulation) injectProcess(m *machine, t Fault) {
+// injectProcess starts a fault of processes or whole nodes.
+func (sim *simulation) injectProcess(m *node, t Fault) {
 	power := t.Mode == "power"
 	switch t.Kind {
 	case "node_kill":
 		sim.crash(m, power, t.Duration)
 	case "herd_kill":
-		for _, m := range sim.machines {
+		for _, m := range sim.nodes {
 			sim.crash(m, power, sim.randomDuration(t.Duration))
 		}
 	case "zone_loss":
-		for _, x := range sim.machines {
+		for _, x := range sim.nodes {
 			if x.zone == m.zone {
 				sim.crash(x, true, t.Duration)
 			}
@@ -85,19 +85,19 @@
 	case "node_freeze":
 		sim.applyFor(&m.frozen, t.Duration, func() { sim.thaw(m) })
 	case "after_ack_kill", "after_ack_wipe":
-		sim.onAck = append(sim.onAck, func(who *machine) { sim.injectAfterAck(t, who) })
+		sim.onAck = append(sim.onAck, func(acking *node) { sim.injectAfterAck(t, acking) })
 	case "replace_core":
-		sim.replaceMachine(m, t)
+		sim.replaceNode(m, t)
 	case "roll_term":
 		sim.terminate(m, func() { sim.after(sim.randomDuration(t.Duration), m.start) })
 	}
 }
 
 // injectNetwork starts a fault of links.
-func (sim *simulation) injectNetwork(m *machine, t Fault) {
+func (sim *simulation) injectNetwork(m *node, t Fault) {
 	switch t.Kind {
 	case "link_cut":
-		other := t.Count % len(sim.machines)
+		other := t.Count % len(sim.nodes)
 		sim.partition(t, func(i, j int) bool { return i != j && (i == m.index && j == other || j == m.index && i == other) })
 	case "core_cut":
 		sim.partition(t, func(i, j int) bool {
@@ -125,7 +125,7 @@
 }
 
 // injectDisk starts a fault of a disk.
-func (sim *simulation) injectDisk(m *machine, t Fault) {
+func (sim *simulation) injectDisk(m *node, t Fault) {
 	switch t.Kind {
 	case "disk_slow":
 		old := m.syncDelay
@@ -140,7 +140,7 @@
 	}
 }
 
-// applyFor applies a fault for a while, by a counter.
+// applyFor increments the counter of a fault for a time, and calls then once no fault of that kind is left.
 func (sim *simulation) applyFor(n *int, d time.Duration, then func()) {
 	*n++
 	sim.after(d, func() {
@@ -153,52 +153,52 @@
 	})
 }
 
-// setFor sets a number for a while.
+// setFor sets a number for a time, and then resets it to 0.
 func (sim *simulation) setFor(n *int, to int, d time.Duration) {
 	*n = to
 	sim.after(d, func() { *n = 0 })
 }
 
-// partition drops the messages between the pairs for which from holds.
-func (sim *simulation) partition(t Fault, from func(i, j int) bool) {
-	for i := range sim.machines {
-		for j := range sim.machines {
-			if from(i, j) {
+// partition drops the messages from node i to node j if isCut(i, j).
+func (sim *simulation) partition(t Fault, isCut func(i, j int) bool) {
+	for i := range sim.nodes {
+		for j := range sim.nodes {
+			if isCut(i, j) {
 				sim.applyFor(&sim.cut[i][j], t.Duration, nil)
 			}
 		}
 	}
 }
 
-// crash ends a process, which is restarted later.
-func (sim *simulation) crash(m *machine, powerLoss bool, d time.Duration) {
+// crash ends the process of a node and restarts it after d.
+func (sim *simulation) crash(m *node, powerLoss bool, d time.Duration) {
 	m.stop(powerLoss)
 	sim.after(d, m.start)
 }
 
 // thaw resumes a frozen process.
-func (sim *simulation) thaw(m *machine) {
+func (sim *simulation) thaw(m *node) {
 	m.frozen = 0
 	if m.process != nil {
 		m.process.drain()
 	}
 }
 
-// reset breaks the connections of a machine: messages in flight are lost, and both sides reconnect.
-func (sim *simulation) reset(m *machine) {
+// reset breaks the connections of a node: messages in flight are lost, and both sides reconnect.
+func (sim *simulation) reset(m *node) {
 	m.resets++
 	for _, p := range sim.running() {
 		for _, addr := range p.PeerAddrs() {
-			if p.machine == m || addr == m.addr {
+			if p.node == m || addr == m.addr {
 				p.input(func() { p.apply(p.PeerReconnected(sim.time(), addr), nil) })
 			}
 		}
 	}
 }
 
-// terminate asks a process to end: it names a successor first, and goes on until a learner has
-// replaced its voter, if one waits, or its time is over.
-func (sim *simulation) terminate(m *machine, then func()) {
+// terminate has a process shut down: it first hands over the coordinator role, and runs on until a learner has replaced it as a voter
+// or the grace time is over.
+func (sim *simulation) terminate(m *node, then func()) {
 	p := m.process
 	if p == nil {
 		return
@@ -217,10 +217,10 @@
 	sim.stopWhenReplaced(p, sim.now+graceTime, then)
 }
 
-// stopWhenReplaced ends a process that is leaving, once it can leave or at a time.
+// stopWhenReplaced ends a process that is leaving, once it can leave or at the given time at the latest.
 func (sim *simulation) stopWhenReplaced(p *storeProcess, by time.Duration, then func()) {
 	sim.after(50*time.Millisecond, func() {
-		m := p.machine
+		m := p.node
 		switch {
 		case m.process != p || sim.healedAt > 0:
 		case m.frozen == 0 && (sim.now >= by || !p.storageFailed && !p.busy && p.CanLeave(sim.time())):
@@ -232,9 +232,9 @@
 	})
 }
 
-// wipeDisk has a machine lose its disk, if the fault budget allows it, and return empty at its old
-// address.
-func (sim *simulation) wipeDisk(m *machine, d time.Duration) bool {
+// wipeDisk has a node lose its disk and restart with an empty one at the same address. It returns false if the fault budget does not
+// allow the loss.
+func (sim *simulation) wipeDisk(m *node, d time.Duration) bool {
 	if m.removed || !sim.mayLoseDisk() {
 		return false
 	}
@@ -249,17 +249,16 @@
 	return true
 }
 
-// injectAfterAck injects a fault into the machine that has just acknowledged a command, and into
-// others at random, within milliseconds.
-func (sim *simulation) injectAfterAck(t Fault, who *machine) {
-	hit := []*machine{who}
-	for _, i := range sim.shuffledMachines() {
-		if len(hit) < t.Count && sim.machines[i] != who {
-			hit = append(hit, sim.machines[i])
+// injectAfterAck injects a fault into the node that has just acknowledged a command, and into random others, within milliseconds.
+func (sim *simulation) injectAfterAck(t Fault, acking *node) {
+	targets := []*node{acking}
+	for _, i := range sim.shuffledNodes() {
+		if len(targets) < t.Count && sim.nodes[i] != acking {
+			targets = append(targets, sim.nodes[i])
 		}
 	}
 	sim.after(sim.randomDuration(4*time.Millisecond), func() {
-		for _, m := range hit {
+		for _, m := range targets {
 			if t.Kind == "after_ack_kill" {
 				sim.crash(m, t.Mode == "power", t.Duration)
 			} else if !sim.wipeDisk(m, t.Duration) {
@@ -269,64 +268,63 @@
 	})
 }
 
-// replaceMachine removes a machine for good and adds an empty one at another address, before it if
-// that is planned.
-func (sim *simulation) replaceMachine(m *machine, t Fault) {
-	if m.removed || len(sim.machines) >= maxMachines || !sim.mayLoseDisk() {
+// replaceNode removes a node for good and adds an empty one at another address. A planned replacement adds the new one first and
+// then terminates the old one.
+func (sim *simulation) replaceNode(m *node, t Fault) {
+	if m.removed || len(sim.nodes) >= maxNodes || !sim.mayLoseDisk() {
 		return
 	}
 	sim.recordLoss(m)
-	leave := func() {
+	remove := func() {
 		if sim.healedAt == 0 {
 			m.stop(true)
 			m.removed = true
 		}
 	}
-	come := func() { sim.addMachine(len(sim.machines)).start() }
+	add := func() { sim.addNode(len(sim.nodes)).start() }
 	if t.Mode != "planned" {
-		leave()
-		sim.after(t.Duration/2, come)
+		remove()
+		sim.after(t.Duration/2, add)
 		return
 	}
-	come()
+	add()
 	sim.after(t.Duration/2, func() {
 		if m.process == nil || m.frozen > 0 {
-			leave()
+			remove()
 			return
 		}
-		sim.terminate(m, leave)
-		sim.after(2*graceTime, leave)
+		sim.terminate(m, remove)
+		sim.after(2*graceTime, remove)
 	})
 }
 
-// mayLoseDisk reports whether one more disk may be lost now: the fault budget bounds the losses at
-// once, and each loss counts until a configuration without it, as large as it must be, was
-// committed.
+// mayLoseDisk reports whether one more disk may be lost now. The fault budget bounds the losses that are not repaired, and a loss is
+// repaired once a sufficiently large configuration without the disk was committed.
 func (sim *simulation) mayLoseDisk() bool {
 	sim.checkRepairs()
 	return len(sim.losses) < sim.plan.FaultBudget
 }
 
 // recordLoss records the loss of a disk.
-func (sim *simulation) recordLoss(m *machine) {
+func (sim *simulation) recordLoss(m *node) {
 	sim.losses = append(sim.losses, loss{m.disk.name, sim.now, sim.newest.Contains(m.disk.name)})
 }
 
-// checkRepairs removes the losses that are repaired: the newest configuration is not joint, does
-// not contain them, and is large enough.
+// checkRepairs removes the losses that are repaired: the newest configuration is not joint, does not contain the lost disk, and has
+// enough other disks for the fault budget.
 func (sim *simulation) checkRepairs() {
 	s := sim.newest
 	if s.IsJoint() {
 		return
 	}
-	there := 0
+	present := 0
 	for _, x := range s.Voters {
 		if !slices.ContainsFunc(sim.losses, func(l loss) bool { return l.disk == x.DiskID }) {
-			there++
+			present++
 		}
 	}
 	sim.losses = slices.DeleteFunc(sim.losses, func(l loss) bool {
-		if s.Contains(l.disk) || there < 2*sim.plan.FaultBudget+1 || !l.wasVoter && sim.now-l.at < 2*time.Second {
+		if s.Contains(l.disk) || present < 2*sim.plan.FaultBudget+1 || !l.wasVoter && sim.now-l.at < 2*time.Second {
 			return false
 		}
 		if l.wasVoter {
--- a/internal/mesh/modelcheck/linearizability.go
+++ b/internal/mesh/modelcheck/linearizability.go
@@ -8,14 +8,14 @@
 	"milletmast/internal/mesh/consensus"
 )
 
-// registerState is the state of a register by the rules of commands alone.
+// registerState is the state of a register in registerModel.
 type registerState struct {
-	some    bool
+	exists  bool
 	version consensus.Version
 	body    string
 }
 
-// registerModel is the rules of commands, written down a second time for porcupine.
+// registerModel specifies the effects of commands for porcupine, independently of package consensus.
 var registerModel = porcupine.Model{
 	Init: func() any { return registerState{} },
 	Step: func(s, in, out any) (bool, any) {
@@ -26,19 +26,19 @@
 		switch c.Kind {
 		case consensus.Read:
 			if r.Value == nil {
-				return !held.some, held
+				return !held.exists, held
 			}
-			return held.some && held.body == string(r.Value.Body) && held.version == r.Value.Version, held
+			return held.exists && held.body == string(r.Value.Body) && held.version == r.Value.Version, held
 		case consensus.PutVersion:
 			switch {
-			case !held.some || held.version.Number < c.Version.Number:
+			case !held.exists || held.version.Number < c.Version.Number:
 				return unknown || r.Outcome == consensus.Committed, registerState{true, c.Version, body}
 			case held.version == c.Version && held.body != body:
 				return unknown || r.Outcome == consensus.Conflict, held
 			}
 			return unknown || r.Outcome == consensus.Committed, held
 		case consensus.Put:
-			if held.some && held.body == body {
+			if held.exists && held.body == body {
 				return unknown || r.Outcome == consensus.Committed, held
 			}
 			after := consensus.Version{Number: held.version.Number + 1, Proposer: c.Proposer}
@@ -64,7 +64,7 @@
 	for _, o := range ops {
 		x := o.Input.(*op)
 		s += fmt.Sprintf(
-			"\n    %v-%v m%d %s %d %q stamp=%v: %d",
+			"\n    %v-%v m%d %s %d %q version=%v: %d",
 			x.called,
 			x.returned,
 			x.target,
@@ -81,10 +81,9 @@
 	return s
 }
 
-// checkRejected checks that no rejected content of a version is ever in use, and that at most one
-// content is acknowledged.
+// checkRejected checks that a rejected content of a version is never in use, and that at most one content of a version is acknowledged.
 func (sim *simulation) checkRejected() {
-	taken := map[uint64]string{}
+	acknowledged := map[uint64]string{}
 	for _, x := range sim.ops {
 		if x.change.Kind != consensus.PutVersion {
 			continue
@@ -93,12 +92,12 @@
 		in, ok := sim.contentOf[x.command.Key][version]
 		switch {
 		case x.result.Outcome == consensus.Conflict && ok && in == x.command.Body:
-			sim.violation("refused in force: %s %d %q", x.command.Key, version.Number, in)
+			sim.violation("rejected in use: %s version %d %q", x.command.Key, version.Number, in)
 		case x.result.Outcome == consensus.Committed && (x.result.Changed || x.result.Value.Version == version):
-			if old, ok := taken[version.Number]; ok && old != x.command.Body || ok && in != "" && in != x.command.Body {
-				sim.violation("two confirmed: %s %d: %q and %q", x.command.Key, version.Number, old, x.command.Body)
+			if old, ok := acknowledged[version.Number]; ok && old != x.command.Body || ok && in != "" && in != x.command.Body {
+				sim.violation("two acknowledged: contents of %s version %d: %q and %q", x.command.Key, version.Number, old, x.command.Body)
 			}
-			taken[version.Number] = x.command.Body
+			acknowledged[version.Number] = x.command.Body
 		}
 	}
 }
--- a/internal/mesh/modelcheck/network.go
+++ b/internal/mesh/modelcheck/network.go
@@ -6,9 +6,9 @@
 	"milletmast/internal/mesh/consensus"
 )
 
-// deliver delivers a message to another machine, or loses it, or delivers it twice. A limited link
-// delivers one after the other, and is reset if too much is queued.
-func (sim *simulation) deliver(from, to *machine, bytes int, do func()) {
+// deliver delivers a message to another node, or drops or duplicates it. A link with a rate limit delivers messages one after the
+// other. A reset of either node drops messages in flight.
+func (sim *simulation) deliver(from, to *node, bytes int, do func()) {
 	if sim.cut[from.index][to.index] > 0 || sim.chance(sim.lossPermille) {
 		return
 	}
@@ -22,15 +22,15 @@
 	if sim.linkRate > 0 {
 		free := &sim.linkFreeAt[from.index][to.index]
 		*free = max(*free, sim.now) + time.Duration(float64(bytes)/float64(sim.linkRate)*float64(time.Second))
-		whole, end := delay, *free-sim.now
-		sim.report.MaxBacklog = max(sim.report.MaxBacklog, end)
-		delay = func() time.Duration { return end + whole() }
+		latency, queued := delay, *free-sim.now
+		sim.report.MaxBacklog = max(sim.report.MaxBacklog, queued)
+		delay = func() time.Duration { return queued + latency() }
 	}
-	mark := from.resets + to.resets
-	whole := do
+	resets := from.resets + to.resets
+	handle := do
 	do = func() {
-		if mark == from.resets+to.resets {
-			whole()
+		if resets == from.resets+to.resets {
+			handle()
 		}
 	}
 	sim.after(delay(), do)
@@ -41,14 +41,14 @@
 
 // sendRequest delivers a request, and the response to the process that sent it.
 func (sim *simulation) sendRequest(p *storeProcess, a consensus.Request) {
-	to := sim.place(a.To)
+	to := sim.nodeAt(a.To)
 	if to == nil {
 		return
 	}
 	if sim.hooks.send != nil {
 		sim.hooks.send(&a)
 	}
-	sim.deliver(p.machine, to, requestBytes(&a), func() {
+	sim.deliver(p.node, to, requestBytes(&a), func() {
 		q := to.process
 		if q == nil {
 			return
@@ -63,9 +63,9 @@
 					sim.hooks.respond(&a, &t)
 				}
 				if a.ID == 0 && len(t.Registers) == 0 && t.Voters == nil && !t.StaleEpoch && len(t.Body) == 0 {
-					return // no process waits for it
+					return // an empty response that no process waits for
 				}
-				sim.deliver(to, p.machine, responseBytes(&t), func() { sim.told(p, t) })
+				sim.deliver(to, p.node, responseBytes(&t), func() { sim.receiveResponse(p, t) })
 			})
 		})
 	})
--- a/internal/mesh/modelcheck/operator.go
+++ b/internal/mesh/modelcheck/operator.go
@@ -8,26 +8,26 @@
 
 const (
 	attemptTimeout   = 900 * time.Millisecond // of an operator, for one answer
-	pause            = 50 * time.Millisecond
+	retryDelay       = 50 * time.Millisecond
 	maxOperatorDelay = 2 * time.Millisecond // of a message between an operator and a store
 )
 
-// order has an operator send a command, to one machine after the other until the outcome is known.
-func (sim *simulation) order(o Command) { sim.attempt(o, 0) }
+// submit has an operator send a command to one node after the other until the outcome is known.
+func (sim *simulation) submit(o Command) { sim.attempt(o, 0) }
 
-// attempt sends a command to the n-th of its machines, and later to the next one unless its outcome is known by then.
+// attempt sends a command to the n-th of its nodes, and to the next one if the outcome is still unknown after a timeout.
 func (sim *simulation) attempt(o Command, n int) {
-	if n >= len(o.Machines) || o.Machines[n] >= len(sim.machines) {
+	if n >= len(o.Nodes) || o.Nodes[n] >= len(sim.nodes) {
 		return
 	}
-	m := sim.machines[o.Machines[n]]
+	m := sim.nodes[o.Nodes[n]]
 	x := &op{command: o, target: m.index, called: sim.now}
 	sim.ops = append(sim.ops, x)
-	over := false
+	done := false
 	next := func() {
-		if !over {
-			over = true
-			sim.after(pause, func() { sim.attempt(o, n+1) })
+		if !done {
+			done = true
+			sim.after(retryDelay, func() { sim.attempt(o, n+1) })
 		}
 	}
 	sim.after(attemptTimeout, next)
@@ -39,7 +39,7 @@
 			next()
 			return
 		}
-		over = true
+		done = true
 		sim.recordAnswer(x, r)
 	}
 	sim.after(sim.randomDuration(maxOperatorDelay), func() {
@@ -49,8 +49,9 @@
 	})
 }
 
-// propose has a store propose the change of an attempt; the answer is lost if the operator does not reach the machine then.
-func (sim *simulation) propose(m *machine, p *storeProcess, x *op, answered func(consensus.Result)) {
+// propose has a store propose the change of an attempt; the answer is lost if the operator cannot reach the
+// node at that time.
+func (sim *simulation) propose(m *node, p *storeProcess, x *op, answered func(consensus.Result)) {
 	if p.storageFailed {
 		return
 	}
@@ -68,7 +69,7 @@
 	p.apply(p.Propose(sim.time(), p.lastID, x.change), nil)
 }
 
-// changeFor returns the change that a store makes of a command.
+// changeFor returns the change that a store proposes for a command.
 func (sim *simulation) changeFor(p *storeProcess, o Command) consensus.Change {
 	c := consensus.Change{Key: o.Key, Proposer: p.Self().DiskID, Body: []byte(o.Body)}
 	switch o.Kind {
@@ -84,11 +85,11 @@
 	return c
 }
 
-// runOnAck injects the faults that wait for an acknowledgement.
-func (sim *simulation) runOnAck(m *machine) {
-	strike := sim.onAck
+// runOnAck injects the faults that are scheduled for the next acknowledgement.
+func (sim *simulation) runOnAck(m *node) {
+	faults := sim.onAck
 	sim.onAck = nil
-	for _, f := range strike {
+	for _, f := range faults {
 		f(m)
 	}
 }
--- a/internal/mesh/modelcheck/process.go
+++ b/internal/mesh/modelcheck/process.go
@@ -7,7 +7,7 @@
 	"milletmast/internal/mesh/membership"
 )
 
-// core is the interface of the machines under test: a replica, and the coordinator over it.
+// core is the interface of the state machines under test: a replica and its coordinator.
 type core interface {
 	Tick(now time.Time) consensus.Output
 	Propose(now time.Time, id uint64, c consensus.Change) consensus.Output
@@ -28,54 +28,53 @@
 	State() membership.State
 }
 
-// realMachines are the real ones.
-type realMachines struct {
+// realStateMachines implements core by the state machines of packages consensus and membership.
+type realStateMachines struct {
 	*consensus.Replica
 	coordinator *membership.Coordinator
 }
 
-func (m *realMachines) Tick(now time.Time) consensus.Output { return m.coordinator.Tick(now) }
-func (m *realMachines) Resign(now time.Time) (consensus.Output, string) {
+func (m *realStateMachines) Tick(now time.Time) consensus.Output { return m.coordinator.Tick(now) }
+func (m *realStateMachines) Resign(now time.Time) (consensus.Output, string) {
 	return m.coordinator.Resign(now)
 }
-func (m *realMachines) State() membership.State          { return m.coordinator.State() }
-func (m *realMachines) NextTick(now time.Time) time.Time { return m.coordinator.NextTick(now) }
+func (m *realStateMachines) State() membership.State          { return m.coordinator.State() }
+func (m *realStateMachines) NextTick(now time.Time) time.Time { return m.coordinator.NextTick(now) }
 
-// hooks alter the simulation or wrap the machines, so that a test can plant a fault. All may be
-// nil.
+// hooks alter the simulation or wrap the state machines, so that a test can plant a fault. The zero value changes nothing.
 type hooks struct {
 	wrap              func(c core) core
 	restart           func(set *consensus.VoterConfig, held []consensus.Register) []consensus.Register
-	persist           func(me string, out *consensus.Output) // before it is written to disk
-	send              func(a *consensus.Request)             // before it is sent
+	persist           func(me string, out *consensus.Output) // called before the output is written to disk
+	send              func(a *consensus.Request)             // called before the request is sent
 	respond           func(a *consensus.Request, t *consensus.Response)
 	sendBeforeSync    bool // responses are sent before the disk has synced
 	states            func(digest uint64)
-	keepDiskID        bool // an emptied disk keeps its identity
+	keepDiskID        bool // a wiped disk keeps its identity
 	ignoreWriteErrors bool // a failed write counts as done
 }
 
-// storeProcess is one process of a store. It handles one input at a time, and no other before the
-// records of its output are on disk.
+// storeProcess is one process of a store. It handles one input at a time, and the next one only after the records of the output are on
+// disk.
 type storeProcess struct {
 	core
-	machine       *machine
+	node          *node
 	incarnation   int
 	busy          bool // the disk is syncing
 	storageFailed bool // a write has failed
 	pending       []func()
-	tick          time.Duration // time of the next one
+	tick          time.Duration // time of the next tick; 0 for none
 	proposals     map[uint64]func(consensus.Result)
 	lastID        uint64
-	leaseSeen     time.Time // the lease that was seen last
+	leaseSeen     time.Time // the expiry of the lease that checkLease has checked last
 }
 
-// input has the process handle an input, now or once it can.
+// input has the process handle an input, or queues it while the process is frozen or its disk is syncing.
 func (p *storeProcess) input(f func()) {
-	w := p.machine.sim
+	w := p.node.sim
 	switch {
-	case p.machine.process != p:
-	case p.busy || p.machine.frozen > 0:
+	case p.node.process != p:
+	case p.busy || p.node.frozen > 0:
 		if len(p.pending) < 4096 {
 			p.pending = append(p.pending, f)
 		}
@@ -91,7 +90,7 @@
 
 // drain handles the queued inputs.
 func (p *storeProcess) drain() {
-	for len(p.pending) > 0 && !p.busy && p.machine.frozen == 0 && p.machine.process == p {
+	for len(p.pending) > 0 && !p.busy && p.node.frozen == 0 && p.node.process == p {
 		f := p.pending[0]
 		p.pending = p.pending[1:]
 		p.input(f)
@@ -100,14 +99,14 @@
 
 // scheduleTick schedules the next tick.
 func (p *storeProcess) scheduleTick() {
-	w := p.machine.sim
+	w := p.node.sim
 	due := w.now + max(min(p.NextTick(w.time()).Sub(w.time()), tickInterval), time.Millisecond)
 	if p.tick > w.now && p.tick <= due {
 		return
 	}
 	p.tick = due
 	w.after(due-w.now, func() {
-		if p.tick == due && p.machine.process == p {
+		if p.tick == due && p.node.process == p {
 			p.tick = 0
 			p.input(p.onTick)
 		}
@@ -120,16 +119,16 @@
 		p.writeDisk(write{p.Acceptor().Registers(), &set}, func() { p.storageFailed = false })
 		return
 	}
-	p.apply(p.Tick(p.machine.sim.time()), nil)
+	p.apply(p.Tick(p.node.sim.time()), nil)
 }
 
-// apply emits an output once its records are on disk.
+// apply writes the records of an output to disk, and then calls also and emits the output.
 func (p *storeProcess) apply(out consensus.Output, also func()) {
-	w := p.machine.sim
+	w := p.node.sim
 	if w.hooks.persist != nil {
 		w.hooks.persist(p.Self().DiskID, &out)
 	}
-	say := func() {
+	emit := func() {
 		if also != nil {
 			also()
 		}
@@ -147,46 +146,46 @@
 		}
 	}
 	if len(out.Registers) == 0 && out.Voters == nil {
-		say()
+		emit()
 		return
 	}
 	if w.hooks.sendBeforeSync {
 		p.writeDisk(write{out.Registers, out.Voters}, func() {})
-		say()
+		emit()
 		return
 	}
-	p.writeDisk(write{out.Registers, out.Voters}, say)
+	p.writeDisk(write{out.Registers, out.Voters}, emit)
 }
 
 // writeDisk writes and syncs; no other input is handled meanwhile. If the write fails, the process
-// stays silent.
+// sends nothing.
 func (p *storeProcess) writeDisk(x write, then func()) {
-	w := p.machine.sim
-	if p.machine.diskFull > 0 && w.hooks.ignoreWriteErrors {
+	w := p.node.sim
+	if p.node.diskFull > 0 && w.hooks.ignoreWriteErrors {
 		then()
 		return
 	}
-	if p.machine.diskFull > 0 {
+	if p.node.diskFull > 0 {
 		p.storageFailed = true
 		clear(p.proposals)
 		return
 	}
-	p.machine.disk.write(x)
+	p.node.disk.write(x)
 	p.busy = true
-	w.after(w.syncTime(p.machine), func() { p.onSynced(then) })
+	w.after(w.syncTime(p.node), func() { p.onSynced(then) })
 }
 
 func (p *storeProcess) onSynced(then func()) {
-	w := p.machine.sim
-	if p.machine.process != p {
+	w := p.node.sim
+	if p.node.process != p {
 		return
 	}
-	if p.machine.diskStalled > 0 {
+	if p.node.diskStalled > 0 {
 		w.after(20*time.Millisecond, func() { p.onSynced(then) })
 		return
 	}
-	p.machine.disk.sync()
-	if p.machine.frozen > 0 { // it is notified once it is not frozen
+	p.node.disk.sync()
+	if p.node.frozen > 0 { // the process continues when it is resumed
 		p.pending = append([]func(){then}, p.pending...)
 		p.busy = false
 		return
--- a/internal/mesh/modelcheck/recovery.go
+++ b/internal/mesh/modelcheck/recovery.go
@@ -8,7 +8,7 @@
 	"milletmast/internal/mesh/consensus"
 )
 
-// heal ends all faults, waits until all machines have recovered, and reads every key at every machine.
+// heal ends all faults, checks that all nodes recover in time, and reads every key at every node.
 func (sim *simulation) heal() {
 	if len(sim.report.Violations) > 0 {
 		return
@@ -16,7 +16,7 @@
 	sim.endFaults()
 	sim.run(sim.now + 200*time.Millisecond)
 	last := len(sim.ops)
-	sim.order(Command{Kind: "put", Key: "config", Number: 1_000_000, Body: "last", Machines: sim.shuffledMachines()})
+	sim.submit(Command{Kind: "put", Key: "config", Number: 1_000_000, Body: "last", Nodes: sim.shuffledNodes()})
 	for sim.now < sim.healedAt+recoveryTimeout && len(sim.report.Violations) == 0 {
 		if sim.recovered(last) {
 			sim.report.RecoveredAfter = sim.now - sim.healedAt
@@ -27,20 +27,20 @@
 	switch {
 	case len(sim.report.Violations) > 0:
 	case sim.report.RecoveredAfter == 0:
-		sim.violation("not going: %s", sim.describeState(last))
+		sim.violation("not recovered: %s", sim.describeState(last))
 	default:
 		sim.readEverywhere()
 	}
 }
 
-// endFaults ends all faults and restarts the machines that are down.
+// endFaults ends all faults and restarts the nodes that are down.
 func (sim *simulation) endFaults() {
 	sim.healedAt = sim.now
 	sim.onStep, sim.onAck = nil, nil
-	sim.cut, sim.unreachable = [maxMachines][maxMachines]int{}, [maxMachines]int{}
+	sim.cut, sim.unreachable = [maxNodes][maxNodes]int{}, [maxNodes]int{}
 	sim.lossPermille, sim.duplicatePermille, sim.lostReplies = 0, 0, 0
 	sim.maxDelay = usualDelay
-	for _, m := range sim.machines {
+	for _, m := range sim.nodes {
 		m.diskFull, m.diskStalled, m.syncDelay = 0, 0, 0
 		sim.thaw(m)
 		if m.process == nil && !m.removed {
@@ -55,15 +55,15 @@
 // usualDelay bounds the delay of a message without faults.
 const usualDelay = 2 * time.Millisecond
 
-// readEverywhere reads every key at every machine; each read must succeed.
+// readEverywhere reads every key at every node; each read must succeed.
 func (sim *simulation) readEverywhere() {
 	var reads []*op
-	for _, m := range sim.machines {
+	for _, m := range sim.nodes {
 		if m.process == nil {
 			continue
 		}
 		for _, key := range sim.keys() {
-			sim.order(Command{Kind: "read", Key: key, Machines: []int{m.index}})
+			sim.submit(Command{Kind: "read", Key: key, Nodes: []int{m.index}})
 			reads = append(reads, sim.ops[len(sim.ops)-1])
 		}
 	}
@@ -73,58 +73,58 @@
 	}
 	for _, o := range reads {
 		if o.result.Outcome != consensus.Committed && len(sim.report.Violations) == 0 {
-			sim.violation("no read: of %s at m%d", o.command.Key, o.target)
+			sim.violation("no read: %s was not read at m%d", o.command.Key, o.target)
 		}
 	}
 }
 
-// shuffledMachines returns the machines that are not removed, in random order.
-func (sim *simulation) shuffledMachines() []int {
+// shuffledNodes returns the nodes that are not removed, in random order.
+func (sim *simulation) shuffledNodes() []int {
 	var out []int
-	for _, i := range sim.rng.Perm(len(sim.machines)) {
-		if !sim.machines[i].removed {
+	for _, i := range sim.rng.Perm(len(sim.nodes)) {
+		if !sim.nodes[i].removed {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// recovered reports whether a command was acknowledged, and all stores have a lease and serve the
-// same.
+// recovered reports whether one of the attempts from index first on was acknowledged, all stores have a lease and serve the same values,
+// and all proxies use them.
 func (sim *simulation) recovered(first int) bool {
 	if !slices.ContainsFunc(sim.ops[first:], func(o *op) bool { return o.result.Outcome == consensus.Committed }) {
 		return false
 	}
-	var same []consensus.Register
+	var values []consensus.Register
 	for _, p := range sim.running() {
 		if p.LeaseRemaining(sim.time()) == 0 || p.storageFailed {
 			return false
 		}
 		now := p.AllCommitted()
-		if same == nil {
-			same = now
+		if values == nil {
+			values = now
 		}
-		if !slices.EqualFunc(now, same, func(a, b consensus.Register) bool {
+		if !slices.EqualFunc(now, values, func(a, b consensus.Register) bool {
 			return a.Key == b.Key && a.Value.Version == b.Value.Version && string(a.Value.Body) == string(b.Value.Body)
 		}) {
 			return false
 		}
 	}
-	return same != nil && (sim.discovery == nil || sim.discovery.allCurrent(same))
+	return values != nil && (sim.discovery == nil || sim.discovery.allCurrent(values))
 }
 
-// describeState describes the state of the stores.
+// describeState describes the state of the stores and proxies, and the outcomes of the attempts from index first on.
 func (sim *simulation) describeState(first int) string {
-	s := fmt.Sprintf("newest set %v;", *sim.newest)
+	s := fmt.Sprintf("newest voter configuration %v;", *sim.newest)
 	if sim.discovery != nil {
 		s += sim.discovery.describeState()
 	}
 	for _, o := range sim.ops[first:] {
-		s += fmt.Sprintf(" order to m%d: %v;", o.target, o.result.Outcome)
+		s += fmt.Sprintf(" command to m%d: %v;", o.target, o.result.Outcome)
 	}
 	for _, p := range sim.running() {
 		s += fmt.Sprintf(
-			" %s epoch=%d lease=%v duty=%v mute=%v chosen=",
+			" %s epoch=%d lease=%v role=%v storage-failed=%v committed=",
 			p.Self().DiskID,
 			p.Voters().Epoch,
 			p.LeaseRemaining(sim.time()),
--- a/internal/mesh/modelcheck/simcontrolplane.go
+++ b/internal/mesh/modelcheck/simcontrolplane.go
@@ -8,28 +8,28 @@
 	"milletmast/internal/mesh/discovery"
 )
 
-// simControlPlane is the control plane of a machine. It may outlive a process of its store.
+// simControlPlane is the control plane of a node. It keeps running while its store restarts.
 type simControlPlane struct {
-	machine              *machine
+	node                 *node
 	incarnation          int // 0 while it is down
 	contact              *discovery.StoreContact
-	hadLease             bool // its store once had a lease, so that it sends what it knows
+	hadLease             bool // its store has had a lease, and sends its values from then on
 	store                *storeProcess
-	lastSnapshot         *controlstate.Snapshot // that its store has sent
-	connFreeAt           time.Duration          // what was sent between the two has arrived by then
-	pending              []func()               // what has arrived while it was frozen
-	frozenAlone          int                    // its process alone is frozen
-	freezeAfterHeartbeat time.Duration          // for so long, as soon as its next heartbeat is sent
+	lastSnapshot         *controlstate.Snapshot // the last one that its store has sent
+	connFreeAt           time.Duration          // when everything sent on the connection to the store has arrived
+	pending              []func()               // messages received and not handled
+	frozenAlone          int                    // number of faults that freeze it, but not its store
+	freezeAfterHeartbeat time.Duration          // it is frozen for this time when it has sent its next heartbeat
 }
 
-// later has a control plane receive something of its own machine after a moment and in order,
-// unless either was restarted; while it is frozen it is queued.
-func (s *discoverySim) later(l *simControlPlane, do func()) {
+// deliverLocal delivers a message between a control plane and the store of its node, in order and after a short delay, unless either
+// was restarted. Messages are queued while the control plane is frozen.
+func (s *discoverySim) deliverLocal(l *simControlPlane, do func()) {
 	incarnation, p := l.incarnation, l.store
 	l.connFreeAt = max(l.connFreeAt, s.sim.now+s.randomDuration(time.Millisecond)) + time.Nanosecond
 	s.sim.at(l.connFreeAt, func() {
 		l.pending = append(l.pending, func() {
-			if l.incarnation == incarnation && l.store == p && l.machine.process == p {
+			if l.incarnation == incarnation && l.store == p && l.node.process == p {
 				do()
 			}
 		})
@@ -37,7 +37,7 @@
 	})
 }
 
-func (l *simControlPlane) isFrozen() bool { return l.machine.frozen > 0 || l.frozenAlone > 0 }
+func (l *simControlPlane) isFrozen() bool { return l.node.frozen > 0 || l.frozenAlone > 0 }
 
 // drain handles what is queued, unless the control plane is frozen.
 func (s *discoverySim) drain(l *simControlPlane) {
@@ -51,25 +51,25 @@
 // pushSnapshot has a store send its snapshot to its control plane, if it has changed.
 func (s *discoverySim) pushSnapshot(l *simControlPlane) {
 	p, now := l.store, s.sim.time()
-	if p == nil || l.incarnation == 0 || p != l.machine.process || p.busy || l.machine.frozen > 0 {
+	if p == nil || l.incarnation == 0 || p != l.node.process || p.busy || l.node.frozen > 0 {
 		return
 	}
 	settled := !p.storageFailed && p.LeaseRemaining(now) > 0
 	f := &controlstate.Snapshot{Epoch: p.Voters().Epoch}
 	if l.hadLease = l.hadLease || settled; l.hadLease {
-		f, _ = configstore.SnapshotOf(settled, p.Voters().Epoch, p.AllCommitted()) // ejections are no lists here
+		f, _ = configstore.SnapshotOf(settled, p.Voters().Epoch, p.AllCommitted()) // fails for ejections, whose bodies are not lists here
 	}
 	if f.Equal(l.lastSnapshot) {
 		return
 	}
 	l.lastSnapshot = f
-	s.later(l, func() { s.handleUpdate(l, &controlstate.Update{Snapshot: f}) })
+	s.deliverLocal(l, func() { s.handleUpdate(l, &controlstate.Update{Snapshot: f}) })
 }
 
 // heartbeat sends a heartbeat to the store; the acknowledgement follows the snapshot of that
 // moment.
 func (s *discoverySim) heartbeat(l *simControlPlane) {
-	if l.incarnation == 0 || l.store == nil || l.isFrozen() || l.store != l.machine.process {
+	if l.incarnation == 0 || l.store == nil || l.isFrozen() || l.store != l.node.process {
 		return
 	}
 	id, p := l.contact.StartHeartbeat(s.sim.time()), l.store
@@ -81,9 +81,9 @@
 			s.drain(l)
 		})
 	}
-	s.later(l, func() {
+	s.deliverLocal(l, func() {
 		p.input(func() {
-			if p.busy || p.machine.process != p {
+			if p.busy || p.node.process != p {
 				return
 			}
 			s.pushSnapshot(l)
@@ -91,18 +91,18 @@
 			if !p.storageFailed {
 				update.LeaseRemaining = p.LeaseRemaining(s.sim.time())
 			}
-			s.later(l, func() { s.handleUpdate(l, update) })
+			s.deliverLocal(l, func() { s.handleUpdate(l, update) })
 		})
 	})
 }
 
 // handleUpdate has a control plane handle an update of its store.
 func (s *discoverySim) handleUpdate(l *simControlPlane, update *controlstate.Update) {
-	changed, again := l.contact.HandleUpdate(s.sim.time(), update)
+	changed, heartbeat := l.contact.HandleUpdate(s.sim.time(), update)
 	if changed {
 		s.push(l)
 	}
-	if again {
+	if heartbeat {
 		s.heartbeat(l)
 	}
 }
@@ -110,7 +110,7 @@
 // push has a control plane send its snapshot to all connected proxies, if it may.
 func (s *discoverySim) push(l *simControlPlane) {
 	w := s.sim
-	if l.incarnation == 0 || l.isFrozen() || l.machine.process == nil {
+	if l.incarnation == 0 || l.isFrozen() || l.node.process == nil {
 		return
 	}
 	d := &discovery.ControlMessage{HasContact: w.time().Before(l.contact.ServeUntil())}
@@ -119,23 +119,23 @@
 		w.checkServed(l, d.Snapshot)
 	}
 	for _, p := range s.proxies {
-		if p.connectedTo[l.machine.index] == l.incarnation {
+		if p.connectedTo[l.node.index] == l.incarnation {
 			s.send(l, p, d)
 		}
 	}
 }
 
-// send delivers a message to a proxy: late perhaps, but never over a connection that has ended.
+// send delivers a message to a proxy after a random delay, unless the connection has ended by then.
 func (s *discoverySim) send(l *simControlPlane, p *simProxy, d *discovery.ControlMessage) {
-	i, incarnation, sender := l.machine.index, p.incarnation, l.incarnation
+	i, incarnation, sender := l.node.index, p.incarnation, l.incarnation
 	s.sim.after(time.Millisecond+s.randomDuration(s.sim.maxDelay), func() {
 		if p.cut[i] > 0 {
 			return
 		}
 		s.input(p, incarnation, func() {
 			if p.connectedTo[i] == sender {
-				p.lastHeard[i] = s.sim.now
-				p.state.HandleControlMessage(s.sim.time(), l.machine.addr, d)
+				p.lastReceived[i] = s.sim.now
+				p.state.HandleControlMessage(s.sim.time(), l.node.addr, d)
 			}
 		})
 	})
--- a/internal/mesh/modelcheck/simproxy.go
+++ b/internal/mesh/modelcheck/simproxy.go
@@ -15,11 +15,11 @@
 	incarnation   int
 	frozen        int
 	state         *discovery.ClientState
-	lastHeard     map[int]time.Duration // by machine, while it is connected
-	connectedTo   map[int]int           // life of the control plane there
-	cut           map[int]int           // machines that it does not reach
+	lastReceived  map[int]time.Duration // time of the last message, by node of a connected control plane
+	connectedTo   map[int]int           // incarnation of the control plane, by node
+	cut           map[int]int           // number of faults that cut it off from a node
 	pending       []func()
-	configVersion uint64 // version in use in this life
+	configVersion uint64 // version in use in this incarnation
 	evacuations   map[string]consensus.Version
 }
 
@@ -37,7 +37,7 @@
 
 func (s *discoverySim) thaw(p *simProxy) {
 	if p.frozen == 0 {
-		return // all faults have ended meanwhile
+		return // heal has resumed it already
 	}
 	if p.frozen--; p.frozen == 0 {
 		queue := p.pending
@@ -48,44 +48,44 @@
 	}
 }
 
-// begin restarts a proxy.
-func (s *discoverySim) begin(p *simProxy) {
+// restartProxy restarts a proxy.
+func (s *discoverySim) restartProxy(p *simProxy) {
 	s.sim.lastIncarnation++
 	p.incarnation, p.pending = s.sim.lastIncarnation, nil
 	p.state = discovery.NewClientState(s.sim.time(), discovery.Limits{KeepMissing: 5 * time.Second, ContactTimeout: contactTimeout})
-	p.lastHeard, p.connectedTo, p.configVersion, p.evacuations = map[int]time.Duration{}, map[int]int{}, 0, map[string]consensus.Version{}
+	p.lastReceived, p.connectedTo, p.configVersion, p.evacuations = map[int]time.Duration{}, map[int]int{}, 0, map[string]consensus.Version{}
 }
 
-// connected returns the machines of the connected control planes, sorted, so that the same seed
+// connected returns the nodes of the connected control planes, sorted, so that the same seed
 // gives the same run.
-func (p *simProxy) connected() []int { return slices.Sorted(maps.Keys(p.lastHeard)) }
+func (p *simProxy) connected() []int { return slices.Sorted(maps.Keys(p.lastReceived)) }
 
-// reconnect drops control planes that are idle or gone, and connects to others: those with contact
-// stay.
+// reconnect closes the connections to control planes that are idle or restarted, and connects to others. Without contact to the stores
+// through any of them, the proxy connects to all control planes.
 func (s *discoverySim) reconnect(p *simProxy) {
 	w := s.sim
 	for _, i := range p.connected() {
-		if w.now-p.lastHeard[i] > idleTimeout || s.controlPlanes[i].incarnation != p.connectedTo[i] {
-			delete(p.lastHeard, i)
+		if w.now-p.lastReceived[i] > idleTimeout || s.controlPlanes[i].incarnation != p.connectedTo[i] {
+			delete(p.lastReceived, i)
 			delete(p.connectedTo, i)
-			p.state.ControlPlaneLost(w.time(), s.controlPlanes[i].machine.addr)
+			p.state.ControlPlaneLost(w.time(), s.controlPlanes[i].node.addr)
 		}
 	}
-	most := linksPerProxy
+	maxLinks := linksPerProxy
 	if !slices.ContainsFunc(s.controlPlanes, func(l *simControlPlane) bool {
-		_, ok := p.lastHeard[l.machine.index]
-		return ok && p.state.HasContact(l.machine.addr)
+		_, ok := p.lastReceived[l.node.index]
+		return ok && p.state.HasContact(l.node.addr)
 	}) {
-		most = len(s.controlPlanes)
+		maxLinks = len(s.controlPlanes)
 	}
 	for _, i := range s.rng.Perm(len(s.controlPlanes)) {
 		l := s.controlPlanes[i]
-		if _, ok := p.lastHeard[i]; ok || len(p.lastHeard) >= most || l.incarnation == 0 || l.isFrozen() || l.machine.process == nil ||
+		if _, ok := p.lastReceived[i]; ok || len(p.lastReceived) >= maxLinks || l.incarnation == 0 || l.isFrozen() || l.node.process == nil ||
 			p.cut[i] > 0 ||
 			w.unreachable[i] > 0 {
 			continue
 		}
-		p.lastHeard[i], p.connectedTo[i] = w.now, l.incarnation
+		p.lastReceived[i], p.connectedTo[i] = w.now, l.incarnation
 		s.push(l)
 	}
 	if p.state.WantsLastKnown(w.time()) {
@@ -102,7 +102,7 @@
 	w.checkProxy(p)
 }
 
-// gossip has a proxy receive the snapshot of another one.
+// gossip has a proxy receive the snapshot of a random other one.
 func (s *discoverySim) gossip(p *simProxy) {
 	q := s.proxies[s.rng.IntN(len(s.proxies))]
 	if p == q || p.state == nil || q.state == nil || p.frozen > 0 || q.frozen > 0 || s.rng.IntN(3) == 0 {
--- a/internal/mesh/modelcheck/simulation.go
+++ b/internal/mesh/modelcheck/simulation.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	tickInterval    = 300 * time.Millisecond // between two ticks of a store if nothing is due before
+	tickInterval    = 300 * time.Millisecond // longest time between two ticks of a store
 	leaseTime       = 2 * time.Second
 	proposalTimeout = 3 * time.Second
-	inlineLimit     = 9                       // bytes of a body that is sent inline; bodies that stand for large ones are longer
-	recoveryTimeout = 5 * time.Second         // after the last fault, for all machines to recover
-	finalReadTime   = 4 * time.Second         // after that, for the final reads
+	inlineLimit     = 9                       // bytes; bodies that stand for large ones, see bodySize, are longer
+	recoveryTimeout = 5 * time.Second         // after the last fault, for all nodes to recover
+	finalReadTime   = 4 * time.Second         // for the final reads after the recovery
 	graceTime       = 1500 * time.Millisecond // for a process to shut down
-	maxMachines     = 16
+	maxNodes        = 16
 )
 
 var start = time.Unix(1_700_000_000, 0)
 
-// simulation is one run.
+// simulation is the state of one run.
 type simulation struct {
 	plan              Plan
 	hooks             hooks
@@ -32,17 +32,17 @@
 	now               time.Duration
 	queue             events
 	lastEventID       uint64
-	machines          []*machine
-	cut               [maxMachines][maxMachines]int           // messages from one to another are lost while it is positive
-	unreachable       [maxMachines]int                        // operators and the machine do not reach each other
-	lossPermille      int                                     // of the messages, that are lost
-	duplicatePermille int                                     // that are delivered twice
-	maxDelay          time.Duration                           // of each message
-	linkRate          int                                     // bytes a second of each link in each direction, in order; 0 for no limit
-	linkFreeAt        [maxMachines][maxMachines]time.Duration // when a limited link has carried all that was sent
-	lostReplies       int                                     // answers to operators are lost while it is positive
-	onAck             []func(*machine)                        // at the next acknowledgement
-	onStep            []func()                                // at the next step of the voter configuration, one for each
+	nodes             []*node
+	cut               [maxNodes][maxNodes]int           // number of faults that drop the messages from one node to another
+	unreachable       [maxNodes]int                     // number of faults that separate operators from a node
+	lossPermille      int                               // share of the messages that are lost
+	duplicatePermille int                               // share of the messages that are delivered twice
+	maxDelay          time.Duration                     // of each message
+	linkRate          int                               // bytes a second of each link in each direction; 0 for no limit
+	linkFreeAt        [maxNodes][maxNodes]time.Duration // when a limited link has carried all that was sent
+	lostReplies       int                               // number of faults that drop the answers to operators
+	onAck             []func(*node)                     // faults to inject at the next acknowledgement
+	onStep            []func()                          // faults to inject at changes of the voter configuration, one at each
 	healedAt          time.Duration
 	losses            []loss
 	lastIncarnation   int
@@ -51,8 +51,8 @@
 	report Report
 }
 
-// machine is an address, with its disk and its process.
-type machine struct {
+// node is an address, with its disk and its process.
+type node struct {
 	sim         *simulation
 	index       int
 	addr        string
@@ -62,8 +62,8 @@
 	frozen      int
 	diskFull    int
 	diskStalled int
-	syncDelay   time.Duration // of each sync
-	removed     bool          // for good
+	syncDelay   time.Duration // added to each sync
+	removed     bool          // replaced; it never starts again
 	resets      int           // number of resets of its connections
 }
 
@@ -97,14 +97,14 @@
 
 func (sim *simulation) at(t time.Duration, do func()) { sim.after(t-sim.now, do) }
 
-// chance is true with a probability in permille.
-func (sim *simulation) chance(parts int) bool { return sim.rng.IntN(1000) < parts }
+// chance returns true with a probability in permille.
+func (sim *simulation) chance(permille int) bool { return sim.rng.IntN(1000) < permille }
 
 func (sim *simulation) randomDuration(d time.Duration) time.Duration {
 	return time.Duration(sim.rng.Int64N(int64(d) + 1))
 }
 
-// run runs events up to a time.
+// run handles the events up to a time, or until the first violation.
 func (sim *simulation) run(until time.Duration) {
 	for len(sim.queue) > 0 && sim.queue[0].at <= until && len(sim.report.Violations) == 0 {
 		e := heap.Pop(&sim.queue).(event)
@@ -121,15 +121,15 @@
 	}
 }
 
-// Play runs a plan.
-func Play(p Plan) *Report { return play(p, hooks{}) }
+// Run runs a plan.
+func Run(p Plan) *Report { return runPlan(p, hooks{}) }
 
-// play runs a plan with hooks. A panic of the machines is a violation like others.
-func play(p Plan, h hooks) *Report {
-	return new(simulation).begin(p, h)
+// runPlan runs a plan with hooks. A panic is reported as a violation.
+func runPlan(p Plan, h hooks) *Report {
+	return new(simulation).runPlan(p, h)
 }
 
-func (sim *simulation) begin(p Plan, h hooks) *Report {
+func (sim *simulation) runPlan(p Plan, h hooks) *Report {
 	*sim = simulation{
 		plan:     p,
 		hooks:    h,
@@ -143,15 +143,15 @@
 			sim.violation("panic: %v\n%s", x, debug.Stack())
 		}
 	}()
-	sim.play()
+	sim.execute()
 	return &sim.report
 }
 
-func (sim *simulation) play() {
+func (sim *simulation) execute() {
 	p := sim.plan
 	var members []consensus.Member
-	for i := range p.Machines {
-		m := sim.addMachine(i)
+	for i := range p.Nodes {
+		m := sim.addNode(i)
 		if i < p.InitialVoters {
 			m.disk.name = m.addr + "#first"
 			members = append(members, m.member())
@@ -159,7 +159,7 @@
 	}
 	sim.configs[1] = &consensus.VoterConfig{Epoch: 1, Voters: members}
 	sim.newest = sim.configs[1]
-	for i, m := range sim.machines {
+	for i, m := range sim.nodes {
 		if i < p.InitialVoters {
 			m.disk.set = *sim.configs[1]
 		}
@@ -173,7 +173,7 @@
 		sim.at(t.At, func() { sim.inject(t) })
 	}
 	for _, o := range p.Commands {
-		sim.at(o.At, func() { sim.order(o) })
+		sim.at(o.At, func() { sim.submit(o) })
 	}
 	if p.Proxies > 0 {
 		sim.startDiscovery(p.Proxies)
@@ -184,25 +184,25 @@
 	sim.checkHistory()
 }
 
-// addMachine adds a machine with an empty disk.
-func (sim *simulation) addMachine(i int) *machine {
-	m := &machine{sim: sim, index: i, addr: fmt.Sprintf("m%d", i), zone: fmt.Sprintf("z%d", i%3)}
-	sim.machines = append(sim.machines, m)
+// addNode adds a node with an empty disk.
+func (sim *simulation) addNode(i int) *node {
+	m := &node{sim: sim, index: i, addr: fmt.Sprintf("m%d", i), zone: fmt.Sprintf("z%d", i%3)}
+	sim.nodes = append(sim.nodes, m)
 	m.newDisk()
 	return m
 }
 
-// newDisk gives a machine a new disk.
-func (m *machine) newDisk() {
+// newDisk replaces the disk of a node by an empty one with a new identity.
+func (m *node) newDisk() {
 	m.disk = &disk{name: fmt.Sprintf("%s#%08x", m.addr, m.sim.rng.Uint32()), registers: map[string]consensus.Register{}}
 }
 
-func (m *machine) member() consensus.Member {
+func (m *node) member() consensus.Member {
 	return consensus.Member{DiskID: m.disk.name, Node: m.addr, Addr: m.addr, Zone: m.zone, InQuorum: true}
 }
 
-// start starts a process with what the disk holds.
-func (m *machine) start() {
+// start starts a process from the contents of the disk.
+func (m *node) start() {
 	w := m.sim
 	if m.process != nil || m.removed {
 		return
@@ -217,15 +217,15 @@
 		set,
 		held,
 	)
-	for i, n := 0, 0; i < len(w.machines) && n < 3; i++ {
-		if !w.machines[i].removed {
-			r.AddPeer(w.machines[i].addr)
+	for i, n := 0, 0; i < len(w.nodes) && n < 3; i++ {
+		if !w.nodes[i].removed {
+			r.AddPeer(w.nodes[i].addr)
 			n++
 		}
 	}
 	w.lastIncarnation++
-	p := &storeProcess{machine: m, incarnation: w.lastIncarnation, proposals: map[uint64]func(consensus.Result){}}
-	p.core = &realMachines{r, membership.New(w.time(), r, w.plan.FaultBudget)}
+	p := &storeProcess{node: m, incarnation: w.lastIncarnation, proposals: map[uint64]func(consensus.Result){}}
+	p.core = &realStateMachines{r, membership.New(w.time(), r, w.plan.FaultBudget)}
 	if w.hooks.wrap != nil {
 		p.core = w.hooks.wrap(p.core)
 	}
@@ -233,8 +233,8 @@
 	p.input(p.onTick)
 }
 
-// stop ends the process at once.
-func (m *machine) stop(powerLoss bool) {
+// stop ends the process at once. Without a power loss everything it has written stays on disk.
+func (m *node) stop(powerLoss bool) {
 	if m.process == nil {
 		return
 	}
@@ -246,8 +246,8 @@
 	}
 }
 
-func (sim *simulation) place(addr string) *machine {
-	for _, m := range sim.machines {
+func (sim *simulation) nodeAt(addr string) *node {
+	for _, m := range sim.nodes {
 		if m.addr == addr {
 			return m
 		}
@@ -255,11 +255,11 @@
 	return nil
 }
 
-func (sim *simulation) syncTime(m *machine) time.Duration {
+func (sim *simulation) syncTime(m *node) time.Duration {
 	return 100*time.Microsecond + sim.randomDuration(400*time.Microsecond) + m.syncDelay/2 + sim.randomDuration(m.syncDelay/2)
 }
 
-func (sim *simulation) told(p *storeProcess, t consensus.Response) {
+func (sim *simulation) receiveResponse(p *storeProcess, t consensus.Response) {
 	p.input(func() {
 		if !p.storageFailed {
 			p.apply(p.HandleResponse(sim.time(), &t), nil)
@@ -270,7 +270,7 @@
 // running returns the running processes.
 func (sim *simulation) running() []*storeProcess {
 	var out []*storeProcess
-	for _, m := range sim.machines {
+	for _, m := range sim.nodes {
 		if m.process != nil {
 			out = append(out, m.process)
 		}
--- a/internal/mesh/modelcheck/thin_test.go
+++ b/internal/mesh/modelcheck/slowlinks_test.go
@@ -8,15 +8,15 @@
 	"milletmast/internal/mesh/consensus"
 )
 
-// TestThinLinks: configurations of a megabyte over links that take seconds for one, sent again elsewhere while there is no answer, two
-// operators at once. Each number is acknowledged once its body can have reached a second disk, and nothing piles up: no word waits longer
-// than for a few bodies.
+// TestSlowLinks puts configurations of a megabyte over links that need up to eight seconds for one. Operators retry at other nodes while
+// they have no answer, and in some cases two operators compete. Each version must be acknowledged within a limit, and retries must not
+// pile up: no message waits for a link longer than a few bodies take.
 func TestSlowLinks(t *testing.T) {
 	const size = 1_000_000
 	for _, c := range []struct {
-		machines, rate int
-		rivals         bool // two contents under each number, by way of two machines
-		most           time.Duration
+		nodes, rate int
+		hasRival    bool // a second operator puts another content of each version at another node
+		maxTime     time.Duration
 	}{
 		{3, 1_000_000, false, 1500 * time.Millisecond},
 		{5, 1_000_000, false, 1500 * time.Millisecond},
@@ -26,23 +26,23 @@
 	} {
 		once := time.Duration(size) * time.Second / time.Duration(c.rate)
 		each := 3*once + 3*time.Second
-		p := Plan{Seed: 1, InitialVoters: c.machines, Machines: c.machines, FaultBudget: c.machines / 2, End: 2*time.Second + 3*each, LinkBytesPerSecond: c.rate}
+		p := Plan{Seed: 1, InitialVoters: c.nodes, Nodes: c.nodes, FaultBudget: c.nodes / 2, End: 2*time.Second + 3*each, LinkBytesPerSecond: c.rate}
 		put := func(at time.Duration, i, to int, body string) {
 			o := Command{At: at, Kind: "put", Key: "config", Number: uint64(i + 1), Body: fmt.Sprintf("r%d/%s*%d", i+1, body, size)}
 			for try := range int(each / attemptTimeout) {
-				o.Machines = append(o.Machines, (to+try)%c.machines)
+				o.Nodes = append(o.Nodes, (to+try)%c.nodes)
 			}
 			p.Commands = append(p.Commands, o)
 		}
 		for i := range 3 {
 			at := 2*time.Second + time.Duration(i)*each
 			put(at, i, i, "A")
-			if c.rivals {
+			if c.hasRival {
 				put(at, i, i+1, "B")
 			}
 		}
 		w := new(simulation)
-		r := w.begin(p, hooks{})
+		r := w.runPlan(p, hooks{})
 		if len(r.Violations) > 0 {
 			t.Errorf("%+v: %v", c, r.Violations)
 		}
@@ -56,12 +56,12 @@
 		}
 		t.Logf("%+v: acknowledged after %v, longest wait %v, %d events", c, first, r.MaxBacklog, r.Events)
 		for n := range uint64(3) {
-			if d, ok := first[n+1]; !ok || d > c.most {
-				t.Errorf("%+v: number %d was acknowledged after %v (%v)", c, n+1, d, ok)
+			if d, ok := first[n+1]; !ok || d > c.maxTime {
+				t.Errorf("%+v: version %d was acknowledged after %v (acknowledged at all: %v)", c, n+1, d, ok)
 			}
 		}
 		if r.MaxBacklog > 4*once {
-			t.Errorf("%+v: a message waited %v", c, r.MaxBacklog)
+			t.Errorf("%+v: a message waited %v for a link, want %v at most", c, r.MaxBacklog, 4*once)
 		}
 	}
 }
--- a/internal/mesh/modelcheck/versionorder.go
+++ b/internal/mesh/modelcheck/versionorder.go
@@ -8,20 +8,20 @@
 	"milletmast/internal/mesh/consensus"
 )
 
-// span says that a register had a version between low and high at some time between two.
+// span states that a register had a version between low and high at some time between from and to.
 type span struct {
 	from, to  time.Duration
 	low, high consensus.Version
-	what      string
+	source    string // the observation, for violations
 }
 
-var topmost = consensus.Version{Number: 1 << 63}
+var maxVersion = consensus.Version{Number: 1 << 63}
 
 const never = time.Duration(1 << 62)
 
-// checkVersionOrder checks the order of versions, which rise: what ended before something else began has no later version than
-// that. As the order of the versions is known, pairs are enough (intervals in time have no longer cycles without a shorter one). For
-// configurations, whose versions operators assign, it is as strict as a search for a linear order.
+// checkVersionOrder checks that versions rise: an observation that ended before another one began has no later version. It is enough to
+// compare pairs, as the order of the versions is known and each longer cycle of intervals contains a shorter one. For configurations,
+// whose versions are assigned by operators, the check is as strict as a search for a linear order.
 func (sim *simulation) checkVersionOrder(key string) {
 	attempts := sim.attemptsOf(key)
 	spans, made := sim.writtenSpans(key, attempts)
@@ -38,12 +38,12 @@
 					key,
 					a.from,
 					a.to,
-					a.what,
+					a.source,
 					a.low,
 					a.high,
 					b.from,
 					b.to,
-					b.what,
+					b.source,
 					b.low,
 					b.high,
 				)
@@ -53,13 +53,13 @@
 	}
 }
 
-// writes is how often a body was written, and when first.
+// writes counts the attempts to write a body, and holds the time of the first one.
 type writes struct {
 	count int
 	first time.Duration
 }
 
-// attemptsOf returns the writes of a key, by body.
+// attemptsOf returns the attempts to write a key, by body.
 func (sim *simulation) attemptsOf(key string) map[string]writes {
 	out := map[string]writes{}
 	for _, x := range sim.ops {
@@ -76,34 +76,34 @@
 	return out
 }
 
-// writtenSpans returns a span for each version of a key that was seen, and the versions of each body.
+// writtenSpans returns a span for each observed version of a key, and the versions of each body.
 func (sim *simulation) writtenSpans(key string, attempts map[string]writes) (spans []span, made map[string][]consensus.Version) {
 	made = map[string][]consensus.Version{}
 	for version, body := range sim.contentOf[key] {
 		made[body] = append(made[body], version)
 		at, ok := attempts[body]
 		if !ok {
-			sim.violation("from nowhere: %s %v %q", key, version, body)
+			sim.violation("unknown content: %s %v is %q, which no command has", key, version, body)
 		}
 		spans = append(spans, span{at.first, never, version, version, fmt.Sprintf("%q was written", body)})
 	}
 	for body, versions := range made {
 		if len(versions) > attempts[body].count {
-			sim.violation("applied twice: %s %q is in force as %v, tried %d times", key, body, versions, attempts[body].count)
+			sim.violation("applied twice: %s %q was committed as versions %v by %d attempts", key, body, versions, attempts[body].count)
 		}
 		slices.SortFunc(versions, consensus.Version.Compare)
 	}
 	return spans, made
 }
 
-// answeredSpan returns what the answer to an attempt implies for the version: made are the versions of its body that were seen.
+// answeredSpan returns the span that the answer to an attempt implies. Made holds the observed versions of its body.
 func answeredSpan(x *op, made []consensus.Version, attempts writes) span {
 	r, c := x.result, x.change
 	out := span{
 		x.called,
 		x.returned,
 		consensus.Version{},
-		topmost,
+		maxVersion,
 		fmt.Sprintf("m%d %s %d %q: %v", x.target, x.command.Kind, x.command.Number, x.command.Body, r.Outcome),
 	}
 	switch c.Kind {
@@ -118,11 +118,11 @@
 			out.high = c.Version
 		}
 	case consensus.Put:
-		if len(made) == 1 && attempts.count == 1 { // else it may have versions that nobody saw
+		if len(made) == 1 && attempts.count == 1 { // otherwise it may have versions that were not observed
 			out.low, out.high = made[0], made[0]
 		}
 	case consensus.CompareAndSwap:
-		if r.Outcome == consensus.Committed { // it was that version, and then the next
+		if r.Outcome == consensus.Committed { // the register had the expected version, and then the next one
 			next := consensus.Version{Number: c.Version.Number + 1, Proposer: c.Proposer}
 			out.low, out.high = next, next
 		}
--- a/internal/mesh/modelcheck/votercheck.go
+++ b/internal/mesh/modelcheck/votercheck.go
@@ -21,11 +21,11 @@
 		}
 		for _, e := range []uint64{c.Epoch, c.Epoch + 1} {
 			if a, b := sim.configs[e-1], sim.configs[e]; a != nil && b != nil && !quorumsIntersect(a, b) {
-				sim.violation("sets part: %v then %v", *a, *b)
+				sim.violation("disjoint quorums: of consecutive voter configurations %v and %v", *a, *b)
 			}
 		}
 	case old.Coordinator != c.Coordinator || !sameVoters(old, c):
-		sim.violation("two sets: of one epoch: %v and %v", *old, *c)
+		sim.violation("two voter configurations: of one epoch: %v and %v", *old, *c)
 	}
 	sim.checkOneDecides()
 }
@@ -35,12 +35,12 @@
 	return slices.Equal(a.Voters, b.Voters) && slices.Equal(a.Incoming, b.Incoming)
 }
 
-// recordNewest records the newest configuration, and injects the next fault that waits for a step.
+// recordNewest records the newest configuration, and injects the next fault that is scheduled for a change of the voters.
 func (sim *simulation) recordNewest(c *consensus.VoterConfig) {
-	stepped := !sameVoters(c, sim.newest)
+	changed := !sameVoters(c, sim.newest)
 	sim.newest = c
 	sim.checkRepairs()
-	if !stepped {
+	if !changed {
 		sim.recordHandover()
 		return
 	}
@@ -51,31 +51,31 @@
 	}
 }
 
-// checkOneDecides checks that no two configurations are both able to decide.
+// checkOneDecides checks that at most one configuration has a quorum of disks that use it.
 func (sim *simulation) checkOneDecides() {
-	var able []*consensus.VoterConfig
+	var withQuorum []*consensus.VoterConfig
 	for e := sim.newest.Epoch; e > 0 && e+recentEpochs > sim.newest.Epoch; e-- {
 		c := sim.configs[e]
 		if c != nil && c.HasQuorum(func(disk string) bool { return sim.diskInEpoch(disk, e) }) {
-			able = append(able, c)
+			withQuorum = append(withQuorum, c)
 		}
 	}
-	if len(able) > 1 {
-		sim.violation("two able: sets %v and %v both have a quorum", *able[0], *able[1])
+	if len(withQuorum) > 1 {
+		sim.violation("two quorums: voter configurations %v and %v both have one", *withQuorum[0], *withQuorum[1])
 	}
 }
 
-// recentEpochs is how many of the newest configurations may still have disks that use them.
+// recentEpochs bounds the newest configurations that may still be in use on disks.
 const recentEpochs = 6
 
-// diskInEpoch reports whether a disk is there and uses the configuration of an epoch.
+// diskInEpoch reports whether a disk exists and holds the configuration of an epoch.
 func (sim *simulation) diskInEpoch(disk string, epoch uint64) bool {
-	return slices.ContainsFunc(sim.machines, func(m *machine) bool {
+	return slices.ContainsFunc(sim.nodes, func(m *node) bool {
 		return !m.removed && m.disk.name == disk && m.disk.set.Epoch == epoch
 	})
 }
 
-// maxHandovers bounds the handovers of the coordinator role within a second: each restarts what is
+// maxHandovers bounds the handovers of the coordinator role within a second, as each handover restarts what is
 // in progress.
 const maxHandovers = 6
 
@@ -83,12 +83,12 @@
 func (sim *simulation) recordHandover() {
 	sim.handovers = append(slices.DeleteFunc(sim.handovers, func(at time.Duration) bool { return sim.now-at > time.Second }), sim.now)
 	if len(sim.handovers) > maxHandovers {
-		sim.violation("duel: the duty was handed on %d times within a second, to %s last", len(sim.handovers), sim.newest.Coordinator)
+		sim.violation("too many handovers: %d of the coordinator role within a second, the last one to %s", len(sim.handovers), sim.newest.Coordinator)
 	}
 }
 
-// quorumsIntersect reports whether each quorum of one configuration intersects each quorum of the
-// other, by counting: a side that is the same on both.
+// quorumsIntersect reports whether each quorum of one configuration intersects each quorum of the other: majorities of a side of one and
+// a side of the other must have more members together than both sides have.
 func quorumsIntersect(a, b *consensus.VoterConfig) bool {
 	sides := func(s *consensus.VoterConfig) [][]consensus.Member {
 		if s.IsJoint() {
