--- a/internal/faultdrill/drill.go
+++ b/internal/faultdrill/drill.go
@@ -19,20 +19,20 @@
 
 // Options configure a drill.
 type Options struct {
-	Program string    // of the sidecars
-	Env     []string  // further variables of their environment
-	History io.Writer // gets all facts; nil for none
+	Program string    // path of the program of the sidecars
+	Env     []string  // additional environment variables of the sidecars
+	History io.Writer // all facts are written to it; may be nil
 }
 
 // Result is the result of a drill.
 type Result struct {
 	*emulate.Result
-	Verdicts  []*Verdict      `json:"verdicts"`
+	Verdicts  []*TierResult   `json:"verdicts"`
 	Faults    []FaultTime     `json:"faults"`
-	MaxDelay  time.Duration   `json:"load_late_ns"` // the longest delay of the load or of a relay: some ms, or the machine was too busy
+	MaxDelay  time.Duration   `json:"load_late_ns"` // longest delay of the load or a relay; many ms show a busy machine
 	Sidecars  []SidecarResult `json:"copies"`
-	StartTime time.Duration   `json:"start_ns"` // until all processes were up
-	Logs      string          `json:"-"`        // the output of all processes, up to a limit, if a rule was broken
+	StartTime time.Duration   `json:"start_ns"` // until all processes had started
+	Logs      string          `json:"-"`        // the output of all processes, up to a limit, if there are violations
 }
 
 // FaultTime is the time of a fault, in seconds from the start of the load.
@@ -51,13 +51,13 @@
 	Failed  int    `json:"failed"`
 }
 
-// The streams of random numbers of a drill, beside those of the traffic.
+// The streams of random numbers of a drill besides those of the traffic.
 const (
 	listStream       = 21
 	firstFaultStream = 100
 )
 
-// Run plays a scenario over processes. All of them have ended when it returns.
+// Run runs a scenario with real processes. All of them have ended when it returns.
 func Run(ctx context.Context, sc *emulate.Scenario, seed uint64, o Options) (*Result, error) {
 	if err := raiseDescriptorLimit(sc); err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	if _, err := os.Stat(program); err != nil {
-		return nil, fmt.Errorf("the sidecar's program: %w", err)
+		return nil, fmt.Errorf("program of the sidecars: %w", err)
 	}
 	cluster, err := testcluster.New()
 	if err != nil {
@@ -83,11 +83,11 @@
 		history:  &testcluster.History{},
 		random:   rand.New(rand.NewPCG(seed, listStream)),
 	}
-	return d.play(ctx, o)
+	return d.execute(ctx, o)
 }
 
-// play starts the processes, plays load and faults, and evaluates the history.
-func (d *drillRun) play(ctx context.Context, o Options) (*Result, error) {
+// execute starts the processes, runs the load and the faults, and evaluates the history.
+func (d *drillRun) execute(ctx context.Context, o Options) (*Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	startedAt := time.Now()
@@ -96,11 +96,11 @@
 	}
 	res := &Result{StartTime: time.Since(startedAt)}
 	load := newClientLoad(d, d.seed)
-	zero := testcluster.Now()
+	loadStart := testcluster.Now()
 	longestStall := testcluster.MeasureStalls(ctx)
 	faults := d.startFaults(ctx)
-	load.play(ctx)
-	faults.Wait() // faults restart what they have ended
+	load.sendAll(ctx)
+	faults.Wait() // faults restart the processes that they have ended
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 	end := load.now()
 	exited := d.exitedSidecars()
 	stop()
-	d.cluster.KillAll() // the servers have to end before their facts are read
+	d.cluster.KillAll() // the facts of a server are complete after its end
 	if err := d.readServerFacts(); err != nil {
 		return nil, err
 	}
@@ -119,13 +119,13 @@
 	}
 	res.Result = load.result
 	stall := longestStall()
-	d.evaluate(res, d.history.Sorted(), zero, stall)
+	d.evaluate(res, d.history.Sorted(), loadStart, stall)
 	res.summarize(end, load.written)
 	res.MaxDelay = max(load.maxDelay, stall)
 	res.ViolationCount += len(exited)
 	res.Violations = append(res.Violations, exited...)
 	if err := d.firstError(); err != nil {
-		return res, fmt.Errorf("the drill itself failed: %w\n%s", err, d.logs())
+		return res, fmt.Errorf("drill failed: %w\n%s", err, d.logs())
 	}
 	if res.ViolationCount > 0 {
 		res.Logs = d.logs()
@@ -161,11 +161,10 @@
 	return nil
 }
 
-// ErrDescriptors is the error of a scenario that needs more descriptors than this process may hold.
+// ErrDescriptors is returned for a scenario that needs more file descriptors than the hard limit of this process.
 var ErrDescriptors = errors.New("not enough descriptors")
 
-// raiseDescriptorLimit raises the limit of descriptors of this process as far as the system allows. It fails with ErrDescriptors if
-// that is too few.
+// raiseDescriptorLimit raises the soft limit of file descriptors to the hard limit. It returns ErrDescriptors if the scenario needs more.
 func raiseDescriptorLimit(sc *emulate.Scenario) error {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
@@ -177,21 +176,21 @@
 			return err
 		}
 	}
-	// A link has its listener and two ends of each connection. Servers that replace others have links of their own.
+	// A link has a listener and two sockets for each connection. The factor 2 is for servers that replace others, which have new links.
 	links := sc.Copies.Count * sc.Servers.Count
 	if sc.Inner.IsPresent() {
 		links += sc.Servers.Count * sc.Inner.Servers.Count
 	}
 	need := uint64(links*2*(1+2*connsPerLink) + otherDescriptors)
 	if need > limit.Max {
-		return fmt.Errorf("%w: the links of copies.count and servers.count need about %d, %d are allowed", ErrDescriptors, need, limit.Max)
+		return fmt.Errorf("%w: the links of copies.count and servers.count need about %d, the hard limit is %d", ErrDescriptors, need, limit.Max)
 	}
 	return nil
 }
 
 const (
-	// connsPerLink is about the number of connections of a link, as a sidecar spreads its calls over all of its links.
+	// connsPerLink is the approximate number of connections of a link, as a sidecar spreads its requests over all of its links.
 	connsPerLink = 2
-	// otherDescriptors are those of the processes, the load and the history.
+	// otherDescriptors is the number of descriptors of the processes, the load and the history.
 	otherDescriptors = 1000
 )
--- a/internal/faultdrill/drill_test.go
+++ b/internal/faultdrill/drill_test.go
@@ -15,10 +15,10 @@
 	"milletmast/internal/testcluster"
 )
 
-const roleRogue = "rogue"
+const roleFaultySidecar = "faulty-sidecar"
 
 func TestMain(m *testing.M) {
-	testcluster.Main(map[string]func() error{roleRogue: rogueMain})
+	testcluster.Main(map[string]func() error{roleFaultySidecar: faultySidecarMain})
 	code := m.Run()
 	if dir, err := build(); err == nil {
 		os.RemoveAll(dir)
@@ -39,8 +39,8 @@
 	return dir, nil
 })
 
-// short is a drill of some seconds over a few processes.
-const short = `
+// shortDrill is a scenario of a few seconds with few processes.
+const shortDrill = `
 name = "short"
 for = "3s"
 warmup = "500ms"
@@ -87,7 +87,8 @@
 mean = "10ms"
 `
 
-const failing = `
+// failingServers makes half of the servers fail half of their requests.
+const failingServers = `
 [[fault]]
 kind = "failing"
 at = "500ms"
@@ -96,7 +97,8 @@
 part = 0.5
 `
 
-const replacing = `
+// replacedServers replaces half of the servers with a long drain.
+const replacedServers = `
 [[fault]]
 kind = "replace"
 at = "300ms"
@@ -104,7 +106,8 @@
 drain = "2s"
 `
 
-const cold = `
+// coldServer replaces a server by a cold one.
+const coldServer = `
 [[fault]]
 kind = "replace"
 at = "300ms"
@@ -112,8 +115,8 @@
 drain = "200ms"
 `
 
-// behind is a tier behind short's servers.
-const behind = `
+// innerTier adds a tier behind the servers of shortDrill.
+const innerTier = `
 [inner]
 calls = ["look"]
 [inner.pool]
@@ -129,13 +132,13 @@
 mean = "5ms"
 `
 
-// slots bound the drills that run side by side: each is a dozen processes, and what is tested is not how they bear a busy machine.
-var slots = make(chan struct{}, 2)
+// drillSlots bounds the drills that run at the same time, as each has a dozen processes and a busy machine would distort the results.
+var drillSlots = make(chan struct{}, 2)
 
-func play(t *testing.T, text, program string, env ...string) *Result {
+func runDrill(t *testing.T, text, program string, env ...string) *Result {
 	t.Helper()
-	slots <- struct{}{}
-	defer func() { <-slots }()
+	drillSlots <- struct{}{}
+	defer func() { <-drillSlots }()
 	sc, err := emulate.ParseDrill("short.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -147,34 +150,35 @@
 	return r
 }
 
-// A sidecar that does one thing wrong is found by what is seen from outside, and one that does all right is not blamed.
-func TestPlantedBreaksAreFound(t *testing.T) {
+// TestPlantedViolationsAreFound runs drills with a faulty sidecar. Each fault must be reported as a violation, and a sidecar without a
+// fault must have none.
+func TestPlantedViolationsAreFound(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ wrong, faults, want string }{
-		{rogueNone, failing, ""},
-		{rogueTwice, "", "rule 1: a second final answer"},
-		{rogueDrain, replacing, "rule 2: after the word that the server takes nothing new"},
-		{rogueRepeat, failing, "rule 4: unsafe request"},
-		{rogueGone, "", "rule 1: an attempt of a request that is over"},
-		{rogueCold, cold, "rule 3: times what the cold server can do"},
-		{rogueSilent, "", "rule 1: has no answer"},
-		{rogueKey, "", "rule 4: has a second effect"},
-		{rogueBeside, "", "rule 4: a second attempt beside one that is out"},
-		{rogueCrash, "", "has ended by itself"},
+	for _, c := range []struct{ sidecarFault, faults, want string }{
+		{faultNone, failingServers, ""},
+		{faultSecondAnswer, "", "rule 1: a second final answer"},
+		{faultSendAfterDrain, replacedServers, "rule 2: after the word that the server takes nothing new"},
+		{faultRepeatUnsafe, failingServers, "rule 4: unsafe request"},
+		{faultSendAfterClientLeft, "", "rule 1: an attempt of a request that is over"},
+		{faultOverloadCold, coldServer, "rule 3: times what the cold server can do"},
+		{faultNoAnswer, "", "rule 1: has no answer"},
+		{faultSecondKeyedEffect, "", "rule 4: has a second effect"},
+		{faultParallelAttempt, "", "rule 4: a second attempt beside one that is out"},
+		{faultExit, "", "exited unexpectedly"},
 	} {
-		t.Run(c.wrong, func(t *testing.T) {
+		t.Run(c.sidecarFault, func(t *testing.T) {
 			t.Parallel()
-			text := short
-			if c.wrong == rogueCold {
+			text := shortDrill
+			if c.sidecarFault == faultOverloadCold {
 				text = strings.Replace(text, "rate = 120", "rate = 300", 1)
 			}
-			r := play(t, text+c.faults, self, "MILLETMAST_RIG_ROLE="+roleRogue, rogueVariable+"="+c.wrong)
+			r := runDrill(t, text+c.faults, self, "MILLETMAST_RIG_ROLE="+roleFaultySidecar, faultVariable+"="+c.sidecarFault)
 			if c.want == "" {
 				if r.ViolationCount != 0 || r.Asked < 200 {
-					t.Errorf("%d asked, breaks %v", r.Asked, r.Violations)
+					t.Errorf("%d requests, want 200 at least; violations %v, want none", r.Asked, r.Violations)
 				}
 				return
 			}
@@ -187,110 +191,112 @@
 					return
 				}
 			}
-			t.Errorf("%d breaks %v, want %s", r.ViolationCount, r.Violations, c.want)
+			t.Errorf("%d violations %v, want %s", r.ViolationCount, r.Violations, c.want)
 		})
 	}
 }
 
-// The real sidecar keeps the rules while processes and links fail, and serves what can be served.
+// TestShortDrills runs the real sidecar with faults of processes and links. It must violate no rule and serve a minimal share of the
+// priority weight.
 func TestShortDrills(t *testing.T) {
 	bin, err := build()
 	if err != nil {
 		t.Fatal(err)
 	}
-	const load = "\n[[fault]]\nat = \"800ms\"\n"
+	const faultDuringLoad = "\n[[fault]]\nat = \"800ms\"\n"
 	for _, c := range []struct {
 		name, faults string
-		least        float64 // served worth
+		minShare     float64 // of the priority weight that is served
 	}{
-		{"calm", "", 0.97},
-		{"copies killed", load + "kind = \"restart\"\nkill = true\ncount = 1\ndown = \"500ms\"\n", 0.8},
-		{"copies restarted", "[[fault]]\nat = \"300ms\"\nkind = \"restart\"\nfor = \"4s\"\nsteps = 2\nshare = 1.0\ndown = \"100ms\"\n", 0.8},
-		{"copies stopped", load + "kind = \"stall\"\nfor = \"1s\"\ncount = 1\n", 0.6},
-		{"servers replaced", replacing, 0.9},
-		{"servers killed", load + "kind = \"crash\"\nfor = \"800ms\"\ncount = 1\n", 0.8},
-		{"a link cut one way", load + "kind = \"link-cut\"\nway = \"back\"\nfor = \"1s\"\ncopies = 1\ncount = 1\n", 0.6},
-		{"a machine of each tier stands", behind + load + "kind = \"silent\"\nfor = \"1s\"\ncount = 1\n[[fault]]\nat = \"800ms\"\nkind = \"silent\"\ninner = true\nfor = \"1s\"\ncount = 1\n", 0.5},
-		{"servers replaced over a tier behind", behind + replacing, 0.8},
-		{"links reset", load + "kind = \"link-reset\"\nshare = 1.0\n", 0.9},
+		{"no faults", "", 0.97},
+		{"replicas killed", faultDuringLoad + "kind = \"restart\"\nkill = true\ncount = 1\ndown = \"500ms\"\n", 0.8},
+		{"replicas restarted", "[[fault]]\nat = \"300ms\"\nkind = \"restart\"\nfor = \"4s\"\nsteps = 2\nshare = 1.0\ndown = \"100ms\"\n", 0.8},
+		{"replicas suspended", faultDuringLoad + "kind = \"stall\"\nfor = \"1s\"\ncount = 1\n", 0.6},
+		{"servers replaced", replacedServers, 0.9},
+		{"servers killed", faultDuringLoad + "kind = \"crash\"\nfor = \"800ms\"\ncount = 1\n", 0.8},
+		{"a link blocked in one direction", faultDuringLoad + "kind = \"link-cut\"\nway = \"back\"\nfor = \"1s\"\ncopies = 1\ncount = 1\n", 0.6},
+		{"a machine of each tier suspended", innerTier + faultDuringLoad + "kind = \"silent\"\nfor = \"1s\"\ncount = 1\n[[fault]]\nat = \"800ms\"\nkind = \"silent\"\ninner = true\nfor = \"1s\"\ncount = 1\n", 0.5},
+		{"servers replaced with an inner tier", innerTier + replacedServers, 0.8},
+		{"links reset", faultDuringLoad + "kind = \"link-reset\"\nshare = 1.0\n", 0.9},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, short+c.faults, filepath.Join(bin, "milletmast"))
+			r := runDrill(t, shortDrill+c.faults, filepath.Join(bin, "milletmast"))
 			if r.ViolationCount != 0 {
-				t.Errorf("breaks %v\n%s", r.Violations, r.Logs)
+				t.Errorf("violations %v, want none\n%s", r.Violations, r.Logs)
 			}
-			if r.Share < c.least {
-				t.Errorf("served %.3f of the worth, want %.2f at least", r.Share, c.least)
+			if r.Share < c.minShare {
+				t.Errorf("served %.3f of the priority weight, want %.2f at least", r.Share, c.minShare)
 			}
 			var page bytes.Buffer
 			if err := Report(&page, []*Result{r}); err != nil || strings.Count(page.String(), "<svg") != 2 {
-				t.Errorf("a report of %d bytes, %v", page.Len(), err)
+				t.Errorf("report of %d bytes, %v, want two plots", page.Len(), err)
 			}
-			t.Logf("served %.3f, %d asked, load late by %v", r.Share, r.Asked, r.MaxDelay)
+			t.Logf("served %.3f, %d requests, load late by %v", r.Share, r.Asked, r.MaxDelay)
 		})
 	}
 }
 
-// A copy that restarts with another program is found by what it does, and the copies beside it that run the drill's are not blamed.
-func TestOldBesideNew(t *testing.T) {
+// TestRestartWithOtherProgram restarts a replica with a faulty program. The violations must be attributed to this replica, and none to
+// the replicas that run the program of the drill.
+func TestRestartWithOtherProgram(t *testing.T) {
 	bin, err := build()
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The other program: a shell that has the tests' own sidecar repeat what may not be.
+	// The other program is a shell script that runs the faulty sidecar.
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	other := filepath.Join(t.TempDir(), "other")
-	script := fmt.Sprintf("#!/bin/sh\nMILLETMAST_RIG_ROLE=%s %s='%s' exec %q \"$@\"\n", roleRogue, rogueVariable, rogueRepeat, self)
+	script := fmt.Sprintf("#!/bin/sh\nMILLETMAST_RIG_ROLE=%s %s='%s' exec %q \"$@\"\n", roleFaultySidecar, faultVariable, faultRepeatUnsafe, self)
 	if err := os.WriteFile(other, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	fault := fmt.Sprintf("\n[[fault]]\nkind = \"restart\"\nat = \"100ms\"\ncount = 1\nkill = true\ndown = \"10ms\"\nprogram = %q\n", other)
-	r := play(t, short+fault+failing, filepath.Join(bin, "milletmast"))
-	by := map[string]int{}
+	r := runDrill(t, shortDrill+fault+failingServers, filepath.Join(bin, "milletmast"))
+	violations := map[string]int{} // by replica and start
 	for _, b := range r.Violations {
 		for _, c := range []string{"c0.1", "c0.2", "c1.1", "c1.2"} {
 			if strings.Contains(b, c) {
-				by[c]++
+				violations[c]++
 			}
 		}
 	}
-	if r.ViolationCount == 0 || by["c0.1"]+by["c1.1"] > 0 || by["c0.2"]+by["c1.2"] == 0 {
-		t.Errorf("breaks by copy %v: %v", by, r.Violations)
+	if r.ViolationCount == 0 || violations["c0.1"]+violations["c1.1"] > 0 || violations["c0.2"]+violations["c1.2"] == 0 {
+		t.Errorf("violations by replica %v, want them only after the restart: %v", violations, r.Violations)
 	}
 }
 
-// What a drill cannot play is told with file, line and field before anything starts.
-func TestDrillsThatCannotBePlayed(t *testing.T) {
+// TestInvalidDrills checks that a scenario that cannot run as a drill is rejected with file, line and field before any process starts.
+func TestInvalidDrills(t *testing.T) {
 	for _, c := range []struct{ text, want string }{ // line 47 is the kind of the fault
-		{short + "[[fault]]\nkind = \"hold\"\ncount = 1\n", "bad.toml:47: fault[0].kind: \"hold\": only the emulator can play this"},
-		{short + "[[fault]]\nkind = \"link-cut\"\ncount = 1\nway = \"up\"\n", "fault[0].way: \"up\" is unknown"},
-		{short + "[[fault]]\nkind = \"stall\"\ninner = true\ncount = 1\n", "fault[0].inner: there is no tier behind"},
-		{short + "[[fault]]\nkind = \"link-cut\"\ncopies = 5\ncount = 1\n", "fault[0].copies: 5 is not within"},
-		{short + "[[fault]]\nkind = \"stall\"\nat = \"4s\"\ncount = 1\n", "fault[0].at: 4s is an impossible time"},
-		{strings.Replace(short, "rate = 120", "rate = 6000", 1), "demand.rate: 6000 requests a second"},
-		{strings.Replace(short, "count = 2", "count = 300", 1), "copies.count: 304 processes"},
-		{strings.Replace(short, "[copies]", "[copies]\nkeep = \"1s\"", 1), "copies.keep: only the emulator"},
-		{short + "[[fault]]\nkind = \"stall\"\nspede = 1\n", "spede"},
-		{short + "[[fault]]\nkind = \"stall\"\ncount = 1\nprogram = \"/bin/sh\"\n", "fault[0].program: a fault \"stall\" starts no copy"},
-		{short + "[[fault]]\nkind = \"restart\"\ncount = 1\nprogram = \"/none/there\"\n", "fault[0].program: \"/none/there\" is no program"},
+		{shortDrill + "[[fault]]\nkind = \"hold\"\ncount = 1\n", "bad.toml:47: fault[0].kind: \"hold\": only the emulator can play this"},
+		{shortDrill + "[[fault]]\nkind = \"link-cut\"\ncount = 1\nway = \"up\"\n", "fault[0].way: \"up\" is unknown"},
+		{shortDrill + "[[fault]]\nkind = \"stall\"\ninner = true\ncount = 1\n", "fault[0].inner: there is no tier behind"},
+		{shortDrill + "[[fault]]\nkind = \"link-cut\"\ncopies = 5\ncount = 1\n", "fault[0].copies: 5 is not within"},
+		{shortDrill + "[[fault]]\nkind = \"stall\"\nat = \"4s\"\ncount = 1\n", "fault[0].at: 4s is an impossible time"},
+		{strings.Replace(shortDrill, "rate = 120", "rate = 6000", 1), "demand.rate: 6000 requests a second"},
+		{strings.Replace(shortDrill, "count = 2", "count = 300", 1), "copies.count: 304 processes"},
+		{strings.Replace(shortDrill, "[copies]", "[copies]\nkeep = \"1s\"", 1), "copies.keep: only the emulator"},
+		{shortDrill + "[[fault]]\nkind = \"stall\"\nspede = 1\n", "spede"},
+		{shortDrill + "[[fault]]\nkind = \"stall\"\ncount = 1\nprogram = \"/bin/sh\"\n", "fault[0].program: a fault \"stall\" starts no copy"},
+		{shortDrill + "[[fault]]\nkind = \"restart\"\ncount = 1\nprogram = \"/none/there\"\n", "fault[0].program: \"/none/there\" is no program"},
 	} {
 		_, err := emulate.ParseDrill("bad.toml", []byte(c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(err.Error(), "bad.toml:") {
 			t.Errorf("%v, want %s", err, c.want)
 		}
 	}
-	if _, err := emulate.Parse("bad.toml", []byte(short+"[[fault]]\nkind = \"starve\"\ncount = 1\n")); err == nil || !strings.Contains(err.Error(), "only processes can play this") {
-		t.Errorf("the emulator takes what only processes can play: %v", err)
+	if _, err := emulate.Parse("bad.toml", []byte(shortDrill+"[[fault]]\nkind = \"starve\"\ncount = 1\n")); err == nil || !strings.Contains(err.Error(), "only processes can play this") {
+		t.Errorf("the emulator accepts a fault that only drills can inject: %v", err)
 	}
 }
 
-// What all copies of both tiers send beyond each request's first attempt stays within the budget that their files state, while servers
-// of both refuse more than half of it.
-func TestRepeatsOfAllStayInTheBudget(t *testing.T) {
+// TestRetriesStayInBudget checks that the retries of all replicas of both tiers stay within the configured budget while servers of both
+// reject more than half of the requests.
+func TestRetriesStayInBudget(t *testing.T) {
 	bin, err := build()
 	if err != nil {
 		t.Fatal(err)
@@ -298,13 +304,13 @@
 	text := strings.NewReplacer("rate = 120", "rate = 300", "mean = \"10ms\"", "mean = \"60ms\"", "cores = 2", "cores = 2\nqueue = 1",
 		"attempts = 3", "attempts = 4\nretry_share = 0.1\nretry_free = 2\nretry_window = \"1s\"",
 		"[inner.pool]", "[inner.pool]\nattempts = 4\nretry_share = 0.1\nretry_free = 2\nretry_window = \"1s\"",
-		"[inner.servers]\ncount = 2", "[inner.servers]\ncount = 2\ncores = 1\nqueue = 1").Replace(short + behind)
-	res := play(t, text, bin+"/milletmast")
+		"[inner.servers]\ncount = 2", "[inner.servers]\ncount = 2\ncores = 1\nqueue = 1").Replace(shortDrill + innerTier)
+	res := runDrill(t, text, bin+"/milletmast")
 	if res.ViolationCount > 0 {
-		t.Errorf("%d rules broken", res.ViolationCount)
+		t.Errorf("%d violations, want none", res.ViolationCount)
 	}
 	for _, v := range res.Verdicts {
-		const free = 2 * 4 * 4 // in each second at each of up to four copies
+		const free = 2 * 4 * 4 // retry_free of each second, at up to four replicas, for four seconds
 		if most := 1.1*float64(v.Requests) + free; v.Requests == 0 || float64(v.Attempts) > most {
 			t.Errorf("%s: %d attempts for %d requests, %.0f at most", v.Tier, v.Attempts, v.Requests, most)
 		}
@@ -312,9 +318,9 @@
 	}
 }
 
-// At twice the capacity, with what is worth most entering by one of four copies, copies that know each other serve far more of the worth than
-// copies that see their own alone, side by side on one machine.
-func TestCopiesShedTogether(t *testing.T) {
+// TestReplicasShedTogether runs at twice the capacity, with the requests of the highest priority weight sent to one of four replicas.
+// Replicas that coordinate load shedding must serve far more of the weight than replicas that shed independently.
+func TestReplicasShedTogether(t *testing.T) {
 	bin, err := build()
 	if err != nil {
 		t.Fatal(err)
@@ -331,23 +337,23 @@
 	var mu sync.Mutex
 	for _, spec := range []string{alone, together} {
 		all.Go(func() {
-			r := play(t, spec, bin+"/milletmast")
+			r := runDrill(t, spec, bin+"/milletmast")
 			mu.Lock()
 			defer mu.Unlock()
 			shares[spec] = r.Share
 		})
 	}
 	all.Wait()
-	t.Logf("served %.3f of the worth alone, %.3f together", shares[alone], shares[together])
+	t.Logf("served %.3f of the priority weight alone, %.3f together", shares[alone], shares[together])
 	if shares[together] < shares[alone]+0.1 {
-		t.Errorf("served %.3f of the worth alone, %.3f together", shares[alone], shares[together])
+		t.Errorf("served %.3f of the priority weight alone, %.3f together, want 0.1 more", shares[alone], shares[together])
 	}
 }
 
-// A request that waited long at a copy that is killed is over when its connection is found to have ended, not when it came: what the copy sent
-// for it meanwhile was right. Of a copy that was not killed it is lost.
-func TestWaitedAtAKilledCopy(t *testing.T) {
-	sc, err := emulate.ParseDrill("short.toml", []byte(short))
+// TestRequestOnClosedIdleConn checks a request on an idle connection that was closed while it waited at a replica. It ends when the client
+// detects the end of the connection, so that attempts before that are allowed. It counts as lost unless the replica was killed.
+func TestRequestOnClosedIdleConn(t *testing.T) {
+	sc, err := emulate.ParseDrill("short.toml", []byte(shortDrill))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -364,7 +370,7 @@
 		all := slices.DeleteFunc(slices.Clone(facts), func(f testcluster.Fact) bool { return f.Kind == testcluster.FactKilled && !killed })
 		v := checkHistory("outer", &sc.Pool, &sc.Servers, map[string]ServerPlace{"s0": {}}, all, startOf(all), 0)
 		if v.ViolationCount != want {
-			t.Errorf("killed %v: %d breaks, want %d: %v", killed, v.ViolationCount, want, v.Violations)
+			t.Errorf("killed %v: %d violations, want %d: %v", killed, v.ViolationCount, want, v.Violations)
 		}
 	}
 }
--- a/internal/faultdrill/evaluate.go
+++ b/internal/faultdrill/evaluate.go
@@ -9,10 +9,10 @@
 	"milletmast/internal/testcluster"
 )
 
-// evaluate counts the facts of a history, and has the rules check each tier. Zero is the start of the load in ns, stall the longest
+// evaluate counts the facts of a history and checks the rules for each tier. LoadStart is the start of the load in ns, stall the longest
 // stall of this process.
-func (d *drillRun) evaluate(res *Result, facts []testcluster.Fact, zero int64, stall time.Duration) {
-	d.countFacts(res, facts, zero)
+func (d *drillRun) evaluate(res *Result, facts []testcluster.Fact, loadStart int64, stall time.Duration) {
+	d.countFacts(res, facts, loadStart)
 	places := map[string]ServerPlace{}
 	for _, t := range d.tiers() {
 		for _, s := range t.allServers {
@@ -46,7 +46,7 @@
 }
 
 // countFacts counts attempts, faults, and the requests of each sidecar of the outer tier.
-func (d *drillRun) countFacts(res *Result, facts []testcluster.Fact, zero int64) {
+func (d *drillRun) countFacts(res *Result, facts []testcluster.Fact, loadStart int64) {
 	bySidecar := map[string]*SidecarResult{}
 	for i := range facts {
 		f := &facts[i]
@@ -56,7 +56,7 @@
 		case testcluster.FactOverloaded:
 			res.Overloads++
 		case testcluster.FactFault:
-			res.Faults = append(res.Faults, FaultTime{f.Text, float64(f.At-zero) / 1e9, float64(f.Due-zero) / 1e9})
+			res.Faults = append(res.Faults, FaultTime{f.Text, float64(f.At-loadStart) / 1e9, float64(f.Due-loadStart) / 1e9})
 		case testcluster.FactWritten, testcluster.FactAnswered, testcluster.FactUnanswered, testcluster.FactClientLeft:
 			label, _, _ := strings.Cut(f.Copy, ".")
 			if bySidecar[label] == nil {
@@ -72,7 +72,7 @@
 	}
 }
 
-// count counts a fact of a client.
+// count adds a fact of a client.
 func (s *SidecarResult) count(f *testcluster.Fact) {
 	switch {
 	case f.Kind == testcluster.FactWritten:
@@ -86,7 +86,7 @@
 	}
 }
 
-// summarize computes the totals from the verdicts. End is the end of the load in ms, written the number of requests.
+// summarize computes the totals from the results of the tiers. End is the end of the load in ms, written the number of requests.
 func (r *Result) summarize(end float64, written uint64) {
 	r.Summarize(end, written, r.Verdicts[0].checker)
 	r.Violations = []string{}
--- a/internal/faultdrill/faults.go
+++ b/internal/faultdrill/faults.go
@@ -22,7 +22,7 @@
 	random *rand.Rand
 }
 
-// injectors inject the faults of each kind, and return once they are over.
+// injectors holds a function for each kind of fault, which injects the fault and returns once it is over.
 var injectors = map[string]func(*injection, context.Context){
 	emulate.FaultSlow:      (*injection).slowServers,
 	emulate.FaultFailing:   (*injection).failServers,
@@ -50,7 +50,7 @@
 	d.history.Record(testcluster.Fact{Kind: testcluster.FactFault, Text: f.Kind, Due: testcluster.Now() + int64(f.For)})
 	inject, ok := injectors[f.Kind]
 	if !ok {
-		d.setError(fmt.Errorf("a fault %q is not played", f.Kind))
+		d.setError(fmt.Errorf("a drill cannot inject a fault of kind %q", f.Kind))
 		return
 	}
 	inject(in, ctx)
@@ -89,7 +89,7 @@
 		func(st *testcluster.ServerState) { st.FailureShare = 0 })
 }
 
-// suspendServers suspends machines: servers, and the sidecars beside them.
+// suspendServers suspends servers together with the sidecars beside them, as if their machines were suspended.
 func (in *injection) suspendServers(ctx context.Context) {
 	var processes []*testcluster.Process
 	var beside []*sidecar
@@ -112,7 +112,7 @@
 	in.suspend(ctx, processes, sidecars)
 }
 
-// suspend suspends processes for the time of the fault. Sidecars are those among them.
+// suspend suspends processes for the time of the fault. Sidecars holds the sidecars to which some of the processes belong.
 func (in *injection) suspend(ctx context.Context, processes []*testcluster.Process, sidecars []*sidecar) {
 	for _, c := range sidecars {
 		in.recordSuspended(c, true)
@@ -125,7 +125,7 @@
 	}
 }
 
-// forRunning calls do with each process. The error of one that has ended meanwhile does not matter.
+// forRunning calls do with each process. Errors of processes that have ended are ignored.
 func (in *injection) forRunning(processes []*testcluster.Process, do func(*testcluster.Process) error) {
 	for _, p := range processes {
 		if err := do(p); err != nil && p.IsRunning() {
@@ -134,7 +134,7 @@
 	}
 }
 
-// recordSuspended records that a sidecar is suspended, or no longer: it cannot know what is sent to it meanwhile.
+// recordSuspended records that a sidecar is suspended or resumed. Updates that are sent to it meanwhile count from its resumption.
 func (in *injection) recordSuspended(c *sidecar, suspended bool) {
 	_, name := c.address()
 	in.history.Record(testcluster.Fact{Kind: testcluster.FactSuspended, Copy: name, Serves: !suspended})
@@ -164,7 +164,8 @@
 	all.Wait()
 }
 
-// crashServer kills a server and starts it again, cold, after the time of the fault. Discovery detects it in its time.
+// crashServer kills a server and restarts it cold after the time of the fault. If that is longer than the detection time of discovery,
+// the server is not listed meanwhile.
 func (in *injection) crashServer(ctx context.Context, s *server) {
 	s.kill()
 	var detecting sync.WaitGroup
@@ -190,7 +191,7 @@
 	runInSteps(ctx, len(servers), in.fault.Steps, in.duration(), func(i int) { in.replaceServer(ctx, servers[i]) })
 }
 
-// replaceServer drains a server, and starts another, cold, in its slot once it has ended.
+// replaceServer drains and kills a server, and then starts a new cold one in its slot.
 func (in *injection) replaceServer(ctx context.Context, s *server) {
 	t := in.tier
 	in.mu.Lock()
@@ -219,11 +220,11 @@
 	t.setListed(next, operator.ServerReady)
 }
 
-// restartSidecars restarts sidecars in steps, by another program if the fault names one.
+// restartSidecars restarts sidecars in steps, with another program if the fault names one.
 func (in *injection) restartSidecars(ctx context.Context) {
 	sidecars := in.sidecars()
 	if in.fault.Program != "" {
-		program, err := filepath.Abs(in.fault.Program) // a sidecar runs in a directory of its own
+		program, err := filepath.Abs(in.fault.Program) // a sidecar has another working directory
 		if err != nil {
 			in.setError(err)
 			return
@@ -243,7 +244,7 @@
 	})
 }
 
-// restartSidecar stops a sidecar and starts it again after a time.
+// restartSidecar stops a sidecar and starts it again after the time down.
 func (in *injection) restartSidecar(ctx context.Context, c *sidecar, stop func(*sidecar), down time.Duration) {
 	stop(c)
 	waitFor(ctx, down)
@@ -255,7 +256,7 @@
 	}
 }
 
-// starveSidecars leaves sidecars a part of a core.
+// starveSidecars leaves each sidecar a share of one core.
 func (in *injection) starveSidecars(ctx context.Context) {
 	burners := max(int(math.Round(1/in.fault.Speed))-1, 1)
 	var ends []func()
@@ -273,7 +274,7 @@
 	}
 }
 
-// blockLists keeps lists from sidecars.
+// blockLists prevents sidecars from receiving server lists.
 func (in *injection) blockLists(ctx context.Context) {
 	sidecars := in.sidecars()
 	addBlocks(sidecars, 1)
@@ -281,7 +282,7 @@
 	addBlocks(sidecars, -1)
 }
 
-// addBlocks changes the number of faults that keep lists from sidecars. Without any, they get the present list.
+// addBlocks changes the number of faults that block the server lists of sidecars. When none is left, they receive the present list.
 func addBlocks(sidecars []*sidecar, n int) {
 	for _, c := range sidecars {
 		c.mu.Lock()
@@ -291,7 +292,7 @@
 	}
 }
 
-// omitFromLists leaves servers out of all lists.
+// omitFromLists leaves servers out of the server lists of all sidecars.
 func (in *injection) omitFromLists(ctx context.Context) {
 	servers := in.servers()
 	in.setOmitted(servers, true)
@@ -310,10 +311,11 @@
 	}
 }
 
-// waitFor waits for a time, or for the end of the drill, which callers see in ctx.
+// waitFor waits for a time or until ctx is done.
 func waitFor(ctx context.Context, d time.Duration) { _ = testcluster.Sleep(ctx, d) }
 
-// runInSteps calls do with each number below n, an equal share of them at each of so many steps over a time, and waits for all.
+// runInSteps calls do with each number below n and waits for all calls. The calls are divided evenly among steps that are spread over a
+// time span.
 func runInSteps(ctx context.Context, n, steps int, span time.Duration, do func(i int)) {
 	steps = max(min(steps, n), 1)
 	var all sync.WaitGroup
--- a/internal/faultdrill/rogue_test.go
+++ b/internal/faultdrill/faultysidecar_test.go
@@ -17,29 +17,29 @@
 	"milletmast/internal/operator"
 )
 
-// rogue is a sidecar of the tests' own that does one thing wrong, by its name. It takes an operator file as serve does.
-type rogue struct {
-	wrong string
+// faultySidecar is a minimal sidecar with one fault. It reads an operator file as the command serve does.
+type faultySidecar struct {
+	fault string
 	cfg   *operator.Config
 	next  atomic.Uint64
 }
 
 const (
-	rogueVariable = "ROGUE"
-	rogueNone     = "none" // it does all right
-	rogueTwice    = "answers twice"
-	rogueDrain    = "sends after a drain"
-	rogueRepeat   = "repeats an unsafe request"
-	rogueGone     = "sends after its client has gone"
-	rogueCold     = "pushes over a cold server"
-	rogueSilent   = "leaves a request without an answer"
-	rogueKey      = "a second effect of one key"
-	rogueBeside   = "a second attempt beside the first"
-	rogueCrash    = "ends by itself"
+	faultVariable            = "SIDECAR_FAULT" // environment variable with one of the names below
+	faultNone                = "none"          // without a fault
+	faultSecondAnswer        = "answers twice"
+	faultSendAfterDrain      = "sends after a drain"
+	faultRepeatUnsafe        = "repeats an unsafe request"
+	faultSendAfterClientLeft = "sends after its client has gone"
+	faultOverloadCold        = "overloads a cold server"
+	faultNoAnswer            = "leaves a request without an answer"
+	faultSecondKeyedEffect   = "a second effect of one key"
+	faultParallelAttempt     = "a second attempt beside the first"
+	faultExit                = "exits unexpectedly"
 )
 
-// rogueMain plays it: the program is started as "serve -f FILE".
-func rogueMain() error {
+// faultySidecarMain runs a faulty sidecar with the arguments "serve -f FILE".
+func faultySidecarMain() error {
 	cfg, err := operator.Load(os.Args[len(os.Args)-1])
 	if err != nil {
 		return err
@@ -49,7 +49,7 @@
 		return err
 	}
 	slog.Info("listen", "listener", "in", "addr", ln.Addr().String())
-	r := &rogue{wrong: os.Getenv(rogueVariable), cfg: cfg}
+	r := &faultySidecar{fault: os.Getenv(faultVariable), cfg: cfg}
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -59,8 +59,8 @@
 	}
 }
 
-// servers are those that the list has now, the ones that serve first.
-func (r *rogue) servers() (ready, draining []operator.Server) {
+// servers returns the servers of the present server list.
+func (r *faultySidecar) servers() (ready, draining []operator.Server) {
 	all, err := operator.LoadServers(r.cfg.Pools[0].Source.Path, r.cfg.Pools[0].Zones)
 	if err != nil {
 		return nil, nil
@@ -75,7 +75,7 @@
 	return ready, draining
 }
 
-func (r *rogue) serve(c net.Conn) {
+func (r *faultySidecar) serve(c net.Conn) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
@@ -90,49 +90,49 @@
 			continue
 		}
 		to := ready[n%uint64(len(ready))]
-		now := n%8 == 0 // not each time
+		isFaulty := n%8 == 0 // most faults affect every eighth request
 		switch {
-		case r.wrong == rogueDrain && len(draining) > 0:
+		case r.fault == faultSendAfterDrain && len(draining) > 0:
 			to = draining[0]
-		case r.wrong == rogueCold:
+		case r.fault == faultOverloadCold:
 			to = ready[len(ready)-1] // the newest
-		case r.wrong == rogueCrash && n == 100:
+		case r.fault == faultExit && n == 100:
 			os.Exit(7)
-		case r.wrong == rogueSilent && now:
+		case r.fault == faultNoAnswer && isFaulty:
 			time.Sleep(2 * time.Second)
 			return
-		case r.wrong == rogueGone && now:
+		case r.fault == faultSendAfterClientLeft && isFaulty:
 			_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
-			_, _ = reader.Peek(1) // until the client goes
+			_, _ = reader.Peek(1) // returns when the client closes the connection
 			time.Sleep(300 * time.Millisecond)
 			send(to, req)
 			return
 		}
-		if r.wrong == rogueBeside && now {
+		if r.fault == faultParallelAttempt && isFaulty {
 			go send(ready[(n+1)%uint64(len(ready))], req)
 			time.Sleep(time.Millisecond)
 		}
 		status := send(to, req)
 		other := ready[(n+1)%uint64(len(ready))]
-		if r.wrong == rogueKey && req.Header.Get("Idempotency-Key") != "" && now {
+		if r.fault == faultSecondKeyedEffect && req.Header.Get("Idempotency-Key") != "" && isFaulty {
 			for _, s := range ready {
 				if s.Zone != to.Zone {
 					status = send(s, req)
 				}
 			}
 		}
-		if status != 200 && (req.Method == http.MethodGet || r.wrong == rogueRepeat) {
+		if status != 200 && (req.Method == http.MethodGet || r.fault == faultRepeatUnsafe) {
 			status = send(other, req)
 		}
 		answer := fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", status)
-		if r.wrong == rogueTwice && now {
+		if r.fault == faultSecondAnswer && isFaulty {
 			answer += answer
 		}
 		_, _ = io.WriteString(c, answer)
 	}
 }
 
-// send makes one attempt, and gives its status; 502 for none.
+// send makes one attempt and returns the status of the response; 502 for none.
 func send(to operator.Server, req *http.Request) int {
 	c, err := net.Dial("tcp", to.Address)
 	if err != nil {
@@ -143,7 +143,7 @@
 	if err != nil {
 		return http.StatusBadGateway
 	}
-	_ = c.SetDeadline(time.Now().Add(time.Duration(left * float64(time.Second)))) // it answers in time, also where the machine is slow
+	_ = c.SetDeadline(time.Now().Add(time.Duration(left * float64(time.Second)))) // so that the client gets a response in time, also on a slow machine
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: h\r\n", req.Method, req.RequestURI)
 	if err := errors.Join(req.Header.Write(&b)); err != nil {
--- a/internal/faultdrill/verdict.go
+++ b/internal/faultdrill/historychecker.go
@@ -10,25 +10,24 @@
 	"milletmast/internal/testcluster"
 )
 
-// What is observed from outside is observed late: a relay or a client reads what a process has written when the machine runs it. A
-// verdict must not depend on the order of two events of different processes within observationDelay and the longest stall of the
-// process of the drill.
+// Relays and clients observe an event some time after it has happened, depending on scheduling. The result must not depend on the order
+// of two events of different processes within observationDelay plus the longest stall of the process of the drill.
 const (
 	observationDelay = 100 * time.Millisecond
-	relayDelay       = 2 * time.Millisecond // between two events that a relay reads one after the other
-	informedShare    = 2. / 3               // of the work that overloads a cold server, from replicas that knew its start
-	maxViolations    = 20                   // that are described, beside those of the checker
+	relayDelay       = 2 * time.Millisecond // between two events that a relay reads in succession
+	informedShare    = 2. / 3               // share of the work overloading a cold server that comes from replicas with its start time
+	maxViolations    = 20                   // violations that are described, besides those of the rules checker
 )
 
-// Verdict is what the rules say of a tier.
-type Verdict struct {
+// TierResult is the result of checking the rules for a tier.
+type TierResult struct {
 	Tier           string        `json:"tier"`
 	Violations     []string      `json:"breaks"`
 	ViolationCount int           `json:"count"`
 	Margins        rules.Margins `json:"margins"`
 
-	Requests int `json:"tried"`    // that were sent to a server
-	Attempts int `json:"attempts"` // over Requests: by how much retries add to the load
+	Requests int `json:"tried"`    // requests with at least one attempt
+	Attempts int `json:"attempts"` // attempts of these requests; the ratio to Requests is the added load of retries
 
 	checker *rules.Checker
 }
@@ -36,19 +35,19 @@
 // ServerPlace is the zone and the cell of a server.
 type ServerPlace struct{ Zone, Cell int }
 
-// attempt is an attempt as the links saw it. Times are in ns.
+// attempt is an attempt that links have observed. Times are in ns.
 type attempt struct {
-	copy, server    string
+	replica, server string
 	sentAt, endedAt int64
 	mayHaveExecuted bool
 	ended           bool
-	answered        bool // by the server, and so open until then
+	answered        bool // ended by a response of the server
 }
 
-// timeSpan is a time in which a replica was suspended, in ns.
+// timeSpan is a time span in which a replica was suspended, in ns.
 type timeSpan struct{ from, to int64 }
 
-// idTable gives names numbers, from 1.
+// idTable assigns numbers from 1 to names.
 type idTable map[string]uint64
 
 func (n idTable) of(name string) uint64 {
@@ -58,7 +57,7 @@
 	return n[name]
 }
 
-// name returns the name of a number.
+// name returns the name of a number; "-" for an unknown one.
 func (n idTable) name(number uint64) string {
 	for name, v := range n {
 		if v == number {
@@ -68,24 +67,24 @@
 	return "-"
 }
 
-// historyChecker checks the facts of a tier. It needs nothing but the facts and the scenario.
+// historyChecker checks the facts of a tier.
 type historyChecker struct {
-	delay     time.Duration // within which events may have been observed late
-	verdict   *Verdict
+	delay     time.Duration // the longest assumed delay of an observation
+	result    *TierResult
 	pool      *operator.Pool
 	servers   map[string]ServerPlace
 	start     float64 // of the history, in ms
-	copies    idTable
+	replicas  idTable
 	serverIDs idTable
 	requests  idTable
 	classes   map[string]int
 
 	written        map[string]*testcluster.Fact // by request
 	attempts       map[string][]*attempt        // by request
-	ends           map[string]int64             // of requests: the final response, or when the client left
+	ends           map[string]int64             // by request: time of the final response, or when the client left
 	suspensions    map[string][]timeSpan        // by replica
-	killed         map[string]bool              // replicas; their open requests get no response
-	lostOnIdleConn map[string]bool              // requests that were received on an idle connection that was closed
+	killed         map[string]bool              // by replica; open requests of a killed one get no response
+	lostOnIdleConn map[string]bool              // by request; received on an idle connection that was closed
 }
 
 func ms(d time.Duration) float64 { return d.Seconds() * 1000 }
@@ -102,9 +101,9 @@
 func checkHistory(
 	tier string, pool *operator.Pool, spec *emulate.ServerSpec, servers map[string]ServerPlace,
 	facts []testcluster.Fact, start float64, stall time.Duration,
-) *Verdict {
+) *TierResult {
 	delay := observationDelay + stall
-	v := &Verdict{Tier: tier, Violations: []string{}}
+	v := &TierResult{Tier: tier, Violations: []string{}}
 	v.checker = rules.NewChecker(rules.Limits{
 		Classes:       pool.Settings().Classes,
 		MaxAttempts:   pool.Attempts,
@@ -116,11 +115,11 @@
 	})
 	h := &historyChecker{
 		delay:          delay,
-		verdict:        v,
+		result:         v,
 		pool:           pool,
 		servers:        servers,
 		start:          start,
-		copies:         idTable{},
+		replicas:       idTable{},
 		serverIDs:      idTable{},
 		requests:       idTable{},
 		classes:        map[string]int{},
@@ -144,19 +143,19 @@
 	return v
 }
 
-// addViolations adds the violations that the checker has found to the verdict.
+// addViolations adds the violations that the rules checker has found to the result.
 func (h *historyChecker) addViolations() {
-	v := h.verdict
+	v := h.result
 	v.ViolationCount += v.checker.ViolationCount
 	for _, b := range v.checker.Violations {
 		v.Violations = append(v.Violations, fmt.Sprintf("rule %d at %.3f s: %s, %s, %s: %s", b.Rule, (b.At-h.start)/1000,
-			h.copies.name(uint64(b.Copy)), h.serverIDs.name(uint64(b.Server)), h.requests.name(b.Request), b.Text))
+			h.replicas.name(uint64(b.Copy)), h.serverIDs.name(uint64(b.Server)), h.requests.name(b.Request), b.Text))
 	}
 }
 
-// violate adds a violation that the checker does not know.
+// violate adds a violation that the rules checker does not check for.
 func (h *historyChecker) violate(rule int, at int64, format string, args ...any) {
-	v := h.verdict
+	v := h.result
 	v.ViolationCount++
 	if len(v.Violations) < maxViolations {
 		seconds := (float64(at)/1e6 - h.start) / 1000
@@ -183,7 +182,7 @@
 				h.ends[f.Request] = f.At
 			}
 		case testcluster.FactSent:
-			a := &attempt{copy: f.Copy, server: f.Server, sentAt: f.At}
+			a := &attempt{replica: f.Copy, server: f.Server, sentAt: f.At}
 			h.attempts[f.Request] = append(h.attempts[f.Request], a)
 			open[attemptKey{f.Request, f.Server, f.Conn}] = a
 		case testcluster.FactAttemptEnded:
@@ -222,15 +221,15 @@
 	}
 }
 
-// orderAttempts moves what was observed late before what must have come after it. End is that of the request; 0 for none. A response
-// is observed before it is passed on, so that whatever was sent before it was sent at the same time. The end of a connection by the
-// sidecar is observed when the relay reads it.
+// orderAttempts corrects the times of attempts that were observed late, so that causes precede their effects. End is the end of the
+// request; 0 for none. A response is observed before it is relayed, so its time is not late. The end of a connection by the sidecar is
+// observed only when the relay reads it.
 func (h *historyChecker) orderAttempts(attempts []*attempt, end int64) {
 	delay := int64(h.delay)
 	for i, a := range attempts {
 		isAborted := a.ended && !a.answered
 		if i > 0 && isAborted && a.endedAt-a.sentAt < int64(relayDelay) {
-			// It was written and aborted while it waited to be read by a link.
+			// The attempt was written and aborted before the link read it.
 			if before := attempts[i-1]; a.sentAt < before.endedAt && a.sentAt-before.sentAt <= delay {
 				a.sentAt, a.endedAt = before.sentAt-1, before.sentAt-1
 			}
@@ -247,9 +246,10 @@
 	}
 }
 
-// knownAt returns when a replica knows at the latest what was sent to it at a time: not while it is suspended.
-func (h *historyChecker) knownAt(copyName string, at int64) int64 {
-	for _, s := range h.suspensions[copyName] {
+// knownAt returns the latest time at which a replica has received what was sent to it at a time: a suspended one receives it after its
+// resumption.
+func (h *historyChecker) knownAt(replica string, at int64) int64 {
+	for _, s := range h.suspensions[replica] {
 		if at >= s.from-int64(h.delay) && at <= s.to {
 			at = s.to + int64(h.delay)
 		}
@@ -257,9 +257,9 @@
 	return at
 }
 
-// wasSuspended reports whether a replica was suspended in a time, so that it could not respond.
-func (h *historyChecker) wasSuspended(copyName string, from, to int64) bool {
-	for _, s := range h.suspensions[copyName] {
+// wasSuspended reports whether a replica was suspended at some time between from and to, so that it could not respond.
+func (h *historyChecker) wasSuspended(replica string, from, to int64) bool {
+	for _, s := range h.suspensions[replica] {
 		if s.from <= to && s.to+int64(h.delay) >= from {
 			return true
 		}
--- a/internal/faultdrill/linkfaults.go
+++ b/internal/faultdrill/linkfaults.go
@@ -8,12 +8,12 @@
 	"milletmast/internal/testcluster"
 )
 
-// links returns the links between the sidecars and the servers of the fault.
+// links returns the links between the chosen sidecars and the chosen servers of the fault.
 func (in *injection) links() (links []*testcluster.Link) {
 	servers := in.servers()
-	ofSidecars := *in.fault
-	ofSidecars.Share, ofSidecars.Count, ofSidecars.Zone = 0, in.fault.Copies, ""
-	for _, c := range in.tier.chooseSidecars(&ofSidecars, in.random) {
+	sidecarChoice := *in.fault
+	sidecarChoice.Share, sidecarChoice.Count, sidecarChoice.Zone = 0, in.fault.Copies, ""
+	for _, c := range in.tier.chooseSidecars(&sidecarChoice, in.random) {
 		for _, s := range servers {
 			links = append(links, c.link(s))
 		}
@@ -55,7 +55,7 @@
 	}
 }
 
-// isolateZone cuts the links between a zone and the others.
+// isolateZone partitions a zone from the others.
 func (in *injection) isolateZone(ctx context.Context) {
 	in.setIsolated(true)
 	in.wait(ctx)
@@ -72,7 +72,7 @@
 	}
 }
 
-// setCut cuts a link in one or both directions, or joins it again.
+// setCut blocks or unblocks a link in one or both directions.
 func (in *injection) setCut(l *testcluster.Link, way string, isCut bool) {
 	forward, backward := l.Conditions(testcluster.Forward), l.Conditions(testcluster.Backward)
 	if way != emulate.WayBackward {
--- a/internal/faultdrill/load.go
+++ b/internal/faultdrill/load.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// clientGrace is how long a client waits after its deadline: a late response earns nothing, but the request is not lost.
+	// clientGrace is how long a client waits after its deadline. A late response earns no weight, but the request is not lost.
 	clientGrace = 500 * time.Millisecond
 	// maxIdle is how long a connection may be idle before it is used again.
 	maxIdle     = time.Second
@@ -28,17 +28,17 @@
 	minWork     = 0.001 // ms
 )
 
-// clientLoad sends the requests of the scenario's callers at their times, whatever comes of them.
+// clientLoad sends the requests of a scenario at their arrival times, independently of the responses (open loop).
 type clientLoad struct {
 	run       *drillRun
 	traffic   *emulate.Traffic
 	startedAt time.Time
 
 	mu       sync.Mutex
-	idle     map[string][]*clientConn // by the address of the sidecar, the one used last at the end
+	idle     map[string][]*clientConn // by the address of the sidecar, in the order of their last use
 	result   *emulate.Result
-	written  uint64        // requests
-	maxDelay time.Duration // by which a request was sent late
+	written  uint64        // number of requests
+	maxDelay time.Duration // the longest delay of a request after its arrival time
 	requests sync.WaitGroup
 }
 
@@ -76,8 +76,8 @@
 // now returns the time since the start of the load, in ms.
 func (l *clientLoad) now() float64 { return time.Since(l.startedAt).Seconds() * 1000 }
 
-// play sends requests until the end of the scenario, and waits for all responses.
-func (l *clientLoad) play(ctx context.Context) {
+// sendAll sends requests until the end of the scenario, and waits for all responses.
+func (l *clientLoad) sendAll(ctx context.Context) {
 	l.startedAt = time.Now()
 	for {
 		a, ok := l.traffic.Next()
@@ -102,7 +102,7 @@
 	}
 }
 
-// sendRequest sends a request, and its repeats.
+// sendRequest sends a request and the client's retries.
 func (l *clientLoad) sendRequest(ctx context.Context, a *emulate.Arrival) {
 	counts := a.At >= l.run.scenario.Warmup.MS()
 	for number := 1; ; number++ {
@@ -111,19 +111,19 @@
 		l.result.RecordTry(t)
 		l.mu.Unlock()
 		answer, retryAfter := l.newTry(a, number).send()
-		pause, again := l.traffic.RetryAfter(a, number, answer, retryAfter)
-		again = again && ctx.Err() == nil
+		delay, retry := l.traffic.RetryAfter(a, number, answer, retryAfter)
+		retry = retry && ctx.Err() == nil
 		l.mu.Lock()
-		l.result.RecordEnd(t, answer, l.now(), !again)
+		l.result.RecordEnd(t, answer, l.now(), !retry)
 		l.mu.Unlock()
-		if !again {
+		if !retry {
 			return
 		}
-		waitFor(ctx, time.Duration(pause*float64(time.Millisecond)))
+		waitFor(ctx, time.Duration(delay*float64(time.Millisecond)))
 	}
 }
 
-// chooseSidecar returns the sidecar of a client: its own one, or the next one that is up, first of its zone.
+// chooseSidecar returns the sidecar that a client uses: its home sidecar, or the next one that is up, preferably in the same zone.
 func (l *clientLoad) chooseSidecar(home int) (addr, name string) {
 	all := l.run.outerTier.sidecars
 	if addr, name = all[home].address(); addr != "" {
@@ -173,7 +173,7 @@
 	l.idle[addr] = append(l.idle[addr], p)
 }
 
-// discard closes a connection. A second response to its last request is recorded.
+// discard closes a connection. Unread data is recorded as a second response to its last request.
 func (l *clientLoad) discard(p *clientConn) {
 	if p.lastResponse.Request != "" && p.hasUnread() {
 		p.lastResponse.At = 0
@@ -182,7 +182,7 @@
 	p.conn.Close()
 }
 
-// encodeRequest returns the text of a request. It has the work that servers are asked to do.
+// encodeRequest returns the text of a request. Its headers hold the work for the servers of both tiers.
 func (l *clientLoad) encodeRequest(a *emulate.Arrival, effect, id string) string {
 	class := &l.run.scenario.Pool.Classes[a.Class]
 	method, headers := http.MethodGet, ""
@@ -203,10 +203,10 @@
 		method, class.Name, id, a.Caller.Who, time.Duration(class.GiveUp).Seconds(), testcluster.HeaderWork, math.Max(a.Work, minWork), headers)
 }
 
-// errClosedIdle is a connection that ended before the first byte of a response.
-var errClosedIdle = errors.New("closed between two requests")
+// errClosedIdle is the error of a connection that ended before the first byte of a response.
+var errClosedIdle = errors.New("connection closed before a response")
 
-// clientResponse is what a client needs of a response.
+// clientResponse holds the fields of a response that a client uses.
 type clientResponse struct {
 	status     int
 	retryAfter string
--- a/internal/faultdrill/observe.go
+++ b/internal/faultdrill/observe.go
@@ -12,14 +12,14 @@
 
 const maxHead = 16 << 10 // bytes
 
-// observedConn is a connection between a sidecar and a server, as its link sees it.
+// observedConn is a connection between a sidecar and a server that a link relays.
 type observedConn struct {
 	sidecar string // the name when the connection was opened
-	head    []byte // of a request, as far as it was received
-	request string // the id of the open request; "" for none
+	head    []byte // bytes of an incomplete request head
+	request string // id of the request without a response; "" for none
 }
 
-// linkObserver records the attempts that pass a link.
+// linkObserver records the attempts on a link.
 type linkObserver struct {
 	run     *drillRun
 	sidecar *sidecar
--- a/internal/faultdrill/replay.go
+++ b/internal/faultdrill/replay.go
@@ -9,20 +9,20 @@
 	"milletmast/internal/testcluster"
 )
 
-// timedFact is a fact for the checker of the rules.
+// timedFact is a fact for the rules checker, with its time.
 type timedFact struct {
 	at   int64 // ns
 	fact rules.Fact
 }
 
-// replayer converts the facts of a history to facts for the checker.
+// replayer converts the facts of a history to facts for the rules checker.
 type replayer struct {
 	*historyChecker
 	out      []timedFact
 	executed map[string][]testcluster.Fact // by request
 }
 
-// replay gives the checker the facts in order, and checks the effects of requests.
+// replay passes the facts to the rules checker in order, and checks the effects of requests.
 func (h *historyChecker) replay(facts []testcluster.Fact) {
 	r := &replayer{historyChecker: h, executed: map[string][]testcluster.Fact{}}
 	last := int64(0)
@@ -32,7 +32,7 @@
 	}
 	r.addAttempts()
 	slices.SortStableFunc(r.out, func(a, b timedFact) int { return cmp.Compare(a.at, b.at) })
-	checker := h.verdict.checker
+	checker := h.result.checker
 	for i := range r.out {
 		f := &r.out[i].fact
 		f.At = float64(r.out[i].at) / 1e6
@@ -46,13 +46,13 @@
 	h.checkEffects(r.executed)
 }
 
-// warmFact is the kind of a fact that a server is warm, which is reported to the checker by a function of its own.
+// warmFact marks the fact that a server is warm, for which the rules checker has a separate method.
 const warmFact = 0
 
 func (r *replayer) add(at int64, f rules.Fact) { r.out = append(r.out, timedFact{at, f}) }
 
-func (r *replayer) copyID(name string) uint32   { return uint32(r.copies.of(name)) }
-func (r *replayer) serverID(name string) uint32 { return uint32(r.serverIDs.of(name)) }
+func (r *replayer) replicaID(name string) uint32 { return uint32(r.replicas.of(name)) }
+func (r *replayer) serverID(name string) uint32  { return uint32(r.serverIDs.of(name)) }
 
 // convert converts one fact.
 func (r *replayer) convert(f *testcluster.Fact) {
@@ -60,8 +60,8 @@
 	case testcluster.FactConnClosed:
 		r.convertConnClosed(f)
 	case testcluster.FactConnEnded:
-		if r.lostOnIdleConn[f.Request] { // its client may have waited until then
-			r.add(f.At+int64(r.delay), rules.Fact{Kind: rules.ClientLeft, Copy: r.copyID(f.Copy), Request: r.requests.of(f.Request)})
+		if r.lostOnIdleConn[f.Request] { // the client may have waited until then
+			r.add(f.At+int64(r.delay), rules.Fact{Kind: rules.ClientLeft, Copy: r.replicaID(f.Copy), Request: r.requests.of(f.Request)})
 		}
 	case testcluster.FactWritten:
 		if _, ok := r.classes[f.Class]; ok {
@@ -71,20 +71,20 @@
 		r.convertUnanswered(f)
 	case testcluster.FactAnswered:
 		if r.written[f.Request] == nil {
-			r.violate(1, f.At, "%s: request %s was answered and never asked", f.Copy, f.Request)
+			r.violate(1, f.At, "%s: response to request %s, which was never sent", f.Copy, f.Request)
 			return
 		}
 		r.add(f.At, rules.Fact{
-			Kind: rules.RequestAnswered, Copy: r.copyID(f.Copy), Request: r.requests.of(f.Request), Answer: answerOf(f.Status),
+			Kind: rules.RequestAnswered, Copy: r.replicaID(f.Copy), Request: r.requests.of(f.Request), Answer: answerOf(f.Status),
 		})
-	case testcluster.FactKilled: // what it had sent or received may be observed after this
-		r.add(f.At+int64(r.delay), rules.Fact{Kind: rules.ReplicaKilled, Copy: r.copyID(f.Copy)})
+	case testcluster.FactKilled: // its last messages may be observed after this
+		r.add(f.At+int64(r.delay), rules.Fact{Kind: rules.ReplicaKilled, Copy: r.replicaID(f.Copy)})
 	case testcluster.FactListed:
 		at := f.At
 		if !f.Serves {
 			at = r.knownAt(f.Copy, f.At)
 		}
-		r.add(at, rules.Fact{Kind: rules.ServerListed, Copy: r.copyID(f.Copy), Server: r.serverID(f.Server), Serves: f.Serves})
+		r.add(at, rules.Fact{Kind: rules.ServerListed, Copy: r.replicaID(f.Copy), Server: r.serverID(f.Server), Serves: f.Serves})
 	default:
 		r.convertServerFact(f)
 	}
@@ -102,9 +102,9 @@
 		r.add(f.At, rules.Fact{Kind: warmFact, Server: r.serverID(f.Server)})
 	case testcluster.FactReceived:
 		if attempts := r.attempts[f.Request]; len(attempts) > 0 {
-			from := attempts[len(attempts)-1].copy
+			from := attempts[len(attempts)-1].replica
 			r.add(f.At, rules.Fact{
-				Kind: rules.WorkArrived, Server: r.serverID(f.Server), Copy: r.copyID(from), Work: f.Work, Capacity: f.Capacity,
+				Kind: rules.WorkArrived, Server: r.serverID(f.Server), Copy: r.replicaID(from), Work: f.Work, Capacity: f.Capacity,
 			})
 		}
 	case testcluster.FactExecuted:
@@ -115,7 +115,7 @@
 // addReceived adds that a replica has received a request.
 func (r *replayer) addReceived(f *testcluster.Fact, due int64) {
 	r.add(f.At, rules.Fact{
-		Kind: rules.RequestReceived, Copy: r.copyID(f.Copy), Request: r.requests.of(f.Request),
+		Kind: rules.RequestReceived, Copy: r.replicaID(f.Copy), Request: r.requests.of(f.Request),
 		Class: uint16(r.classes[f.Class]), Due: float64(due) / 1e6,
 	})
 }
@@ -142,10 +142,10 @@
 	}
 	isOverdue := f.At >= written.Due+int64(clientGrace)
 	if f.Kind == testcluster.FactClientLeft && isOverdue && !r.wasSuspended(f.Copy, written.At, f.At) {
-		r.violate(1, f.At, "%s: request %s has no answer %v past its client's time", f.Copy, f.Request, clientGrace)
+		r.violate(1, f.At, "%s: request %s has no answer %v after its deadline", f.Copy, f.Request, clientGrace)
 	}
 	at := r.knownAt(f.Copy, f.At)
-	r.add(at+int64(r.delay), rules.Fact{Kind: rules.ClientLeft, Copy: r.copyID(f.Copy), Request: r.requests.of(f.Request)})
+	r.add(at+int64(r.delay), rules.Fact{Kind: rules.ClientLeft, Copy: r.replicaID(f.Copy), Request: r.requests.of(f.Request)})
 }
 
 // addAttempts adds the attempts of all requests.
@@ -154,18 +154,19 @@
 		id := r.requests.of(request)
 		for n, a := range attempts {
 			r.add(a.sentAt, rules.Fact{
-				Kind: rules.AttemptSent, Copy: r.copyID(a.copy), Server: r.serverID(a.server), Request: id, Attempt: uint16(n),
+				Kind: rules.AttemptSent, Copy: r.replicaID(a.replica), Server: r.serverID(a.server), Request: id, Attempt: uint16(n),
 			})
 			if a.ended {
 				r.add(a.endedAt, rules.Fact{
-					Kind: rules.AttemptEnded, Copy: r.copyID(a.copy), Request: id, Attempt: uint16(n), MayRun: a.mayHaveExecuted,
+					Kind: rules.AttemptEnded, Copy: r.replicaID(a.replica), Request: id, Attempt: uint16(n), MayRun: a.mayHaveExecuted,
 				})
 			}
 		}
 	}
 }
 
-// checkEffects checks what was executed: an unsafe request at most once, a keyed one within one group that drops repeats.
+// checkEffects checks the executions of requests: an unsafe request is executed at most once, a keyed one only at servers that
+// deduplicate its repeats.
 func (h *historyChecker) checkEffects(executed map[string][]testcluster.Fact) {
 	classes := h.pool.Settings().Classes
 	for request, all := range executed {
@@ -190,11 +191,12 @@
 	for _, f := range executions[1:] {
 		a, b := h.servers[first.Server], h.servers[f.Server]
 		if c.DedupGroup == balancer.DedupZone && a.Zone != b.Zone || c.DedupGroup == balancer.DedupCell && a.Cell != b.Cell {
-			h.violate(4, f.At, "keyed request %s has a second effect: %s does not remember what ran at %s", request, f.Server, first.Server)
+			h.violate(4, f.At, "keyed request %s has a second effect: %s does not deduplicate with %s", request, f.Server, first.Server)
 			return
 		}
 		if after := float64(f.At-first.At) / 1e6; after > c.DedupWindow+ms(h.delay) {
-			h.violate(4, f.At, "keyed request %s has a second effect %.0f ms after the first, past its window", request, after)
+			h.violate(4, f.At, "keyed request %s has a second effect %.0f ms after the first, its deduplication window is %.0f ms",
+				request, after, c.DedupWindow)
 			return
 		}
 	}
--- a/internal/faultdrill/report.go
+++ b/internal/faultdrill/report.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
-	// The form in which plots are written.
+	// Registers the SVG format.
 	_ "gonum.org/v1/plot/vg/vgsvg"
 )
 
@@ -35,14 +35,14 @@
 		if err != nil {
 			return err
 		}
-		worth, err := drawCurves(r, "worth a second", map[string]func(i int) float64{
+		weight, err := drawCurves(r, "worth a second", map[string]func(i int) float64{
 			"asked":  func(i int) float64 { return r.Seconds[i].Worth },
 			"earned": func(i int) float64 { return r.Seconds[i].Earned },
 		}, []string{"asked", "earned"})
 		if err != nil {
 			return err
 		}
-		p.Plots = []template.HTML{rate, worth}
+		p.Plots = []template.HTML{rate, weight}
 		text, err := json.MarshalIndent(r, "", " ")
 		if err != nil {
 			return err
@@ -98,7 +98,7 @@
 	}
 	_, svg, ok := bytes.Cut(b.Bytes(), []byte("<svg"))
 	if !ok {
-		return "", fmt.Errorf("a plot of %s was not drawn", label)
+		return "", fmt.Errorf("plot %q: the output has no <svg", label)
 	}
 	return template.HTML("<svg" + string(svg)), nil
 }
--- a/internal/faultdrill/run.go
+++ b/internal/faultdrill/run.go
@@ -1,8 +1,9 @@
-// Package faultdrill plays scenarios of the emulator over real processes: sidecars, fake servers and clients of internal/testcluster,
-// with the faults of the scenario. It judges a run by its history alone. docs/design/faultdrill.md says what a verdict depends on.
+// Package faultdrill runs scenarios of the emulator with real processes of internal/testcluster: sidecars, fake servers and clients, with
+// the faults of the scenario. The rules are checked on the recorded history alone. docs/design/faultdrill.md describes the method.
 //
-// drill.go plays a drill, run.go, tier.go, server.go and sidecar.go own its processes, faults.go and linkfaults.go inject faults,
-// load.go and try.go are the clients, observe.go records what passes the links. evaluate.go, verdict.go and replay.go judge.
+// drill.go runs a drill, run.go, tier.go, server.go and sidecar.go manage its processes, faults.go and linkfaults.go inject faults,
+// load.go and try.go are the clients, and observe.go records the attempts on links. evaluate.go, historychecker.go and replay.go check
+// the rules.
 package faultdrill
 
 import (
@@ -17,7 +18,7 @@
 	"milletmast/internal/testcluster"
 )
 
-// drillRun is one drill: all of its processes, and their history.
+// drillRun is the state of one drill: its processes and their history.
 type drillRun struct {
 	cluster   *testcluster.Cluster
 	scenario  *emulate.Scenario
@@ -28,7 +29,7 @@
 	outerTier *tier
 	innerTier *tier // nil for none
 
-	mu     sync.Mutex // guards what lists say, and which servers there are
+	mu     sync.Mutex // guards the states and the lists of servers, and the fields below
 	random *rand.Rand
 	err    error
 }
@@ -75,7 +76,7 @@
 		}
 	}
 	sidecars := d.outerTier.sidecars
-	if d.scenario.Copies.Allot { // the others need the address of a first member
+	if d.scenario.Copies.Allot { // the others need the address of a member as a seed
 		if err := startSidecars(ctx, sidecars[:1]); err != nil {
 			return err
 		}
@@ -106,12 +107,12 @@
 	return first
 }
 
-// exitedSidecars describes the sidecars that have ended by themselves.
+// exitedSidecars describes the sidecars that have exited although no fault has ended them.
 func (d *drillRun) exitedSidecars() (out []string) {
 	for _, t := range d.tiers() {
 		for _, c := range t.sidecars {
 			if addr, name := c.address(); addr != "" && !c.process().IsRunning() {
-				out = append(out, fmt.Sprintf("%s has ended by itself: %s", name, c.process().Status()))
+				out = append(out, fmt.Sprintf("%s exited unexpectedly: %s", name, c.process().Status()))
 			}
 		}
 	}
@@ -119,8 +120,8 @@
 }
 
 const (
-	maxLogs = 256 << 10 // bytes of the output of all processes that are shown
-	logTail = 1 << 10   // bytes that are shown of an output over that
+	maxLogs = 256 << 10 // bytes of the output of all processes that logs returns
+	logTail = 1 << 10   // bytes of the end of an output that exceeds maxLogs
 )
 
 // logs returns the output of all processes, up to a limit.
--- a/internal/faultdrill/server.go
+++ b/internal/faultdrill/server.go
@@ -16,12 +16,12 @@
 	slot    int
 	zone    string
 	cell    int
-	started time.Time // of a cold server; zero for a warm one
+	started time.Time // start of a cold server; zero for a warm one
 
 	mu       sync.Mutex
 	proc     *testcluster.Server
 	addr     string
-	state    string // in the lists of discovery; "" if it is not listed
+	state    string // in the server lists of discovery; "" if it is not listed
 	replaced bool
 	faults   testcluster.ServerState
 }
@@ -33,27 +33,27 @@
 	return s.proc
 }
 
-// start starts the process. It calls the inner tier through the sidecar beside it.
+// start starts the process. The server calls the inner tier through the sidecar beside it.
 func (s *server) start(ctx context.Context) error {
-	of := s.tier.spec
+	tierSpec := s.tier.spec
 	spec := testcluster.ServerSpec{
 		Name:           s.name,
-		Cores:          of.Cores,
-		Queue:          of.Queue,
-		Connections:    of.Connections,
-		Handshake:      time.Duration(of.Handshake),
+		Cores:          tierSpec.Cores,
+		Queue:          tierSpec.Queue,
+		Connections:    tierSpec.Connections,
+		Handshake:      time.Duration(tierSpec.Handshake),
 		Speed:          1,
-		ColdFrom:       of.ColdFrom,
-		Ramp:           time.Duration(of.Ramp),
+		ColdFrom:       tierSpec.ColdFrom,
+		Ramp:           time.Duration(tierSpec.Ramp),
 		Cold:           !s.started.IsZero(),
-		OverloadFactor: of.Fall,
-		OverloadTime:   time.Duration(of.FallAfter),
+		OverloadFactor: tierSpec.Fall,
+		OverloadTime:   time.Duration(tierSpec.FallAfter),
 	}
 	if c := s.tier.sidecarBeside(s.slot); c != nil {
 		spec.Next, spec.NextName = c.address()
 	}
-	if n := len(of.Speeds); n > 0 {
-		spec.Speed = of.Speeds[s.slot%n]
+	if n := len(tierSpec.Speeds); n > 0 {
+		spec.Speed = tierSpec.Speeds[s.slot%n]
 	}
 	if spec.Cold {
 		warmAt := testcluster.Now() + int64(spec.Ramp)
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// kill kills the process, and that of the sidecar beside it. Its links refuse connections from then on.
+// kill kills the process and the sidecar beside it. Links to the server then refuse connections.
 func (s *server) kill() {
 	p := s.process()
 	if c := s.tier.sidecarBeside(s.slot); c != nil {
@@ -83,7 +83,7 @@
 	}
 }
 
-// restart starts the server again, cold.
+// restart restarts the server as a cold one.
 func (s *server) restart(ctx context.Context) error {
 	s.tier.run.mu.Lock()
 	s.started = time.Now()
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// changeState changes the speed or the failures of the server.
+// changeState changes the speed factor or the failure share of the server.
 func (s *server) changeState(change func(*testcluster.ServerState)) {
 	s.mu.Lock()
 	change(&s.faults)
--- a/internal/faultdrill/sidecar.go
+++ b/internal/faultdrill/sidecar.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	listPollInterval = 20 * time.Millisecond // between two reads of the list by a sidecar
+	listPollInterval = 20 * time.Millisecond // between two reads of the server list by a sidecar
 	startTimeout     = 30 * time.Second      // for a sidecar to listen
-	exitTimeout      = 10 * time.Second      // for a sidecar to end after SIGTERM, after its drain time
+	exitTimeout      = 10 * time.Second      // for a sidecar to end after SIGTERM, in addition to its drain time
 	// drainMargin is added to the longest deadline of a class for the drain time.
 	drainMargin = 500 * time.Millisecond
-	maxSeeds    = 3 // members that a sidecar asks when it starts
+	maxSeeds    = 3 // members that a sidecar contacts when it starts
 )
 
-// sidecar is one replica of the sidecars of a tier.
+// sidecar is one replica of a tier.
 type sidecar struct {
 	tier  *tier
 	index int
@@ -38,18 +38,17 @@
 	proc        *testcluster.Process
 	starts      int
 	addr        string // "" while it is down
-	program     string // of its next start; "" for that of the drill
-	listBlocks  int    // faults that keep lists from it
+	program     string // program of the next start; "" for that of the drill
+	listBlocks  int    // number of faults that block its server list
 	listed      map[string]bool
-	omitted     map[string]bool // servers that its lists leave out
-	membersAddr string          // of the gossip between replicas, if there is any
+	omitted     map[string]bool // servers that are left out of its server list
+	membersAddr string          // address for the gossip between replicas; "" for none
 }
 
-// name returns the name of the replica with the number of its start: to the rules, a sidecar that has started again is another
-// replica. The mutex is held.
+// name returns the label with the number of the start, as the rules treat a restarted sidecar as another replica. The mutex is held.
 func (c *sidecar) name() string { return fmt.Sprintf("%s.%d", c.label(), c.starts) }
 
-// label returns the name of the replica over all starts.
+// label returns the name of the replica, which is the same for all starts.
 func (c *sidecar) label() string {
 	prefix, _ := c.tier.prefixes()
 	return fmt.Sprint(prefix, c.index)
@@ -99,7 +98,7 @@
 	Started string `toml:"started,omitempty"`
 }
 
-// writeList writes the present list to the file that the sidecar reads, unless lists are kept from it.
+// writeList writes the present server list to the file that the sidecar reads, unless a fault blocks it.
 func (c *sidecar) writeList() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +121,7 @@
 	c.recordList(serves)
 }
 
-// presentList returns the list for the sidecar, and which of the listed servers serve. The mutex is held.
+// presentList returns the server list for the sidecar, and for each listed server whether it accepts new requests. The mutex is held.
 func (c *sidecar) presentList() (list []listEntry, serves map[string]bool) {
 	serves = map[string]bool{}
 	c.tier.run.mu.Lock()
@@ -141,7 +140,7 @@
 	return list, serves
 }
 
-// recordList records what a new list changes. The mutex is held.
+// recordList records the differences between a new server list and the last one. The mutex is held.
 func (c *sidecar) recordList(serves map[string]bool) {
 	history, now := c.tier.run.history, testcluster.Now()
 	for server, isServing := range serves {
@@ -161,7 +160,7 @@
 	return filepath.Join(c.tier.run.cluster.Dir, c.label()+".list.toml")
 }
 
-// replaceFile replaces a file at once.
+// replaceFile replaces a file atomically.
 func replaceFile(path string, text []byte) error {
 	next := path + ".next"
 	if err := os.WriteFile(next, text, 0o600); err != nil {
@@ -170,7 +169,7 @@
 	return os.Rename(next, path)
 }
 
-// operatorFile returns the operator file of the sidecar.
+// operatorFile returns the operator file for the sidecar, in TOML.
 func (c *sidecar) operatorFile() ([]byte, error) {
 	scenario := c.tier.run.scenario
 	f := operator.File{Name: c.label()}
@@ -205,10 +204,10 @@
 	return toml.Marshal(withoutDefaults(reflect.ValueOf(f)))
 }
 
-// shedsTogether reports whether the replicas of the tier shed load together, and so know each other.
+// shedsTogether reports whether the replicas of the tier coordinate load shedding, for which they are members of a gossip cluster.
 func (c *sidecar) shedsTogether() bool { return c.tier.run.scenario.Copies.Allot && !c.tier.isInner }
 
-// memberSeeds returns the addresses of some other replicas. The first one that starts has none, and is found by the others.
+// memberSeeds returns the gossip addresses of up to maxSeeds other replicas. The replica that starts first has none.
 func (c *sidecar) memberSeeds() (out []string) {
 	for _, other := range c.tier.sidecars {
 		other.mu.Lock()
@@ -220,7 +219,7 @@
 	return out
 }
 
-// drainTime returns how long the sidecar may take to finish its requests after SIGTERM.
+// drainTime returns the drain time of the sidecar after SIGTERM, within which all requests finish.
 func (c *sidecar) drainTime() (d time.Duration) {
 	for _, k := range c.tier.pool.Classes {
 		d = max(d, time.Duration(k.GiveUp)+drainMargin)
@@ -228,7 +227,7 @@
 	return d
 }
 
-// The lines in which a sidecar says where it listens.
+// The log lines with the addresses that a sidecar listens on.
 var (
 	membersPattern   = regexp.MustCompile(`(?:join members|members listen)"? .*addr=(\S+)`)
 	listeningPattern = regexp.MustCompile(`listen(?:ing)?"? listener=\S+ addr=(\S+)`)
@@ -262,7 +261,7 @@
 		return addr != "" && (membersAddr != "" || !c.shedsTogether()) || !p.IsRunning()
 	})
 	if err == nil && addr == "" {
-		err = fmt.Errorf("%s has ended: %s: %s", name, p.Status(), p.Output)
+		err = fmt.Errorf("%s exited before it listened: %s: %s", name, p.Status(), p.Output)
 	}
 	if err != nil {
 		return err
@@ -273,7 +272,7 @@
 	return nil
 }
 
-// takeDown makes the sidecar one that is down, so that no client uses it, and returns its process.
+// takeDown marks the sidecar as down, so that no client uses it, and returns its process.
 func (c *sidecar) takeDown() (p *testcluster.Process, name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -281,14 +280,14 @@
 	return c.proc, c.name()
 }
 
-// kill kills the process. Its open requests get no response.
+// kill kills the process. Its open requests receive no response.
 func (c *sidecar) kill() {
 	p, name := c.takeDown()
 	p.Kill()
 	c.tier.run.history.Record(testcluster.Fact{Kind: testcluster.FactKilled, Copy: name})
 }
 
-// terminate ends the process as a planned restart does, by SIGTERM.
+// terminate ends the process by SIGTERM, as for a planned restart.
 func (c *sidecar) terminate() {
 	p, name := c.takeDown()
 	if err := p.Signal(syscall.SIGTERM); err != nil && p.IsRunning() {
@@ -298,10 +297,10 @@
 	select {
 	case <-p.Ended():
 		if code := p.ExitCode(); code != 0 {
-			c.tier.run.setError(fmt.Errorf("%s ended with %s: %s", name, p.Status(), p.Output))
+			c.tier.run.setError(fmt.Errorf("%s exited with %s after SIGTERM: %s", name, p.Status(), p.Output))
 		}
 	case <-time.After(timeout):
-		c.tier.run.setError(fmt.Errorf("%s has not ended %v after SIGTERM: %s", name, timeout, p.Output))
+		c.tier.run.setError(fmt.Errorf("%s did not exit within %v after SIGTERM: %s", name, timeout, p.Output))
 		p.Kill()
 	}
 }
--- a/internal/faultdrill/tier.go
+++ b/internal/faultdrill/tier.go
@@ -11,16 +11,16 @@
 	"milletmast/internal/testcluster"
 )
 
-// tier is sidecars and the servers that they send to.
+// tier is a group of sidecars and the servers to which they send requests.
 type tier struct {
 	run         *drillRun
 	isInner     bool
 	pool        *operator.Pool
 	spec        *emulate.ServerSpec
 	sidecars    []*sidecar
-	servers     []*server // the present ones, by their slots
-	allServers  []*server // also those that were replaced
-	serverCount int       // of names that were given
+	servers     []*server // the present servers, by slot
+	allServers  []*server // including those that were replaced
+	serverCount int       // number of server names in use
 }
 
 func newTier(d *drillRun, isInner bool, pool *operator.Pool, spec *emulate.ServerSpec, sidecars int) *tier {
@@ -35,7 +35,7 @@
 	return t
 }
 
-// prefixes returns the first letters of the names of sidecars and of servers.
+// prefixes returns the prefixes of the names of sidecars and servers.
 func (t *tier) prefixes() (sidecars, servers string) {
 	if t.isInner {
 		return "i", "t"
@@ -43,7 +43,7 @@
 	return "c", "s"
 }
 
-// addServer starts a server in a slot, and the links of all sidecars to it. Started is zero for a server that is warm.
+// addServer starts a server in a slot, and the links of all sidecars to it. Started is zero for a warm server.
 func (t *tier) addServer(ctx context.Context, slot int, started time.Time) (*server, error) {
 	t.run.mu.Lock()
 	number := t.serverCount // several servers may be replaced at once
@@ -81,8 +81,8 @@
 	return s, nil
 }
 
-// setNetworkConditions sets the conditions of the scenario on a link. Short delays are left out, as loopback and the relay have
-// delays of their own. The jitter is uniform, with the mean of the scenario.
+// setNetworkConditions sets the network conditions of the scenario on a link. Delays below a millisecond are not added, as loopback and
+// the relay have about that delay already. The jitter is uniform with the mean of the scenario, hence the factor 2.
 func (t *tier) setNetworkConditions(l *testcluster.Link) {
 	conditions := testcluster.Conditions{}
 	if d := time.Duration(t.run.scenario.Network.Delay); d >= time.Millisecond {
@@ -109,7 +109,8 @@
 	return nil
 }
 
-// setListed changes the state of a server in the lists of discovery; "" removes it. The sidecars get the change after their delays.
+// setListed changes the state of a server in the server lists of discovery; "" removes it. Each sidecar receives the change after a
+// random delay.
 func (t *tier) setListed(s *server, state string) {
 	discovery := &t.run.scenario.Discovery
 	t.run.mu.Lock()
@@ -136,7 +137,7 @@
 	return choose(t.sidecars, f, r, func(c *sidecar) string { return c.zone })
 }
 
-// choose draws as many of the candidates in the zone of a fault as the fault has.
+// choose draws random candidates in the zone of a fault, as many as the fault affects.
 func choose[T any](candidates []T, f *emulate.Fault, r *rand.Rand, zoneOf func(T) string) (chosen []T) {
 	var inZone []T
 	for _, c := range candidates {
--- a/internal/faultdrill/try.go
+++ b/internal/faultdrill/try.go
@@ -21,8 +21,8 @@
 	class      *operator.Class
 	addr, name string // of the sidecar; "" if none is up
 	id         string
-	leaves     bool          // the client gives up early,
-	leavesIn   time.Duration // after this time
+	leaves     bool          // the client abandons the request early
+	leavesIn   time.Duration // time until then
 }
 
 func (l *clientLoad) newTry(a *emulate.Arrival, number int) *clientTry {
@@ -34,7 +34,7 @@
 	return t
 }
 
-// send sends the request, and returns its answer (0 for none) and the Retry-After of a rejection in ms.
+// send sends the request, and returns its answer (0 if the client abandons it) and the Retry-After of a rejection in ms.
 func (t *clientTry) send() (answer rules.Answer, retryAfter float64) {
 	if t.addr == "" {
 		return rules.Failed, 0
@@ -51,7 +51,7 @@
 	}
 }
 
-// deadline returns when the client gives up.
+// deadline returns the time at which the client abandons a request that is sent now.
 func (t *clientTry) deadline() time.Time {
 	if t.leaves {
 		return time.Now().Add(t.leavesIn)
@@ -59,8 +59,8 @@
 	return time.Now().Add(time.Duration(t.class.GiveUp) + clientGrace)
 }
 
-// sendOn sends the request on a connection. It is not done if an idle connection was closed: then the request is sent again on
-// another.
+// sendOn sends the request on a connection. Done is false if an idle connection was closed: then the request has to be sent again on
+// another one.
 func (t *clientTry) sendOn(p *clientConn, isNew bool) (answer rules.Answer, retryAfter float64, done bool) {
 	writtenAt := testcluster.Now()
 	err := p.conn.SetDeadline(t.deadline())
@@ -80,7 +80,7 @@
 		written.Kind, written.Text = testcluster.FactConnClosed, err.Error()
 		history.Record(written)
 		history.Record(testcluster.Fact{Kind: testcluster.FactConnEnded, Copy: t.name, Request: t.id})
-		t.id += "b" // the links show whether the first one was received
+		t.id += "b" // the links record whether the first one was received
 		return 0, 0, false
 	}
 	history.Record(written)
@@ -110,7 +110,7 @@
 	return answer, retryAfter, true
 }
 
-// recordFailure records a request without a response, and returns its answer: 0 if the client has given up.
+// recordFailure records a request without a response, and returns its answer: 0 if the client has abandoned it.
 func (t *clientTry) recordFailure(err error) rules.Answer {
 	f := testcluster.Fact{Copy: t.name, Request: t.id, Class: t.class.Name, Kind: testcluster.FactUnanswered, Text: err.Error()}
 	answer := rules.Failed
@@ -121,7 +121,7 @@
 	return answer
 }
 
-// answerOf returns the answer that a status is to the rules.
+// answerOf converts an HTTP status to an answer of package rules.
 func answerOf(status int) rules.Answer {
 	switch status {
 	case http.StatusOK:
--- a/internal/faultdrill/withoutdefaults.go
+++ b/internal/faultdrill/withoutdefaults.go
@@ -8,7 +8,7 @@
 )
 
 // withoutDefaults returns a table of an operator file with only the keys that differ from their defaults, so that an older program
-// that does not know a newer key can be played beside a newer one.
+// without the newer keys can run beside a newer one.
 func withoutDefaults(v reflect.Value) map[string]any {
 	defaults := reflect.New(v.Type())
 	if d, ok := defaults.Interface().(operator.Defaulter); ok {
@@ -24,7 +24,7 @@
 		case ok:
 			b, err := text.MarshalText()
 			if err != nil {
-				continue // those of the schema do not fail
+				continue // the types of the schema do not fail
 			}
 			out[key] = string(b)
 		case field.Kind() == reflect.Struct:
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -2,8 +2,8 @@
 //
 // A port that the kernel chose for a socket which was closed again is not free for long: the kernel may give it to the next
 // outgoing connection or listener of any process. Ports are therefore reserved below the range from which the kernel chooses
-// (ip_local_port_range, see ip(7)), and a listener at an address that nothing else uses claims each number, so that two test
-// processes never reserve the same one.
+// (ip_local_port_range, see ip(7)), and each reserved port is claimed by a listener at another loopback address, so that two
+// test processes never reserve the same port.
 //
 // No socket that listens at a reserved address is ever opened here, not even to close it again: a process that the caller starts at
 // that moment has copies of all descriptors until its exec, and a copy of a listener keeps the port in use.
@@ -20,11 +20,11 @@
 )
 
 const (
-	// firstPort and lastPort bound the reserved numbers. Linux chooses from 32768 by default.
+	// firstPort and lastPort bound the ports that can be reserved. By default, Linux chooses ports from 32768 on.
 	firstPort, lastPort = 20000, 32767
 	// claimIP is the loopback address whose listeners mark a port as reserved.
 	claimIP = "127.255.255.254"
-	// loopbackIP is where servers listen at reserved ports.
+	// loopbackIP is the address on which servers listen at reserved ports.
 	loopbackIP = "127.0.0.1"
 	// maxTries bounds the draws of one reservation.
 	maxTries = 1000
@@ -45,7 +45,7 @@
 // Reserve claims count consecutive ports until they are released. It fails with ErrExhausted if it finds none.
 func Reserve(count int) (*Reservation, error) {
 	if count > lastPort-firstPort+1 {
-		return nil, ErrExhausted.New("%d ports are more than there are between %d and %d", count, firstPort, lastPort)
+		return nil, ErrExhausted.New("reserve %d ports: only %d exist between %d and %d", count, lastPort-firstPort+1, firstPort, lastPort)
 	}
 	for range maxTries {
 		r := &Reservation{First: firstPort + rand.IntN(lastPort-firstPort-count+2)}
@@ -54,10 +54,10 @@
 		}
 		r.Release()
 	}
-	return nil, ErrExhausted.New("no %d consecutive ports are free between %d and %d", count, firstPort, lastPort)
+	return nil, ErrExhausted.New("reserve %d ports: no consecutive ones are free between %d and %d", count, firstPort, lastPort)
 }
 
-// claim claims each port of the range, and says whether all were free.
+// claim claims each port of the range, and reports whether all were free.
 func (r *Reservation) claim(count int) bool {
 	for port := r.First; port < r.First+count; port++ {
 		claim, err := net.Listen("tcp4", address(claimIP, port))
@@ -72,8 +72,9 @@
 	return true
 }
 
-// isUnused says whether a server could listen at the port of 127.0.0.1, which one that does not reserve may do already. It binds a
-// socket, but does not listen: with SO_REUSEADDR, as package net sets it too, such a socket keeps no other from listening.
+// isUnused reports whether a server can listen at the port of 127.0.0.1. A process that does not use this package may listen there
+// already. The check binds a socket without listening: with SO_REUSEADDR, which package net sets too, such a socket does not prevent
+// others from listening.
 func isUnused(port int) bool {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, unix.IPPROTO_TCP)
 	if err != nil {
@@ -87,7 +88,7 @@
 	return unix.Bind(fd, &unix.SockaddrInet4{Addr: loopback, Port: port}) == nil
 }
 
-// Address returns the first port at 127.0.0.1.
+// Address returns the address of the first port at 127.0.0.1.
 func (r *Reservation) Address() string { return address(loopbackIP, r.First) }
 
 // Release frees the ports for others. Servers that listen on them are not affected.
@@ -115,7 +116,7 @@
 
 func address(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
-// TestingT is what a reservation for a test needs of testing.TB.
+// TestingT is the part of testing.TB that a reservation for a test uses.
 type TestingT interface {
 	Helper()
 	Fatal(args ...any)
--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -10,8 +10,8 @@
 	"github.com/joomcode/errorx"
 )
 
-// TestReservedPortsAreDistinct reserves many ports at a time: no number is given twice, each can be listened at, and none is
-// in the range from which the kernel chooses.
+// TestReservedPortsAreDistinct reserves many ports at a time: none is reserved twice or is in the range from which the kernel chooses,
+// and a server can listen at the first port of each reservation.
 func TestReservedPortsAreDistinct(t *testing.T) {
 	seen := map[int]bool{}
 	for range 200 {
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestReleasedPortsAreFree claims a reserved port, which succeeds only after its release.
+// TestReleasedPortsAreFree checks that a reserved port can be claimed again only after its release.
 func TestReleasedPortsAreFree(t *testing.T) {
 	first, err := Reserve(1)
 	if err != nil {
@@ -48,7 +48,7 @@
 	again.Release()
 }
 
-// TestUsedPortIsNotReserved finds a port in use by one that did not reserve it.
+// TestUsedPortIsNotReserved checks that a port is not claimed while a listener without a reservation uses it.
 func TestUsedPortIsNotReserved(t *testing.T) {
 	r := ForTest(t, 1)
 	ln, err := net.Listen("tcp4", r.Address())
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestTooManyPorts asks for more ports than the range has.
+// TestTooManyPorts tries to reserve more ports than the range has.
 func TestTooManyPorts(t *testing.T) {
 	if _, err := Reserve(lastPort - firstPort + 2); !errorx.IsOfType(err, ErrExhausted) {
 		t.Errorf("got %v, want %v", err, ErrExhausted)
@@ -108,7 +108,7 @@
 	starting.Wait()
 }
 
-// TestListenAgain closes a listener and listens at its address once more.
+// TestListenAgain checks that a port of Listen can be listened at again after the listener was closed.
 func TestListenAgain(t *testing.T) {
 	ln, err := Listen()
 	if err != nil {
--- a/internal/mesh/modelcheck/votercheck.go
+++ b/internal/mesh/modelcheck/votercheck.go
@@ -83,7 +83,7 @@
 func (sim *simulation) recordHandover() {
 	sim.handovers = append(slices.DeleteFunc(sim.handovers, func(at time.Duration) bool { return sim.now-at > time.Second }), sim.now)
 	if len(sim.handovers) > maxHandovers {
-		sim.violation("too many handovers: %d of the coordinator role within a second, the last one to %s", len(sim.handovers), sim.newest.Coordinator)
+		sim.violation("too many handovers: %d of the coordinator role within a second, last to %s", len(sim.handovers), sim.newest.Coordinator)
 	}
 }
 
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -1,9 +1,8 @@
 // Package testcluster starts real processes of this project on loopback, injects faults into them and into the links between them,
-// and keeps one history of what they did. It is for tests, drills and measurements only. docs/design/faultdrill.md says what it can and
-// cannot show.
+// and records their history. It is for tests, drills and measurements only. docs/design/faultdrill.md describes its limits.
 //
-// cluster.go and process.go own the processes, link.go, relay.go and datagram.go the links, facts.go the history. role.go is the
-// part of a program that a cluster starts in another role, such as that of a fake server (server.go).
+// cluster.go and process.go start and end processes, link.go, relay.go and datagram.go implement the links, and facts.go the history.
+// role.go runs this program in another role, such as that of a fake server (server.go).
 package testcluster
 
 import (
@@ -22,18 +21,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// clusterVariable is in the environment of all processes that a cluster starts, and of those that these start. Its value is the id
-// of the cluster.
+// clusterVariable is an environment variable with the id of the cluster. All processes of a cluster and their children have it.
 const clusterVariable = "MILLETMAST_RIG"
 
-// noRaceExitSleep has a process that was built with the race detector exit without waiting for a second.
+// noRaceExitSleep is an environment variable that disables the sleep of a second with which the race detector delays the exit.
 const noRaceExitSleep = "GORACE=atexit_sleep_ms=0"
 
-// Now returns the time of a history in ns: monotonic, and the same for every process of this machine (CLOCK_MONOTONIC).
+// Now returns the present time of CLOCK_MONOTONIC in ns, which is the same for all processes of this machine.
 func Now() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		panic(err) // the clock is always there
+		panic(err) // Linux always has this clock
 	}
 	return t.Nano()
 }
@@ -42,14 +40,14 @@
 type Cluster struct {
 	Dir         string // holds the directories of all processes; removed by Close
 	id          string
-	startQueue  chan func() // functions for the thread that starts processes, which end with it
+	startQueue  chan func() // functions for the thread that starts processes; the processes end with that thread
 	starterDone chan struct{}
 
 	mu            sync.Mutex
 	processes     []*Process
 	closers       []func()
 	watchdog      *exec.Cmd
-	watchdogInput *os.File // the watchdog acts at its end
+	watchdogInput *os.File // the watchdog cleans up when this is closed
 }
 
 // New returns a cluster with a directory of its own.
@@ -69,8 +67,8 @@
 	return r, nil
 }
 
-// runStarter runs functions on one thread that lives as long as the cluster: the parent death signal of Linux (prctl(2)) is sent when
-// the thread ends that started the process.
+// runStarter runs functions on one thread that exists until Close, as Linux sends the parent death signal (prctl(2)) when the thread
+// ends that has started the process.
 func (r *Cluster) runStarter() {
 	runtime.LockOSThread() // never unlocked: the thread ends with this goroutine
 	defer close(r.starterDone)
@@ -79,8 +77,8 @@
 	}
 }
 
-// startWatchdog starts the process that cleans up if this one is killed. Processes that were started here end by the parent death
-// signal; those that they have started, such as the instances of an agent, do not, and the directory stays.
+// startWatchdog starts a process that cleans up if this one is killed. The parent death signal ends only the processes that were started
+// here. The watchdog kills their children, such as the instances of an agent, and removes the directory.
 func (r *Cluster) startWatchdog() error {
 	read, write, err := os.Pipe()
 	if err != nil {
@@ -155,25 +153,25 @@
 // waitPollInterval is the time between two checks of WaitFor.
 const waitPollInterval = 5 * time.Millisecond
 
-// WaitFor waits until a condition holds, so that tests do not sleep. The error says what was waited for.
-func WaitFor(ctx context.Context, what string, within time.Duration, holds func() bool) error {
-	end := time.Now().Add(within)
+// WaitFor polls until a condition holds or the timeout is over. The error has the description of the condition.
+func WaitFor(ctx context.Context, description string, timeout time.Duration, holds func() bool) error {
+	end := time.Now().Add(timeout)
 	for {
 		if holds() {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %v: %s", within, what)
+			return fmt.Errorf("timeout after %v, waiting until %s", timeout, description)
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: %w", what, ctx.Err())
+			return fmt.Errorf("waiting until %s: %w", description, ctx.Err())
 		case <-time.After(waitPollInterval):
 		}
 	}
 }
 
-// Sleep waits for a time, or until the context is done, and returns its error.
+// Sleep waits for a time, or until the context is done: then it returns the error of the context.
 func Sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -195,5 +193,5 @@
 	for _, p := range r.Processes() {
 		<-p.ended
 	}
-	killMarked(r.id) // processes that they have started
+	killMarked(r.id) // their children
 }
--- a/internal/testcluster/datagram.go
+++ b/internal/testcluster/datagram.go
@@ -11,16 +11,16 @@
 
 const (
 	reorderDelay    = 50 * time.Millisecond
-	maxFlows        = 4096 // senders that a link tells apart
-	maxDatagramSize = 64 << 10
+	maxFlows        = 4096     // senders of a link
+	maxDatagramSize = 64 << 10 // bytes
 )
 
-// ListenUDP opens a link of datagrams at a free port. Responses of the target are sent back to the sender.
+// ListenUDP opens a UDP link at a free port. Responses of the target are sent back to the sender.
 func (r *Cluster) ListenUDP(name, target string, seed uint64) (*Link, error) {
 	return r.ListenUDPAt(name, "127.0.0.1:0", target, seed)
 }
 
-// ListenUDPAt opens a link of datagrams at an address, such as that of a link of TCP.
+// ListenUDPAt opens a UDP link at an address, such as that of a TCP link.
 func (r *Cluster) ListenUDPAt(name, address, target string, seed uint64) (*Link, error) {
 	to, err := net.ResolveUDPAddr("udp4", target)
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// flow returns the socket from which the datagrams of one sender are sent on; nil if the link is closed or there are too many.
+// flow returns the socket that relays the datagrams of one sender; nil if the link is closed or has maxFlows senders.
 func (l *Link) flow(from, to *net.UDPAddr) *net.UDPConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,13 +82,13 @@
 	buffer := make([]byte, maxDatagramSize)
 	for {
 		n, err := f.Read(buffer)
-		if errors.Is(err, syscall.ECONNREFUSED) { // the target does not listen now
+		if errors.Is(err, syscall.ECONNREFUSED) { // the target is not listening
 			continue
 		}
 		if err != nil {
 			return
 		}
-		l.deliver(Backward, bytes.Clone(buffer[:n]), func(p []byte) { _, _ = l.udp.WriteToUDP(p, sender) }) // likewise
+		l.deliver(Backward, bytes.Clone(buffer[:n]), func(p []byte) { _, _ = l.udp.WriteToUDP(p, sender) }) // a failed write is a lost datagram
 	}
 }
 
--- a/internal/testcluster/facts.go
+++ b/internal/testcluster/facts.go
@@ -12,35 +12,35 @@
 	"sync"
 )
 
-// The kinds of facts, by who records them.
+// The kinds of facts, grouped by the process that records them. The fields that a kind uses besides the usual ones are in parentheses.
 const (
-	// A client, about a request (Request, Copy, Class).
-	FactWritten    = "taken"    // its last byte was written; Due is when the client gives up
-	FactClientLeft = "left"     // the client has given up
-	FactAnswered   = "answered" // Status
-	FactUnanswered = "lost"     // the connection ended without a complete response; Text
-	FactConnClosed = "closed"   // an idle connection ended before it was written, or meanwhile; Text, and as FactWritten; it is sent again
-	FactConnEnded  = "cut"      // when that connection was found to have ended
-	// A link, about an attempt (Request, Copy, Server, Conn).
-	FactSent         = "sent" // the sidecar has written it completely
-	FactAttemptEnded = "over" // the sidecar gets a response (Status, NotRun), or either side has ended the connection
-	// A fake server.
-	FactStarted    = "up"      // it serves from now on (Cold)
+	// Recorded by a client for a request (Request, Copy, Class).
+	FactWritten    = "taken"    // the last byte of the request was written (Due: when the client abandons it)
+	FactClientLeft = "left"     // the client has abandoned the request
+	FactAnswered   = "answered" // a complete response was received (Status)
+	FactUnanswered = "lost"     // the connection ended without a complete response (Text)
+	FactConnClosed = "closed"   // an idle connection ended before or while the request was written, which is sent again (Text, Due)
+	FactConnEnded  = "cut"      // the time at which the client detected the end of that connection
+	// Recorded by a link for an attempt (Request, Copy, Server, Conn).
+	FactSent         = "sent" // the sidecar has written the request completely
+	FactAttemptEnded = "over" // the sidecar receives a response (Status, NotRun), or either side has ended the connection
+	// Recorded by a fake server.
+	FactStarted    = "up"      // the server serves from now on (Cold)
 	FactReceived   = "reached" // a request was received completely (Work, Capacity)
-	FactExecuted   = "ran"     // its execution has started, so that it has an effect (Key)
-	FactOverloaded = "fell"    // it was cold and has failed under its load
-	// The drill.
-	FactListed    = "told"  // the list of a replica says that a server serves, or no longer (Serves)
-	FactFault     = "fault" // Text, and Due for its end
-	FactSuspended = "stop"  // a replica or server is suspended or starved, or no longer (Serves)
+	FactExecuted   = "ran"     // the execution of a request has started, so that it has an effect (Key)
+	FactOverloaded = "fell"    // the server exits, as its load was too high for a cold server
+	// Recorded by the drill.
+	FactListed    = "told"  // a replica was sent a list by which a server serves, or no longer serves (Serves)
+	FactFault     = "fault" // a fault starts (Text: its kind, Due: its end)
+	FactSuspended = "stop"  // a replica is suspended, or resumed (Serves)
 	FactKilled    = "kill"  // a replica was killed: its open requests get no response
 	FactWarm      = "warm"  // a server is warm
-	FactEnded     = "ended"
+	FactEnded     = "ended" // the load has ended
 )
 
 // Fact is one event of a history, a line of JSON.
 type Fact struct {
-	At       int64   `json:"at"` // ns, see Now
+	At       int64   `json:"at"` // ns, by Now
 	Kind     string  `json:"kind"`
 	By       string  `json:"by,omitempty"`
 	Copy     string  `json:"copy,omitempty"`
@@ -62,7 +62,7 @@
 const (
 	maxFacts    = 20_000_000 // of one history
 	maxFactLine = 16 << 10   // bytes
-	maxHistory  = 4 << 30
+	maxHistory  = 4 << 30    // bytes of one file
 )
 
 // History holds the facts of one run.
@@ -72,7 +72,7 @@
 	dropped int
 }
 
-// Record adds a fact, at the present time unless it has one.
+// Record adds a fact. A fact without a time gets the present time.
 func (h *History) Record(f Fact) {
 	if f.At == 0 {
 		f.At = Now()
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// WriteJSON writes the facts in their order, a line each.
+// WriteJSON writes the facts as sorted lines of JSON.
 func (h *History) WriteJSON(w io.Writer) error {
 	b := bufio.NewWriter(w)
 	e := json.NewEncoder(b)
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -19,7 +19,7 @@
 // Direction is one of the two directions of a link.
 type Direction int
 
-// The directions, as seen from the side that opens connections or sends first.
+// Forward is the direction from the client, which opens connections or sends first, to the target.
 const (
 	Forward Direction = iota
 	Backward
@@ -30,8 +30,8 @@
 	Delay   time.Duration
 	Jitter  time.Duration // the greatest further delay, drawn by the seed; the bytes of a stream stay in order
 	Rate    int           // bytes a second; 0 for no limit
-	Blocked bool          // nothing passes, also no end of a connection; it passes once this is over
-	// Of datagrams only:
+	Blocked bool          // neither data nor the end of a connection passes; both are kept until it is unblocked
+	// For UDP only:
 	Loss      float64 // share that is lost
 	Duplicate float64 // share that arrives twice
 	Reorder   float64 // share that is delayed by reorderDelay
@@ -42,14 +42,14 @@
 	normalBacklog = 1024
 )
 
-// Observer is notified of what passes a link. Its functions may be nil, and are called by many goroutines.
+// Observer has callbacks for the connections of a link. They may be nil, and are called concurrently.
 type Observer struct {
 	OnOpen func(conn uint64)
 	// OnReceived is called with bytes from the client, before any fault, and OnSent with bytes for the client, after all faults.
 	OnReceived func(conn uint64, p []byte)
 	OnSent     func(conn uint64, p []byte)
-	// OnClientClosed is called when the client has closed its side or reset the connection, and OnEnd when the client is notified that
-	// the server has.
+	// OnClientClosed is called when the client has closed its side or reset the connection, and OnEnd when the end of the connection by
+	// the server is passed on to the client.
 	OnClientClosed func(conn uint64)
 	OnEnd          func(conn uint64)
 }
@@ -70,27 +70,27 @@
 	closed     bool
 	conns      map[uint64]*relayedConn
 	flows      map[string]*net.UDPConn
-	fillers    []net.Conn // that keep the backlog of an unreachable link full
+	fillers    []net.Conn // connections that fill the backlog of an unreachable link
 	target     string
-	next       uint64 // number of the latest connection
+	next       uint64 // id of the latest connection
 	random     *rand.Rand
 	goroutines sync.WaitGroup
 }
 
-// listener is one of TCP or of a Unix socket.
+// listener is a TCP or Unix socket listener.
 type listener interface {
 	net.Listener
 	syscall.Conn
 	SetDeadline(time.Time) error
 }
 
-// Mode is what becomes of new connections.
+// Mode determines how a link handles new connections.
 type Mode int
 
 // The modes.
 const (
 	Accepting   Mode = iota
-	Unreachable      // connections are never established, as with a machine that is cut off
+	Unreachable      // connections are never established, as with a machine that is partitioned
 	Refusing         // connections are refused, as if no process listened
 )
 
@@ -112,7 +112,7 @@
 
 func (r *Cluster) listen(name, target string) (listener, error) {
 	if !strings.HasPrefix(target, unixPrefix) {
-		// Linux keeps a port for a socket that is shut down (see Refusing) only if it was asked for by its number.
+		// Linux keeps a port for a socket that is shut down (see Refusing) only if the port was chosen by its number.
 		return freeport.Listen()
 	}
 	ln, err := net.Listen("unix", filepath.Join(r.Dir, name+".link"))
@@ -149,7 +149,7 @@
 
 func (l *Link) isUnix() bool { return l.listener != nil && l.listener.Addr().Network() == "unix" }
 
-// SetConditions changes the conditions of a direction from now on, also for open connections and what waits in them.
+// SetConditions changes the conditions of a direction, also for open connections and the data that is queued in them.
 func (l *Link) SetConditions(d Direction, c Conditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,7 +157,7 @@
 	l.notifyChange()
 }
 
-// notifyChange wakes up what waits for a change. The mutex is held.
+// notifyChange wakes up the goroutines that wait for a change. The mutex is held.
 func (l *Link) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
@@ -184,14 +184,14 @@
 	return len(all)
 }
 
-// SetTarget sets the target of new connections. So a link keeps its address when a process is started again at another port.
+// SetTarget sets the target of new connections, so that a link keeps its address when a process is restarted at another port.
 func (l *Link) SetTarget(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = addr
 }
 
-// SetMode sets what becomes of new connections of TCP.
+// SetMode sets the mode of a TCP link.
 func (l *Link) SetMode(m Mode) error {
 	if l.listener == nil || l.isUnix() {
 		return fmt.Errorf("link %s: %w", l.Name, errors.ErrUnsupported)
@@ -222,11 +222,11 @@
 }
 
 const (
-	maxFillers        = 8 // one or two connections fill a backlog of zero, by the kernel's count
+	maxFillers        = 8 // one or two connections fill a backlog of zero on Linux
 	fillerDialTimeout = 20 * time.Millisecond
 )
 
-// fillBacklog makes the backlog of the listener short and fills it: then Linux drops further connection requests.
+// fillBacklog reduces the backlog of the listener to its minimum and fills it, so that Linux drops further connection requests.
 func (l *Link) fillBacklog() error {
 	if err := l.setBacklog(0); err != nil {
 		return err
@@ -240,14 +240,14 @@
 		l.fillers = append(l.fillers, c)
 		l.mu.Unlock()
 	}
-	return fmt.Errorf("link %s: its queue does not fill", l.Name)
+	return fmt.Errorf("link %s: %d connections have not filled the backlog of %s", l.Name, maxFillers, l.Addr())
 }
 
 func (l *Link) setBacklog(n int) error {
 	return l.onSocket(func(fd int) error { return unix.Listen(fd, n) })
 }
 
-// onSocket calls do with the descriptor of the listener.
+// onSocket calls do with the file descriptor of the listener.
 func (l *Link) onSocket(do func(fd int) error) error {
 	raw, err := l.listener.SyscallConn()
 	if err != nil {
--- a/internal/testcluster/output.go
+++ b/internal/testcluster/output.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	keptHead = 64 << 10 // bytes from the start of the output
-	keptTail = 64 << 10 // and from its end
+	keptHead = 64 << 10 // bytes kept from the start of the output
+	keptTail = 64 << 10 // bytes kept from its end
 )
 
 // OutputBuffer keeps the start and the end of what a process prints. It never blocks the process.
@@ -32,14 +32,14 @@
 		p = p[k:]
 	}
 	t.tail = append(t.tail, p...)
-	if over := len(t.tail) - keptTail; over > keptTail { // rarely, as it copies
+	if over := len(t.tail) - keptTail; over > keptTail { // copy rarely
 		t.dropped += over
 		t.tail = append([]byte(nil), t.tail[over:]...)
 	}
 	return n, nil
 }
 
-// String returns the output that is kept, with a mark where some is missing.
+// String returns the output that is kept, with "[...]" where some is missing.
 func (t *OutputBuffer) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -14,11 +14,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// ProcessSpec is a process to start.
+// ProcessSpec configures a process to start.
 type ProcessSpec struct {
-	Name           string // of the process, and of its directory
-	Path           string // of the program; "" for this program in a role
-	Role           string // see Main
+	Name           string // name of the process and of its directory
+	Path           string // path of the program; "" for this program
+	Role           string // role of this program, see Main
 	Args           []string
 	Env            []string
 	Stdin          *os.File
@@ -26,7 +26,7 @@
 	MaxDescriptors uint64 // 0 for the limit of this process
 }
 
-// Process is one process.
+// Process is a process of a cluster.
 type Process struct {
 	Name   string
 	Dir    string        // its working directory
@@ -41,7 +41,6 @@
 	endedAt   time.Time
 }
 
-// errProcessEnded is the error of a call on a process that has ended.
 var errProcessEnded = errors.New("the process has ended")
 
 // Start starts a process. It is killed by Close.
@@ -88,7 +87,7 @@
 		_ = unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil) // fails if the process has ended already
 	}
 	if s.Nice > 0 {
-		_ = syscall.Setpriority(syscall.PRIO_PROCESS, pid, s.Nice) // likewise
+		_ = syscall.Setpriority(syscall.PRIO_PROCESS, pid, s.Nice) // fails if the process has ended already
 	}
 	go func() {
 		_ = p.cmd.Wait() // Status and ExitCode return its result
@@ -135,7 +134,7 @@
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// Lifetime returns how long the process has run, or ran.
+// Lifetime returns the time from the start of the process to its end, or until now.
 func (p *Process) Lifetime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,7 +177,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	return fmt.Errorf("%s: it does not stop", p.Name)
+	return fmt.Errorf("%s: in state %q after SIGSTOP, want T", p.Name, p.schedState())
 }
 
 // suspendChecks bounds the checks for a suspended process, a millisecond apart.
@@ -199,7 +198,7 @@
 	return p.suspended
 }
 
-// schedState returns the letter of the state in proc(5); 0 if the process is gone.
+// schedState returns the state letter of proc(5); 0 if the process does not exist any more.
 func (p *Process) schedState() byte {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 	if err != nil {
@@ -211,16 +210,16 @@
 	return 0
 }
 
-// Terminate sends SIGTERM, and kills the process if it has not ended in time. It reports whether the process ended by itself.
-func (p *Process) Terminate(within time.Duration) bool {
+// Terminate sends SIGTERM, and kills the process if it has not ended in time. It reports whether the process ended in time.
+func (p *Process) Terminate(timeout time.Duration) bool {
 	if p.IsSuspended() {
 		_ = p.Resume() // fails if it has just ended
 	}
-	_ = p.Signal(syscall.SIGTERM) // likewise
+	_ = p.Signal(syscall.SIGTERM) // fails if it has just ended
 	select {
 	case <-p.ended:
 		return true
-	case <-time.After(within):
+	case <-time.After(timeout):
 		p.Kill()
 		return false
 	}
--- a/internal/testcluster/relay.go
+++ b/internal/testcluster/relay.go
@@ -16,7 +16,7 @@
 	acceptRetryDelay = time.Millisecond
 )
 
-// halfCloser is a connection whose sides can be closed one by one.
+// halfCloser is a connection whose write side can be closed separately.
 type halfCloser interface {
 	net.Conn
 	CloseWrite() error
@@ -33,7 +33,7 @@
 	ended  bool
 }
 
-// resetBoth resets both ends.
+// resetBoth resets the connections to the client and to the server.
 func (c *relayedConn) resetBoth() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,7 +46,7 @@
 	resetConn(c.server)
 }
 
-// closeBoth closes both ends after everything has passed.
+// closeBoth closes both connections after all data was relayed.
 func (c *relayedConn) closeBoth() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +58,7 @@
 	c.server.Close()
 }
 
-// setServer sets the other end; false if the connection was reset meanwhile.
+// setServer sets the connection to the server. It returns false if the client's connection was reset meanwhile.
 func (c *relayedConn) setServer(server halfCloser) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,7 @@
 	return true
 }
 
-// resetConn closes a connection, with a reset if it is one of TCP.
+// resetConn closes a connection. A TCP connection is reset.
 func resetConn(c halfCloser) {
 	if c == nil {
 		return
@@ -94,7 +94,7 @@
 	return c.(halfCloser), nil
 }
 
-// accept accepts connections while the mode allows, until the link is closed.
+// accept accepts connections while the mode is Accepting, until the link is closed.
 func (l *Link) accept() {
 	for {
 		l.mu.Lock()
@@ -145,7 +145,7 @@
 	delete(l.conns, c.id)
 }
 
-// relay relays the bytes of one connection both ways.
+// relay relays the data of one connection in both directions.
 func (l *Link) relay(c *relayedConn) {
 	if l.observer.OnOpen != nil {
 		l.observer.OnOpen(c.id)
@@ -178,7 +178,7 @@
 	c.closeBoth()
 }
 
-// reportEnd reports that the client is notified of the end of the connection.
+// reportEnd reports that the end of the connection is passed on to the client.
 func (l *Link) reportEnd(c *relayedConn) {
 	if l.observer.OnEnd != nil {
 		l.observer.OnEnd(c.id)
@@ -193,7 +193,7 @@
 	}
 }
 
-// chunk is some bytes on their way. The last one of a direction has none.
+// chunk is data that was read and not yet written. The last chunk of a direction has no data.
 type chunk struct {
 	receivedAt time.Time
 	data       []byte
@@ -237,7 +237,7 @@
 	}
 }
 
-// write relays what was read of one side to the other, under the conditions of the direction.
+// write writes the queued chunks to the other side, under the conditions of the direction.
 func (l *Link) write(c *relayedConn, d Direction, queue <-chan chunk, to halfCloser) {
 	var due time.Time
 	for k := range queue {
@@ -277,7 +277,7 @@
 	return true
 }
 
-// drawJitter draws a delay of up to a maximum.
+// drawJitter draws a delay below a maximum.
 func (l *Link) drawJitter(maxJitter time.Duration) time.Duration {
 	if maxJitter <= 0 {
 		return 0
--- a/internal/testcluster/relay_bench_test.go
+++ b/internal/testcluster/relay_bench_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// BenchmarkRelay tells what a link adds to a request, and how many pass one after the other on 8 connections: ns/op is of one of them,
-// p50 and p99 are of single requests on one connection.
+// BenchmarkRelay compares requests over a link with direct ones: ns/op is the time per request with 8 connections at once, p50-us and
+// p99-us are latencies of requests on one connection.
 func BenchmarkRelay(b *testing.B) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
 	defer server.Close()
@@ -27,10 +27,10 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	for _, way := range []struct{ name, addr string }{{"direct", server.Listener.Addr().String()}, {"link", l.Addr()}} {
-		b.Run(way.name, func(b *testing.B) {
-			one := func() (func(), func()) {
-				c, err := net.Dial("tcp", way.addr)
+	for _, path := range []struct{ name, addr string }{{"direct", server.Listener.Addr().String()}, {"link", l.Addr()}} {
+		b.Run(path.name, func(b *testing.B) {
+			dial := func() (request, closeConn func()) {
+				c, err := net.Dial("tcp", path.addr)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -45,23 +45,23 @@
 					_, _ = io.Copy(io.Discard, res.Body)
 				}, func() { c.Close() }
 			}
-			ask, end := one()
+			request, closeConn := dial()
 			var times []time.Duration
 			for range 2000 {
-				begun := time.Now()
-				ask()
-				times = append(times, time.Since(begun))
+				start := time.Now()
+				request()
+				times = append(times, time.Since(start))
 			}
-			end()
+			closeConn()
 			slices.Sort(times)
 			var all sync.WaitGroup
 			b.ResetTimer()
 			for n := range 8 {
 				all.Go(func() {
-					ask, end := one()
-					defer end()
+					request, closeConn := dial()
+					defer closeConn()
 					for range (b.N + n) / 8 {
-						ask()
+						request()
 					}
 				})
 			}
--- a/internal/testcluster/role.go
+++ b/internal/testcluster/role.go
@@ -13,17 +13,17 @@
 	"time"
 )
 
-// roleVariable names the role that Main plays in place of the program.
+// roleVariable is an environment variable with the role that Main runs instead of the program.
 const roleVariable = "MILLETMAST_RIG_ROLE"
 
-// The roles of this package. Programs have others.
+// The roles of this package besides RoleServer. Programs can have others.
 const (
 	roleWatchdog = "watch" // cleans up once its standard input ends
 	roleBurn     = "burn"  // uses all of a core
 )
 
-// Main plays the role that a cluster has started this process in, and does not return then. Programs and tests that use a cluster
-// call it before anything else, with their own roles.
+// Main runs the role in which a cluster has started this process, and then exits. Without a role it returns. Programs and tests that use
+// a cluster call it before anything else, with their own roles.
 func Main(own ...map[string]func() error) {
 	role := os.Getenv(roleVariable)
 	if role == "" {
@@ -35,7 +35,7 @@
 	}
 	f, ok := roles[role]
 	if !ok {
-		fmt.Fprintf(os.Stderr, "test cluster: %q is no role\n", role)
+		fmt.Fprintf(os.Stderr, "test cluster: %s: unknown role %q\n", roleVariable, role)
 		os.Exit(2)
 	}
 	if err := f(); err != nil {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// killMarked kills the processes of a cluster, and those that they start meanwhile.
+// killMarked kills the processes of a cluster, and repeats that for processes that these start meanwhile.
 func killMarked(id string) {
 	for range killRounds {
 		left := markedProcesses(id)
--- a/internal/testcluster/server.go
+++ b/internal/testcluster/server.go
@@ -17,9 +17,9 @@
 	"time"
 )
 
-// The headers that say what a request asks of a fake server.
+// The request headers that control a fake server.
 const (
-	HeaderWork  = "X-Work"  // ms of one core
+	HeaderWork  = "X-Work"  // execution time on one core at full speed, in ms
 	HeaderCalls = "X-Calls" // calls to make to the next tier meanwhile: "class:ms,class:ms"
 )
 
@@ -27,31 +27,31 @@
 type server struct {
 	spec    ServerSpec
 	started time.Time
-	facts   *json.Encoder // each fact is one write, so that those before a kill are kept
+	facts   *json.Encoder // unbuffered, so that facts before a kill are kept
 	client  *http.Client
 
 	mu          sync.Mutex
 	state       ServerState
 	conns       int
-	busy        int             // cores
+	busy        int             // cores in use
 	queue       []chan struct{} // one for each request that waits, closed when it gets a core
 	knownConns  map[net.Conn]bool
-	arrivals    []arrival // of the last OverloadTime, while cold
+	arrivals    []arrival // within the last OverloadTime, while cold
 	arrivedWork float64   // the sum of arrivals
 }
 
-// arrival is work that has arrived, in ms.
+// arrival is the work of a request, in ms, and the time of its arrival.
 type arrival struct {
 	at   time.Time
 	work float64
 }
 
-// serverMain runs a fake server until the end of its input.
+// serverMain runs a fake server until the end of its standard input.
 func serverMain() error {
 	lines := bufio.NewScanner(os.Stdin)
 	s := &server{started: time.Now(), state: ServerState{SpeedFactor: 1}, knownConns: map[net.Conn]bool{}}
 	if !lines.Scan() {
-		return errors.New("no spec came")
+		return errors.New("standard input has no ServerSpec")
 	}
 	if err := json.Unmarshal(lines.Bytes(), &s.spec); err != nil {
 		return err
@@ -73,7 +73,7 @@
 	h := &http.Server{Handler: s, ConnState: s.connState, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 		return context.WithValue(ctx, connKey{}, c)
 	}}
-	go func() { _ = h.Serve(ln) }() // until Close
+	go func() { _ = h.Serve(ln) }() // returns after Close
 	for lines.Scan() {
 		s.mu.Lock()
 		before := s.state
@@ -123,7 +123,7 @@
 	}
 }
 
-// warmth returns the share of its speed that a cold server has now.
+// warmth returns the share of its full speed that the server has now: less than 1 while it is cold.
 func (s *server) warmth() float64 {
 	age := time.Since(s.started)
 	if !s.spec.Cold || s.spec.Ramp <= 0 || age >= s.spec.Ramp {
@@ -134,7 +134,7 @@
 
 func (s *server) speed() float64 { return s.spec.Speed * s.state.SpeedFactor * s.warmth() }
 
-// ServeHTTP has a request wait for a core, and executes it.
+// ServeHTTP queues a request for a core, and executes it.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return // the request is incomplete
@@ -171,7 +171,7 @@
 	s.mu.Lock()
 	speed, state := s.speed(), s.state
 	s.mu.Unlock()
-	time.Sleep(time.Duration(work / speed * float64(time.Millisecond))) // a request that is executed goes on if its client leaves
+	time.Sleep(time.Duration(work / speed * float64(time.Millisecond))) // also if the client has left
 	if calls := r.Header.Get(HeaderCalls); calls != "" && state.Next != "" {
 		if status := s.makeCalls(r, &state, calls); status != 0 {
 			w.WriteHeader(status)
@@ -184,7 +184,7 @@
 // overloadExitCode is the exit code of a cold server that has failed under its load.
 const overloadExitCode = 3
 
-// recordArrival records work that has arrived at a cold server, and reports whether the server fails under it.
+// recordArrival records the work of a request at a cold server, and reports whether the work of the last OverloadTime overloads it.
 func (s *server) recordArrival(work, capacity float64) bool {
 	if !s.spec.Cold || s.warmth() >= 1 || s.spec.OverloadTime <= 0 {
 		return false
@@ -199,7 +199,7 @@
 	return s.arrivedWork > s.spec.OverloadFactor*capacity*s.spec.OverloadTime.Seconds()
 }
 
-// failureDraw returns a number in [0, 1) that depends on the request and the server only.
+// failureDraw returns a number in [0, 1) that is determined by the request and the server.
 func failureDraw(id, server string) float64 {
 	h := fnv.New64a()
 	h.Write([]byte(server + "/" + id))
--- a/internal/testcluster/servercalls.go
+++ b/internal/testcluster/servercalls.go
@@ -14,8 +14,8 @@
 	"syscall"
 )
 
-// makeCalls makes the calls of a request to the next tier, all at once. It returns the status for the client if one of them is not
-// answered with 200; else 0.
+// makeCalls makes the calls of a request to the next tier, all at once. It returns 0 if all responses have status 200, else the status
+// for the client.
 func (s *server) makeCalls(r *http.Request, to *ServerState, calls string) int {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -47,7 +47,7 @@
 	id          string
 }
 
-// make makes the call, and records as its client what came of it. It returns the status of the response; 0 for none.
+// make makes the call, and records its result. It returns the status of the response; 0 for none.
 func (c *tierCall) make() int {
 	for {
 		status, retry := c.send()
@@ -58,8 +58,8 @@
 	}
 }
 
-// send sends the call once. Retry says that the sidecar may have closed an idle connection before the call arrived: then it is sent
-// again under another id, and the links show whether it had arrived.
+// send sends the call once. Retry reports that the sidecar may have closed an idle connection before it received the call. The call is
+// then sent again with another id, and the facts of the links show whether the first one was received.
 func (c *tierCall) send() (status int, retry bool) {
 	var writtenAt atomic.Int64 // ns, when the last byte was written; 0 for never
 	var onReusedConn atomic.Bool
--- a/internal/testcluster/serverprocess.go
+++ b/internal/testcluster/serverprocess.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// RoleServer is the role of a fake server: cores behind one queue, as docs/design/emulate.md models them. The request itself says
-// what it takes to execute it.
+// RoleServer is the role of a fake server: cores behind one queue, as modeled in docs/design/emulate.md. Each request has a header with
+// its execution time.
 const RoleServer = "server"
 
-// listeningPattern matches the line in which a program of this project says where it listens.
+// listeningPattern matches the line in which a program of this project prints the address that it listens on.
 var listeningPattern = regexp.MustCompile(`listening addr=(\S+)`)
 
-// ServerSpec configures a fake server. It is the first line of its input, in JSON.
+// ServerSpec configures a fake server. It is sent as the first line of its standard input, in JSON.
 type ServerSpec struct {
 	Name           string        `json:"name"`
 	Cores          int           `json:"cores"`
@@ -35,11 +35,11 @@
 	NextName       string        `json:"next_name"` // the name of that sidecar in facts
 }
 
-// ServerState can be changed while a fake server runs. Each change is a line of its input, in JSON.
+// ServerState is the state of a fake server that can be changed while it runs. Each change is a line of its standard input, in JSON.
 type ServerState struct {
-	SpeedFactor  float64 `json:"slowed"`  // times its speed
-	FailureShare float64 `json:"failing"` // share of the requests that are answered with an error at once
-	// As in ServerSpec; "" for no change.
+	SpeedFactor  float64 `json:"slowed"`  // multiplies Speed
+	FailureShare float64 `json:"failing"` // share of the requests that get status 500 at once
+	// The sidecar of the next tier, as in ServerSpec. An empty Next changes neither.
 	Next     string `json:"next"`
 	NextName string `json:"next_name"`
 }
@@ -78,10 +78,10 @@
 	return s, addr, nil
 }
 
-// startTimeout is for a process of this project to listen, on a busy machine.
+// startTimeout bounds the time until a fake server listens. A busy machine may need seconds.
 const startTimeout = 20 * time.Second
 
-// SetState sets the state of the server from now on, or from when it is resumed.
+// SetState sets the state of the server. A suspended server applies it when it is resumed.
 func (s *Server) SetState(state ServerState) error { return s.send(&state) }
 
 func (s *Server) send(v any) error {
@@ -91,7 +91,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// A line is shorter than the buffer of the pipe: it does not block if the process is suspended.
+	// A line is shorter than the pipe buffer, so that the write does not block while the process is suspended.
 	if _, err := s.input.Write(append(line, '\n')); err != nil {
 		return fmt.Errorf("%s: %w", s.Name, err)
 	}
--- a/internal/testcluster/stalls.go
+++ b/internal/testcluster/stalls.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// MeasureStalls measures the longest stall of this process until the function that it returns is called. The relays of this process
-// see what is judged, and a machine that starts processes may not run it for a while, nor the runtime while a thread forks.
+// MeasureStalls measures the longest stall of this process until the returned function is called. The relays of this process observe
+// what is checked later, and they are delayed while the machine is busy with starting processes or the runtime waits for a fork.
 func MeasureStalls(ctx context.Context) (longestStall func() time.Duration) {
 	const interval = 2 * time.Millisecond
 	longest, stop, ended := time.Duration(0), make(chan struct{}), make(chan struct{})
--- a/internal/testcluster/starve.go
+++ b/internal/testcluster/starve.go
@@ -10,22 +10,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxBurners bounds the competing processes of one starved process.
+// maxBurners bounds the processes that compete with a starved one.
 const maxBurners = 16
 
-// Starve leaves a process about 1/(others+1) of one core: all of its threads are bound to one core that so many other processes keep
-// busy. The function that it returns ends that.
-func (r *Cluster) Starve(p *Process, others int) (func(), error) {
-	if others < 1 || others > maxBurners {
-		return nil, fmt.Errorf("%s: %d workers: from 1 to %d are possible", p.Name, others, maxBurners)
+// Starve leaves a process about 1/(burnerCount+1) of one core: all of its threads are bound to one core that this many other processes
+// keep busy. The returned function ends the starvation.
+func (r *Cluster) Starve(p *Process, burnerCount int) (func(), error) {
+	if burnerCount < 1 || burnerCount > maxBurners {
+		return nil, fmt.Errorf("starve %s: %d competing processes, want 1 to %d", p.Name, burnerCount, maxBurners)
 	}
-	var all unix.CPUSet
-	if err := unix.SchedGetaffinity(p.Pid(), &all); err != nil {
+	var originalCores unix.CPUSet
+	if err := unix.SchedGetaffinity(p.Pid(), &originalCores); err != nil {
 		return nil, fmt.Errorf("%s: %w", p.Name, err)
 	}
-	var one unix.CPUSet
-	one.Set(nthCore(&all, p.Pid()%max(all.Count(), 1)))
-	if err := setAffinity(p.Pid(), &one); err != nil {
+	var core unix.CPUSet
+	core.Set(nthCore(&originalCores, p.Pid()%max(originalCores.Count(), 1)))
+	if err := setAffinity(p.Pid(), &core); err != nil {
 		return nil, fmt.Errorf("%s: %w", p.Name, err)
 	}
 	var burners []*Process
@@ -34,17 +34,17 @@
 			b.Kill()
 		}
 		if p.IsRunning() {
-			_ = setAffinity(p.Pid(), &all) // fails if it has just ended
+			_ = setAffinity(p.Pid(), &originalCores) // fails if it has just ended
 		}
 	}
-	for i := range others {
+	for i := range burnerCount {
 		b, err := r.Start(ProcessSpec{Name: fmt.Sprintf("%s-burn-%d", p.Name, i), Role: roleBurn})
 		if err != nil {
 			end()
 			return nil, err
 		}
 		burners = append(burners, b)
-		if err := setAffinity(b.Pid(), &one); err != nil {
+		if err := setAffinity(b.Pid(), &core); err != nil {
 			end()
 			return nil, fmt.Errorf("%s: %w", b.Name, err)
 		}
@@ -52,10 +52,10 @@
 	return end, nil
 }
 
-// maxCores bounds the numbers of cores in a CPUSet.
+// maxCores is the number of cores in a CPUSet.
 const maxCores = 1024
 
-// nthCore returns the n-th core of a set, from 0; -1 for none.
+// nthCore returns the n-th core of a set, counted from 0; -1 for none.
 func nthCore(set *unix.CPUSet, n int) int {
 	for core := range maxCores {
 		if set.IsSet(core) {
