--- a/internal/mesh/configstore/command.go
+++ b/internal/mesh/configstore/command.go
@@ -19,8 +19,8 @@
 	configKey               = "config"
 	evacuationPrefix        = "evacuation/"
 	ejectionsKey            = "removals"
-	maxEjectionsBytes       = 1 << 20 // bytes of the encoded list
-	controlPlaneQueueLength = 64      // updates that a control plane has not taken
+	maxEjectionsBytes       = 1 << 20 // maximum size of the encoded ejections
+	controlPlaneQueueLength = 64      // unsent updates to a control plane
 	evacuationOn            = "on"
 	evacuationOff           = "off"
 )
@@ -58,7 +58,7 @@
 	}
 }
 
-// runCommand starts a command; done is called with its result, once.
+// runCommand starts a command and calls done once, with its result.
 func (s *Server) runCommand(command *controlstate.Command, done func(*controlstate.Result)) {
 	change := consensus.Change{Proposer: s.replica.Self().DiskID, Timeout: command.Timeout}
 	switch command.Kind {
@@ -80,7 +80,8 @@
 		var encoded bytes.Buffer
 		err := gob.NewEncoder(&encoded).Encode(outlierwire.FromEjections(command.Ejections))
 		if err != nil || encoded.Len() > maxEjectionsBytes {
-			done(&controlstate.Result{Status: controlstate.Rejected, Reason: "the ejections cannot be encoded"})
+			reason := fmt.Sprintf("the ejections cannot be encoded in %d bytes", maxEjectionsBytes)
+			done(&controlstate.Result{Status: controlstate.Rejected, Reason: reason})
 			return
 		}
 		change.Kind, change.Key = consensus.CompareAndSwap, ejectionsKey
@@ -102,7 +103,7 @@
 	s.apply(s.replica.Propose(time.Now(), s.lastProposalID, change))
 }
 
-// resultOf returns what is reported to the control plane of a proposal's result.
+// resultOf returns the result of a command for the control plane, by the result of its proposal.
 func (s *Server) resultOf(change *consensus.Change, r *consensus.Result) *controlstate.Result {
 	switch {
 	case r.Outcome == consensus.Conflict && change.Kind == consensus.CompareAndSwap:
@@ -125,7 +126,7 @@
 	return &controlstate.Result{Status: controlstate.Completed}
 }
 
-// describeOldVersion says what the history has of an older version of the configuration.
+// describeOldVersion describes, for the log, the history entry of an older version of the configuration.
 func describeOldVersion(history []consensus.ChosenVersion, change *consensus.Change) string {
 	i := slices.IndexFunc(history, func(p consensus.ChosenVersion) bool { return p.Number == change.Version.Number })
 	switch {
--- a/internal/mesh/configstore/output.go
+++ b/internal/mesh/configstore/output.go
@@ -8,7 +8,7 @@
 	"milletmast/internal/mesh/membership"
 )
 
-// apply persists the records of an output, then emits the rest of it.
+// apply persists the records of an output, then sends its requests and delivers its results.
 func (s *Server) apply(out consensus.Output) {
 	if !s.persist(out) {
 		return
@@ -16,8 +16,8 @@
 	s.emit(out)
 }
 
-// persist writes the records of an output to disk. It returns false if the disk failed: the rest of
-// the output must not be emitted then.
+// persist writes the records of an output to disk. If it returns false, the disk failed, and the
+// output must not be emitted.
 func (s *Server) persist(out consensus.Output) bool {
 	if s.storageFailed {
 		return false
@@ -25,9 +25,9 @@
 	if err := s.disk.persist(out.Registers, out.Voters); err != nil {
 		s.log.Error().Err(err).Msg("persist state")
 		s.storageFailed = true
-		for id, then := range s.proposals {
+		for id, done := range s.proposals {
 			delete(s.proposals, id)
-			then(consensus.Result{Outcome: consensus.Unknown})
+			done(consensus.Result{Outcome: consensus.Unknown})
 		}
 		s.pushSnapshot()
 		return false
@@ -47,8 +47,8 @@
 	s.log.Info().Msg("resume after disk failure")
 }
 
-// emit sends the requests of an output and delivers its results. What it depends on must be on
-// disk.
+// emit sends the requests of an output and delivers its results. The records of the output must be
+// on disk.
 func (s *Server) emit(out consensus.Output) {
 	s.connectPeers()
 	for i := range out.Requests {
@@ -84,8 +84,8 @@
 
 // logState logs a change of the role, the voter configuration or the lease.
 func (s *Server) logState() {
-	voters, now := s.replica.Voters(), loggedState{state: s.coordinator.State(), hasLease: s.replica.LeaseRemaining(time.Now()) > 0}
-	if now.epoch = voters.Epoch; now == s.lastLogged {
+	voters, current := s.replica.Voters(), loggedState{state: s.coordinator.State(), hasLease: s.replica.LeaseRemaining(time.Now()) > 0}
+	if current.epoch = voters.Epoch; current == s.lastLogged {
 		return
 	}
 	s.log.Info().
@@ -93,13 +93,13 @@
 		Int("voters", len(voters.Voters)).
 		Int("incoming", len(voters.Incoming)).
 		Str("coordinator", voters.Coordinator).
-		Stringer("role", now.state).
-		Bool("lease", now.hasLease).
+		Stringer("role", current.state).
+		Bool("lease", current.hasLease).
 		Msg("adopt voter configuration")
-	s.lastLogged = now
+	s.lastLogged = current
 }
 
-// loggedState is the state that was logged last.
+// loggedState is the part of the state of which logState logs changes.
 type loggedState struct {
 	epoch    uint64
 	state    membership.State
--- a/internal/mesh/configstore/peers.go
+++ b/internal/mesh/configstore/peers.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// connectPeer keeps a connection to a peer, over which requests are sent and responses received.
+// connectPeer keeps a connection to a peer, on which it sends requests and receives responses.
 func (s *Server) connectPeer(addr string) {
 	backoff := transport.Backoff{Min: firstBackoff, Max: s.scale(tickInterval)}
 	transport.KeepConnected(s.ctx, addr, s.scale(idleTimeout), backoff, (&Handshake{Peer: true}).Encode(), func(conn *transport.Conn) {
@@ -65,7 +65,7 @@
 	})
 }
 
-// handleRequest handles a request of a peer and returns the response, nil for none.
+// handleRequest handles a request of a peer and returns the response; nil if the disk has failed.
 func (s *Server) handleRequest(req *consensus.Request) *consensus.Response {
 	if s.storageFailed {
 		return nil
@@ -79,14 +79,14 @@
 	return &resp
 }
 
-// reachableMembers returns the members that were heard from recently, this one included, sorted by
-// address.
+// reachableMembers returns this member and those from which a message was received recently, sorted
+// by address.
 func (s *Server) reachableMembers() []consensus.Member {
 	out := []consensus.Member{s.replica.Self()}
 	now := time.Now()
-	for _, o := range s.replica.PeerStatuses() {
-		if o.Alive(now) {
-			out = append(out, o.Member)
+	for _, p := range s.replica.PeerStatuses() {
+		if p.Alive(now) {
+			out = append(out, p.Member)
 		}
 	}
 	slices.SortFunc(out, func(a, b consensus.Member) int { return strings.Compare(a.Addr, b.Addr) })
--- a/internal/mesh/configstore/record_test.go
+++ b/internal/mesh/configstore/record_test.go
@@ -18,15 +18,15 @@
 	"milletmast/internal/mesh/storage"
 )
 
-// The golden state directory was written by the program before its types were renamed, and never changes: what is on a disk is read by
-// every later program.
+// The golden state directory was written by the version of the program before its types were renamed, and never changes: every later
+// version must read the disks of earlier ones.
 const (
 	goldenState    = "testdata/golden"
 	goldenFile     = "logbook.db"
 	goldenVariable = "GOLDEN_STATE_DIR"
 )
 
-// goldenMembers are voters of a joint configuration.
+// goldenMembers returns the present and the incoming voters of a joint configuration.
 func goldenMembers() (old, next []consensus.Member) {
 	old = []consensus.Member{
 		{DiskID: "10.1.0.1#first", Node: "core-1", Addr: "10.1.0.1:7620", Zone: "z1", InQuorum: true},
@@ -37,90 +37,90 @@
 	return old, next
 }
 
-// goldenContents are the name of the disk, its registers and the voters that the golden state holds.
-func goldenContents() (disk string, registers []consensus.Register, set consensus.VoterConfig) {
+// goldenContents returns the disk identity, the registers and the voter configuration of the golden state.
+func goldenContents() (disk string, registers []consensus.Register, voters consensus.VoterConfig) {
 	old, next := goldenMembers()
-	set = consensus.VoterConfig{Epoch: 7, Coordinator: old[0].DiskID, Voters: old, Incoming: next}
+	voters = consensus.VoterConfig{Epoch: 7, Coordinator: old[0].DiskID, Voters: old, Incoming: next}
 	low, high := consensus.Ballot{Round: 3, Proposer: old[1].DiskID}, consensus.Ballot{Round: 9, Proposer: old[0].DiskID}
 	config := []byte(`{"version":12}`)
 	return old[0].DiskID, []consensus.Register{
 		{RegisterState: consensus.RegisterState{Key: "config", Promised: high, Accepted: high}, Value: consensus.Value{Version: consensus.Version{Number: 12}, Body: config, History: []consensus.ChosenVersion{{Number: 11, Digest: 5}, {Number: 12, Digest: consensus.Digest(config)}}}},
 		{RegisterState: consensus.RegisterState{Key: "evacuation/z2", Promised: high, Accepted: low}, Value: consensus.Value{Version: consensus.Version{Number: 2, Proposer: old[1].DiskID}, Body: []byte("on"), History: []consensus.ChosenVersion{{Number: 1, Digest: 8}, {Number: 2, Digest: 9}}}},
-		{RegisterState: consensus.RegisterState{Key: "removals", Promised: high}}, // promised, and nothing accepted
-		{RegisterState: consensus.RegisterState{Key: "set", Promised: low, Accepted: low}, Value: consensus.Value{Version: consensus.Version{Number: 7}, Voters: &set}},
-	}, set
+		{RegisterState: consensus.RegisterState{Key: "removals", Promised: high}}, // promised, no value accepted
+		{RegisterState: consensus.RegisterState{Key: "set", Promised: low, Accepted: low}, Value: consensus.Value{Version: consensus.Version{Number: 7}, Voters: &voters}},
+	}, voters
 }
 
-// writeGolden writes the golden state to an empty directory in four batches, the last of which replaces what the others wrote.
-func writeGolden(folder string) error {
-	book, _, err := storage.Open(folder)
+// writeGolden writes the golden state to an empty directory in four batches, the last of which replaces records of the others.
+func writeGolden(dir string) error {
+	store, _, err := storage.Open(dir)
 	if err != nil {
 		return err
 	}
-	name, registers, set := goldenContents()
-	d := disk{book, map[string]consensus.Ballot{}}
+	diskID, registers, voters := goldenContents()
+	d := disk{store, map[string]consensus.Ballot{}}
 	err = errors.Join(
-		d.write(map[string]any{diskIDRecord: name}, nil, &consensus.VoterConfig{Epoch: 6, Voters: set.Voters}),
+		d.write(map[string]any{diskIDRecord: diskID}, nil, &consensus.VoterConfig{Epoch: 6, Voters: voters.Voters}),
 		d.persist(registers[:1], nil),
-		d.persist(registers[1:], &set),
+		d.persist(registers[1:], &voters),
 		d.persist(registers[:2], nil),
 	)
-	return errors.Join(err, book.Close())
+	return errors.Join(err, store.Close())
 }
 
-// tornTail is the start of a batch that a loss of power left.
+// tornTail is the start of a batch that a power loss left at the end of the golden file.
 const tornTail = "*3\r\n$3\r\nset\r\n$6\r\ncommit\r\n$32\r\nhalf of"
 
 func TestGoldenStateIsRead(t *testing.T) {
-	folder := t.TempDir()
-	if err := os.CopyFS(folder, os.DirFS(goldenState)); err != nil {
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(goldenState)); err != nil {
 		t.Fatal(err)
 	}
-	name, registers, set := goldenContents()
-	contents, err := Verify(folder)
+	diskID, registers, voters := goldenContents()
+	contents, err := Verify(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if contents.TornBytes != int64(len(tornTail)) {
 		t.Errorf("torn tail of %d bytes, want %d", contents.TornBytes, len(tornTail))
 	}
-	book, spoilt, err := storage.Open(folder)
-	if err != nil || spoilt != nil {
-		t.Fatal(err, spoilt)
+	store, corrupt, err := storage.Open(dir)
+	if err != nil || corrupt != nil {
+		t.Fatal(err, corrupt)
 	}
-	defer book.Close()
-	gotRegisters, gotSet, before, err := loadState(book)
-	if err != nil || before {
-		t.Fatal(err, before)
+	defer store.Close()
+	gotRegisters, gotVoters, legacy, err := loadState(store)
+	if err != nil || legacy {
+		t.Fatal(err, legacy)
 	}
 	if !reflect.DeepEqual(gotRegisters, registers) {
 		t.Errorf("registers\n%+v\nwant\n%+v", gotRegisters, registers)
 	}
-	if !reflect.DeepEqual(gotSet, set) {
-		t.Errorf("voters\n%+v\nwant\n%+v", gotSet, set)
+	if !reflect.DeepEqual(gotVoters, voters) {
+		t.Errorf("voters\n%+v\nwant\n%+v", gotVoters, voters)
 	}
-	var gotName string
-	if ok, err := book.Get(diskIDRecord, &gotName); !ok || err != nil || gotName != name {
-		t.Errorf("name of the disk %q, %v, %v", gotName, ok, err)
+	var gotDiskID string
+	if ok, err := store.Get(diskIDRecord, &gotDiskID); !ok || err != nil || gotDiskID != diskID {
+		t.Errorf("disk identity %q, %v, %v", gotDiskID, ok, err)
 	}
 }
 
-// TestGoldenStateIsWritten has a process of its own write the state: gob numbers types in the order in which a process first encodes them.
+// The state is written by a separate process, as gob numbers types in the order in which a process first encodes them.
 func TestGoldenStateIsWritten(t *testing.T) {
-	if folder := os.Getenv(goldenVariable); folder != "" {
-		if err := writeGolden(folder); err != nil {
+	if dir := os.Getenv(goldenVariable); dir != "" {
+		if err := writeGolden(dir); err != nil {
 			t.Fatal(err)
 		}
 		return
 	}
-	folder := t.TempDir()
+	dir := t.TempDir()
 	child := exec.Command(os.Args[0], "-test.run=^TestGoldenStateIsWritten$")
-	child.Env = append(os.Environ(), goldenVariable+"="+folder)
+	child.Env = append(os.Environ(), goldenVariable+"="+dir)
 	child.Stdout, child.Stderr = io.Discard, os.Stderr
 	if err := child.Run(); err != nil {
 		t.Fatal(err)
 	}
-	got, err := os.ReadFile(filepath.Join(folder, goldenFile))
+	got, err := os.ReadFile(filepath.Join(dir, goldenFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,24 +134,24 @@
 	}
 }
 
-// describeFile describes the records of a file in the order in which they stand. What a commit says of them, their length and checksum, is
-// checked by whoever reads the file.
+// describeFile describes the records of a file in their order. The length and checksum in a commit are not described: reading the file
+// checks them.
 func describeFile(t *testing.T, file []byte) string {
 	t.Helper()
 	var out strings.Builder
 	for len(file) > 0 {
 		rest, ok := bytes.CutPrefix(file, []byte("*3\r\n$3\r\nset\r\n"))
 		if !ok {
-			t.Fatalf("no record: %.40q", file)
+			t.Fatalf("no record begins at %.40q", file)
 		}
-		key, rest := cutString(t, rest)
-		value, rest := cutString(t, rest)
+		key, rest := parseBulkString(t, rest)
+		value, rest := parseBulkString(t, rest)
 		file = rest
 		if key == "commit" {
 			fmt.Fprintln(&out, "commit")
 			continue
 		}
-		text, err := compat.Describe([]byte(value[8:])) // behind the checksum
+		text, err := compat.Describe([]byte(value[8:])) // after the checksum
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -160,13 +160,13 @@
 	return out.String()
 }
 
-// cutString reads one string of a command, $length CRLF bytes CRLF.
-func cutString(t *testing.T, text []byte) (s string, rest []byte) {
+// parseBulkString reads a string of a command, $length CRLF bytes CRLF, and returns it with the text that follows.
+func parseBulkString(t *testing.T, text []byte) (s string, rest []byte) {
 	t.Helper()
 	head, rest, ok := bytes.Cut(text, []byte("\r\n"))
 	n, err := strconv.Atoi(strings.TrimPrefix(string(head), "$"))
 	if !ok || err != nil || len(rest) < n+2 {
-		t.Fatalf("no string: %.40q", text)
+		t.Fatalf("no string begins at %.40q", text)
 	}
 	return string(rest[:n]), rest[n+2:]
 }
--- a/internal/mesh/configstore/server.go
+++ b/internal/mesh/configstore/server.go
@@ -1,7 +1,7 @@
-// Package configstore is the process of the configuration store, one on each core machine, with the
-// disk. The decisions are pure: replicated registers in package consensus, changes of the voters in
-// package membership. This package carries their messages between processes, persists their records
-// before anything is sent that depends on them, and serves the control planes.
+// Package configstore is the process of the configuration store, which runs on each core machine and
+// owns a disk. The protocol logic does no I/O: package consensus has the replicated registers, package
+// membership the changes of the voters. This package carries their messages between processes,
+// persists their records before it sends anything that depends on them, and serves the control planes.
 package configstore
 
 import (
@@ -27,19 +27,19 @@
 
 var space = errorx.NewNamespace("configstore")
 
-// Start is the type of errors that keep a store from starting.
+// Start is the type of errors that prevent a store from starting.
 var Start = space.NewType("start")
 
 const (
-	tickInterval      = 300 * time.Millisecond // between two ticks if nothing is due before
+	tickInterval      = 300 * time.Millisecond // between two ticks if nothing is due earlier
 	firstBackoff      = 25 * time.Millisecond  // before a connection to a peer is retried
 	idleTimeout       = 2200 * time.Millisecond
 	resignTimeout     = 300 * time.Millisecond // for a successor to be agreed on at shutdown
-	peerQueueLength   = 256                    // requests that a peer has not taken
+	peerQueueLength   = 256                    // unsent requests to a peer
 	defaultAckTimeout = 4 * time.Second        // if the settings give none
 	defaultLease      = 2 * time.Second        // if the settings give no time for a configuration to converge
-	leaveFraction     = 0.25                   // of the grace time, for a learner to replace this voter
-	proposalFraction  = 0.75                   // of the time for an acknowledgement, for one proposal: the caller retries elsewhere then
+	leaveFraction     = 0.25                   // fraction of the grace time in which a learner may replace this voter
+	proposalFraction  = 0.75                   // fraction of the acknowledgement timeout for one proposal; the rest is for retries elsewhere
 )
 
 // Server is a running configuration store. Its state is owned by the goroutine of loop.
@@ -51,22 +51,23 @@
 
 	replica        *consensus.Replica
 	coordinator    *membership.Coordinator
-	storageFailed  bool // the disk failed: nothing is sent before the whole state is on disk
+	storageFailed  bool // the disk failed: nothing is sent until the whole state is on disk again
 	peers          map[string]*transport.Outbox
 	lastProposalID uint64
 	proposals      map[uint64]func(consensus.Result)
 	controlPlanes  map[*transport.Outbox]bool // connected ones
 	lastPushed     *controlstate.Snapshot
-	hadLease       bool        // there was a lease once: since then the committed state is known
-	lastLogged     loggedState // what logState logged last
+	hadLease       bool        // a lease was held before, so the committed state is known
+	lastLogged     loggedState // the state that logState logged last
 	wakeTimer      *time.Timer
 	stalls         process.StallDetector
-	grace          time.Duration                     // time to shut down in, by the settings at the start
-	scale          func(time.Duration) time.Duration // scales a time by the settings at the start
+	grace          time.Duration                     // time for the shutdown, from the settings at the start
+	scale          func(time.Duration) time.Duration // scales a time, by the settings at the start
 	goroutines     sync.WaitGroup
 	listener       net.Listener
 
-	// ctx ends the goroutines of a running process. It is set by Run, as functions of the loop start goroutines too.
+	// ctx ends the goroutines of a running process. Run sets it; functions that the loop runs start
+	// goroutines with it.
 	ctx context.Context
 }
 
@@ -79,7 +80,7 @@
 // New opens the disk and the port.
 func New(settings *nodeconfig.Settings, log zerolog.Logger) (*Server, error) {
 	if settings.StateDir == "" {
-		return nil, Start.New("%s: state_dir: is missing; a configuration store needs a disk", settings.Path)
+		return nil, Start.New("%s: state_dir: is missing; a configuration store needs a directory on a disk", settings.Path)
 	}
 	store, corrupt, err := storage.Open(settings.StateDir)
 	if err != nil {
@@ -123,7 +124,7 @@
 	return s, nil
 }
 
-// Run serves until ctx ends. Then it hands over the coordinator role, waits for its replacement,
+// Run serves until ctx ends. Then it hands over the coordinator role, waits to be replaced as a voter,
 // and closes the disk.
 func (s *Server) Run(ctx context.Context) error {
 	inner, stop := context.WithCancel(context.Background())
@@ -143,12 +144,12 @@
 	return s.disk.store.Close()
 }
 
-// SettingsChanged applies settings that were read again.
+// SettingsChanged applies reloaded settings.
 func (s *Server) SettingsChanged(settings *nodeconfig.Settings) {
 	s.loop.Post(func() { s.settings = settings; s.addSeeds() })
 }
 
-// tick does what is due.
+// tick runs the work that is due.
 func (s *Server) tick() {
 	s.stalls.Tick(time.Now())
 	if s.storageFailed {
@@ -159,11 +160,11 @@
 	s.pushSnapshot()
 }
 
-// Handshake is the first message of a connection to a store. One field is set.
+// Handshake is the first message of a connection to a store. Exactly one field is set.
 type Handshake struct {
 	Peer         bool   // another store; each side sends its member next
 	ControlPlane string // the node of a control plane
-	StatusQuery  bool   // a query that a Status answers
+	StatusQuery  bool   // a query; the response is a Status
 }
 
 // serveConn serves one connection.
--- a/internal/mesh/configstore/server_test.go
+++ b/internal/mesh/configstore/server_test.go
@@ -24,17 +24,17 @@
 )
 
 func TestMain(m *testing.M) {
-	// The library looks each second whether its file was closed.
+	// buntdb checks every second whether its database was closed.
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/tidwall/buntdb.(*DB).backgroundManager"))
 }
 
-// fleet is some stores on addresses of their own of the loopback network.
+// testCluster runs stores on separate addresses of the loopback network.
 type testCluster struct {
 	t     testing.TB
 	port  int
 	seeds []string
-	disks string
-	up    map[string]*runningStore
+	disks string                   // directory with the disks
+	up    map[string]*runningStore // by IP
 	grace time.Duration
 }
 
@@ -43,65 +43,72 @@
 	done sync.WaitGroup
 }
 
-// newFleet starts stores with empty disks; the first three are the seeds. They have no time to end in.
-func newFleet(t testing.TB, n int) *testCluster { return newFleetWithin(t, n, 0) }
+// newTestCluster starts stores with empty disks and no grace time; the first three are the seeds.
+func newTestCluster(t testing.TB, n int) *testCluster { return newTestClusterWithGrace(t, n, 0) }
 
-func newFleetWithin(t testing.TB, n int, grace time.Duration) *testCluster {
-	f := &testCluster{t: t, grace: grace, disks: t.TempDir(), up: map[string]*runningStore{}}
-	f.port = freeport.ForTest(t, 3).First + 1
+func newTestClusterWithGrace(t testing.TB, n int, grace time.Duration) *testCluster {
+	c := &testCluster{t: t, grace: grace, disks: t.TempDir(), up: map[string]*runningStore{}}
+	c.port = freeport.ForTest(t, 3).First + 1
 	for i := range min(n, 3) {
-		f.seeds = append(f.seeds, fmt.Sprintf("%s:1", f.ip(i)))
+		c.seeds = append(c.seeds, fmt.Sprintf("%s:1", c.ip(i)))
 	}
 	for i := range n {
-		f.start(i, true)
+		c.start(i, true)
 	}
 	t.Cleanup(func() {
-		for ip := range f.up {
-			f.up[ip].stop()
+		for ip := range c.up {
+			c.up[ip].stop()
 		}
-		for _, r := range f.up {
+		for _, r := range c.up {
 			r.done.Wait()
 		}
 	})
-	return f
+	return c
 }
 
-func (f *testCluster) ip(i int) string { return fmt.Sprintf("127.0.7.%d", i+1) }
+func (c *testCluster) ip(i int) string { return fmt.Sprintf("127.0.7.%d", i+1) }
 
-// folder is the disk of a store; a new number is an empty one.
-func (f *testCluster) folder(i, disk int) string {
-	return filepath.Join(f.disks, fmt.Sprintf("%d-%d", i, disk))
+// address returns the address of a store.
+func (c *testCluster) address(i int) string {
+	return Address(c.ip(i), &nodeconfig.Settings{PortFrom: c.port - 1})
 }
 
-func (f *testCluster) start(i int, first bool) { f.startOn(i, 0, first) }
+// diskDir returns the directory of a disk of a store; a new disk number is an empty disk.
+func (c *testCluster) diskDir(i, disk int) string {
+	return filepath.Join(c.disks, fmt.Sprintf("%d-%d", i, disk))
+}
+
+// start starts a store on its first disk. Bootstrap reports that this is the first start of the cluster.
+func (c *testCluster) start(i int, bootstrap bool) { c.startOn(i, 0, bootstrap) }
 
-func (f *testCluster) startOn(i, disk int, first bool) {
-	f.t.Helper()
+// startOn starts a store on a disk.
+func (c *testCluster) startOn(i, disk int, bootstrap bool) {
+	c.t.Helper()
 	s := &nodeconfig.Settings{
-		Path: "test", Node: fmt.Sprint("core-", i), IP: f.ip(i), Zone: fmt.Sprint("z", i), PortFrom: f.port - 1, PortTo: f.port + 1,
-		Seeds: f.seeds, Bootstrap: first, InQuorum: true, StateDir: f.folder(i, disk), FaultBudgetMachines: 1,
-		Bounds: nodeconfig.Bounds{Ack: 2 * time.Second, Converge: time.Second, Grace: f.grace},
+		Path: "test", Node: fmt.Sprint("core-", i), IP: c.ip(i), Zone: fmt.Sprint("z", i), PortFrom: c.port - 1, PortTo: c.port + 1,
+		Seeds: c.seeds, Bootstrap: bootstrap, InQuorum: true, StateDir: c.diskDir(i, disk), FaultBudgetMachines: 1,
+		Bounds: nodeconfig.Bounds{Ack: 2 * time.Second, Converge: time.Second, Grace: c.grace},
 	}
-	k, err := New(s, zerolog.Nop())
+	server, err := New(s, zerolog.Nop())
 	if err != nil {
-		f.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	r := &runningStore{stop: stop}
-	r.done.Go(func() { _ = k.Run(ctx) })
-	f.up[f.ip(i)] = r
+	r.done.Go(func() { _ = server.Run(ctx) })
+	c.up[c.ip(i)] = r
 }
 
-func (f *testCluster) stop(i int) {
-	r := f.up[f.ip(i)]
-	delete(f.up, f.ip(i))
+func (c *testCluster) stop(i int) {
+	r := c.up[c.ip(i)]
+	delete(c.up, c.ip(i))
 	r.stop()
 	r.done.Wait()
 }
 
-// order has a store carry out an order; nil if it says nothing in time.
-func (f *testCluster) order(i int, o controlstate.Command) *controlstate.Result {
-	conn, err := transport.Dial(f.t.Context(), Address(f.ip(i), &nodeconfig.Settings{PortFrom: f.port - 1}), 5*time.Second)
+// run runs a command at a store and returns its result; nil if the store does not respond in time.
+func (c *testCluster) run(i int, command controlstate.Command) *controlstate.Result {
+	conn, err := transport.Dial(c.t.Context(), c.address(i), 5*time.Second)
 	if err != nil {
 		return nil
 	}
@@ -109,21 +116,21 @@
 	if conn.Send((&Handshake{ControlPlane: "test"}).Encode()) != nil {
 		return nil
 	}
-	o.ID = 1
-	if conn.Send(controlstatewire.FromCommand(&o)) != nil {
+	command.ID = 1
+	if conn.Send(controlstatewire.FromCommand(&command)) != nil {
 		return nil
 	}
-	beats, end := time.NewTicker(tickInterval), make(chan struct{})
-	defer beats.Stop()
-	var beating sync.WaitGroup
-	defer beating.Wait()
-	defer close(end)
-	beating.Go(func() {
+	ticker, stop := time.NewTicker(tickInterval), make(chan struct{})
+	defer ticker.Stop()
+	var heartbeats sync.WaitGroup
+	defer heartbeats.Wait()
+	defer close(stop)
+	heartbeats.Go(func() {
 		for {
 			select {
-			case <-end:
+			case <-stop:
 				return
-			case <-beats.C:
+			case <-ticker.C:
 				_ = conn.Send(controlstatewire.FromCommand(&controlstate.Command{Kind: controlstate.Heartbeat}))
 			}
 		}
@@ -133,191 +140,196 @@
 		if conn.Receive(&encoded) != nil {
 			return nil
 		}
-		w := encoded.Update()
-		if w.Result != nil {
-			return w.Result
+		update := encoded.Update()
+		if update.Result != nil {
+			return update.Result
 		}
 	}
 }
 
-// until has an order carried out again and again until its result is as wanted; the order itself takes its time.
-func (f *testCluster) until(i int, o controlstate.Command, within time.Duration, want func(*controlstate.Result) bool) *controlstate.Result {
-	f.t.Helper()
+// runUntil repeats a command until its result is as wanted. No attempt starts after the timeout, but the last one may end later.
+func (c *testCluster) runUntil(i int, command controlstate.Command, timeout time.Duration, want func(*controlstate.Result) bool) *controlstate.Result {
+	c.t.Helper()
 	var last *controlstate.Result
-	for end := time.Now().Add(within); time.Now().Before(end); {
-		if last = f.order(i, o); last != nil && want(last) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); {
+		if last = c.run(i, command); last != nil && want(last) {
 			return last
 		}
 	}
-	f.t.Fatalf("order %+v at store %d ends %+v", o.Kind, i, last)
+	c.t.Fatalf("command %+v at store %d: last result %+v", command.Kind, i, last)
 	return nil
 }
 
-func done(r *controlstate.Result) bool { return r.Status == controlstate.Completed }
+func completed(r *controlstate.Result) bool { return r.Status == controlstate.Completed }
+
+// known reports whether the outcome of a command is known.
+func known(r *controlstate.Result) bool { return r.Status != controlstate.Unknown }
 
 func config(version int) []byte {
 	return fmt.Appendf(nil, `{"epoch":"r%d","routes":{"attributes":["name","authority","path_prefix","route_class","target"],"tuples":[["a","a.example","/a/","safe","one"]]},"services":{"attributes":["name"],"tuples":[["one"]]}}`, version)
 }
 
-func (f *testCluster) wants(i, version int, within time.Duration) {
-	f.t.Helper()
-	r := f.until(i, controlstate.Command{Kind: controlstate.ReadConfig}, within, done)
+// checkVersion checks that a store reads a version of the configuration within a timeout.
+func (c *testCluster) checkVersion(i, version int, timeout time.Duration) {
+	c.t.Helper()
+	r := c.runUntil(i, controlstate.Command{Kind: controlstate.ReadConfig}, timeout, completed)
 	if string(r.Body) != string(config(version)) {
-		f.t.Fatalf("store %d reads %s, want version %d", i, r.Body, version)
+		c.t.Fatalf("store %d reads %s, want version %d", i, r.Body, version)
 	}
 }
 
-// Versions only rise, what is older is acknowledged and alters nothing, and one number has one content.
+// An older version is acknowledged without effect, and a version number has one content: another content under it is a conflict. Without a
+// quorum the outcome is unknown.
 func TestCommandsAndResults(t *testing.T) {
-	f := newFleet(t, 3)
-	if r := f.until(0, controlstate.Command{Kind: controlstate.ReadConfig}, 10*time.Second, func(r *controlstate.Result) bool { return r.Status != controlstate.Unknown }); r.Status != controlstate.NotFound {
-		t.Fatalf("reading nothing: %+v", r)
+	c := newTestCluster(t, 3)
+	if r := c.runUntil(0, controlstate.Command{Kind: controlstate.ReadConfig}, 10*time.Second, known); r.Status != controlstate.NotFound {
+		t.Fatalf("read before the first configuration: %+v", r)
 	}
-	f.until(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(5)}, 5*time.Second, done)
-	f.until(1, controlstate.Command{Kind: controlstate.PutConfig, Body: config(3)}, 5*time.Second, done)
-	f.wants(2, 5, 5*time.Second)
+	c.runUntil(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(5)}, 5*time.Second, completed)
+	c.runUntil(1, controlstate.Command{Kind: controlstate.PutConfig, Body: config(3)}, 5*time.Second, completed)
+	c.checkVersion(2, 5, 5*time.Second)
 	other := append(config(5), ' ')
-	if r := f.order(2, controlstate.Command{Kind: controlstate.PutConfig, Body: other}); r == nil || r.Status != controlstate.Conflict {
-		t.Errorf("another content under the same number: %+v", r)
+	if r := c.run(2, controlstate.Command{Kind: controlstate.PutConfig, Body: other}); r == nil || r.Status != controlstate.Conflict {
+		t.Errorf("another content under the same version number: %+v", r)
 	}
-	if r := f.order(0, controlstate.Command{Kind: controlstate.PutConfig, Body: []byte(`{"epoch":"r9"`)}); r == nil || r.Status != controlstate.Rejected {
-		t.Errorf("one that is cut short: %+v", r)
+	if r := c.run(0, controlstate.Command{Kind: controlstate.PutConfig, Body: []byte(`{"epoch":"r9"`)}); r == nil || r.Status != controlstate.Rejected {
+		t.Errorf("truncated configuration: %+v", r)
 	}
-	f.until(2, controlstate.Command{Kind: controlstate.BeginEvacuation, Zone: "z1"}, 5*time.Second, done)
-	f.until(1, controlstate.Command{Kind: controlstate.FinishEvacuation, Zone: "z1"}, 5*time.Second, done)
-	f.stop(0)
-	f.stop(1)
-	if r := f.order(2, controlstate.Command{Kind: controlstate.PutConfig, Body: config(8)}); r == nil || r.Status != controlstate.Unknown {
-		t.Errorf("with one of three: %+v", r)
+	c.runUntil(2, controlstate.Command{Kind: controlstate.BeginEvacuation, Zone: "z1"}, 5*time.Second, completed)
+	c.runUntil(1, controlstate.Command{Kind: controlstate.FinishEvacuation, Zone: "z1"}, 5*time.Second, completed)
+	c.stop(0)
+	c.stop(1)
+	if r := c.run(2, controlstate.Command{Kind: controlstate.PutConfig, Body: config(8)}); r == nil || r.Status != controlstate.Unknown {
+		t.Errorf("with one store of three: %+v", r)
 	}
 }
 
-// Disks are lost one after the other, each with time to be made up for, until none of the first is left; then all are killed at
-// once. What was acknowledged is read again.
+// The disks are lost one after the other, each after the replacement of the one before, until none of the first disks is left. Then all
+// stores are stopped and restarted. Acknowledged state is read again.
 func TestAcknowledgedStateSurvivesAllFirstDisks(t *testing.T) {
-	f := newFleet(t, 3)
+	c := newTestCluster(t, 3)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for version := range 4 {
 		at := rng.IntN(3)
-		f.until(at, controlstate.Command{Kind: controlstate.PutConfig, Body: config(version + 1)}, 10*time.Second, done)
+		c.runUntil(at, controlstate.Command{Kind: controlstate.PutConfig, Body: config(version + 1)}, 10*time.Second, completed)
 		if version == 3 {
 			break
 		}
-		lost := version // the one after the other
-		f.stop(lost)
-		f.startOn(lost, 1, false) // its disk is empty, and its settings say that this is no first start
-		f.wants((lost+1)%3, version+1, 10*time.Second)
-		f.counted(lost, 10*time.Second)
+		lost := version // a different store each time
+		c.stop(lost)
+		c.startOn(lost, 1, false) // an empty disk, without bootstrap
+		c.checkVersion((lost+1)%3, version+1, 10*time.Second)
+		c.awaitVoter(lost, 10*time.Second)
 	}
 	for i := range 3 {
-		f.stop(i)
+		c.stop(i)
 	}
 	for i := range 3 {
-		f.startOn(i, 1, false)
+		c.startOn(i, 1, false)
 	}
 	for i := range 3 {
-		f.wants(i, 4, 10*time.Second)
+		c.checkVersion(i, 4, 10*time.Second)
 	}
 }
 
-// What one disk was asked for alone, and nobody acknowledged, blocks nothing: the content that is acknowledged under its number is
-// acknowledged again wherever it is sent, and read; the other is a conflict everywhere.
+// A command that only one store received, without an acknowledgement, does not block a later one with the same version number. The content
+// that is acknowledged under the number is acknowledged again at every store, and read; the other content is a conflict at every store.
 func TestUnacknowledgedCommandBlocksNothing(t *testing.T) {
-	f := newFleet(t, 3)
-	f.until(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(4)}, 10*time.Second, done)
-	f.stop(1)
-	f.stop(2)
+	c := newTestCluster(t, 3)
+	c.runUntil(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(4)}, 10*time.Second, completed)
+	c.stop(1)
+	c.stop(2)
 	never := append(config(5), ' ')
-	if r := f.order(0, controlstate.Command{Kind: controlstate.PutConfig, Body: never}); r == nil || r.Status != controlstate.Unknown {
-		t.Fatalf("one of three: %+v", r)
+	if r := c.run(0, controlstate.Command{Kind: controlstate.PutConfig, Body: never}); r == nil || r.Status != controlstate.Unknown {
+		t.Fatalf("with one store of three: %+v", r)
 	}
-	f.stop(0)
-	f.start(1, false)
-	f.start(2, false)
-	f.until(1, controlstate.Command{Kind: controlstate.PutConfig, Body: config(5)}, 10*time.Second, done)
-	f.start(0, false)
-	if r := f.until(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(5)}, 10*time.Second, func(r *controlstate.Result) bool { return r.Status != controlstate.Unknown }); r.Status != controlstate.Completed {
-		t.Fatalf("what was acknowledged, sent again to the one that was alone: %+v", r)
+	c.stop(0)
+	c.start(1, false)
+	c.start(2, false)
+	c.runUntil(1, controlstate.Command{Kind: controlstate.PutConfig, Body: config(5)}, 10*time.Second, completed)
+	c.start(0, false)
+	if r := c.runUntil(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(5)}, 10*time.Second, known); r.Status != controlstate.Completed {
+		t.Fatalf("the acknowledged configuration, sent again to the store that was alone: %+v", r)
 	}
 	for i := range 3 {
-		f.wants(i, 5, 10*time.Second)
-		if r := f.until(i, controlstate.Command{Kind: controlstate.PutConfig, Body: never}, 10*time.Second, func(r *controlstate.Result) bool { return r.Status != controlstate.Unknown }); r.Status != controlstate.Conflict {
-			t.Errorf("another content under the number, at %d: %+v", i, r)
+		c.checkVersion(i, 5, 10*time.Second)
+		if r := c.runUntil(i, controlstate.Command{Kind: controlstate.PutConfig, Body: never}, 10*time.Second, known); r.Status != controlstate.Conflict {
+			t.Errorf("another content under the version number, at store %d: %+v", i, r)
 		}
 	}
 }
 
-// A store that no quorum answers has no lease once that of its last asking is over: it says so, confirms nothing, refuses nothing that
-// is proper and reads nothing. With the others it has one again, and goes by what they decided meanwhile.
+// A store without a quorum reports no lease once its last one has expired. The outcome of every valid command is unknown then, of reads too.
+// In contact with the other stores it holds a lease again, and reads what they committed meanwhile.
 func TestIsolatedStoreReportsNoLease(t *testing.T) {
-	f := newFleet(t, 3)
-	f.until(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(4)}, 10*time.Second, done)
-	f.lease(0, true)
-	f.stop(1)
-	f.stop(2)
-	f.lease(0, false)
-	for _, o := range []controlstate.Command{{Kind: controlstate.PutConfig, Body: config(4)}, {Kind: controlstate.PutConfig, Body: append(config(4), ' ')}, {Kind: controlstate.ReadConfig}, {Kind: controlstate.BeginEvacuation, Zone: "z1"}} {
-		if r := f.order(0, o); r == nil || r.Status != controlstate.Unknown {
-			t.Errorf("order %d of one that is cut off: %+v", o.Kind, r)
+	c := newTestCluster(t, 3)
+	c.runUntil(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(4)}, 10*time.Second, completed)
+	c.awaitLease(0, true)
+	c.stop(1)
+	c.stop(2)
+	c.awaitLease(0, false)
+	for _, command := range []controlstate.Command{{Kind: controlstate.PutConfig, Body: config(4)}, {Kind: controlstate.PutConfig, Body: append(config(4), ' ')}, {Kind: controlstate.ReadConfig}, {Kind: controlstate.BeginEvacuation, Zone: "z1"}} {
+		if r := c.run(0, command); r == nil || r.Status != controlstate.Unknown {
+			t.Errorf("command %d at a store without a quorum: %+v", command.Kind, r)
 		}
 	}
-	f.start(1, false)
-	f.until(1, controlstate.Command{Kind: controlstate.PutConfig, Body: config(6)}, 10*time.Second, done)
-	f.lease(0, true)
-	f.wants(0, 6, 10*time.Second)
+	c.start(1, false)
+	c.runUntil(1, controlstate.Command{Kind: controlstate.PutConfig, Body: config(6)}, 10*time.Second, completed)
+	c.awaitLease(0, true)
+	c.checkVersion(0, 6, 10*time.Second)
 }
 
-// lease waits until a store has a lease, or has none.
-func (f *testCluster) lease(i int, want bool) {
-	f.t.Helper()
+// awaitLease waits until a store holds a lease, or holds none.
+func (c *testCluster) awaitLease(i int, want bool) {
+	c.t.Helper()
 	var s *Status
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 		var err error
-		if s, err = QueryStatus(Address(f.ip(i), &nodeconfig.Settings{PortFrom: f.port - 1}), 5*time.Second); err != nil {
-			f.t.Fatal(err)
+		if s, err = QueryStatus(c.address(i), 5*time.Second); err != nil {
+			c.t.Fatal(err)
 		}
 		if s.LeaseRemaining > 0 == want {
 			return
 		}
 	}
-	f.t.Fatalf("store %d: lease %v", i, s.LeaseRemaining)
+	c.t.Fatalf("store %d: remaining lease %v, want a lease: %v", i, s.LeaseRemaining, want)
 }
 
-// What a disk holds from the program before this one, versions without ballots, is in force after it is started on it. The file in
-// testdata was written by that program.
+// A store that starts on the disk of an earlier version of the program, which has versions without ballots, serves its state. The file in
+// testdata was written by that version.
 func TestLegacyDiskIsRead(t *testing.T) {
-	f := newFleet(t, 0)
-	f.seeds = []string{f.ip(0) + ":1"}
-	if err := os.CopyFS(f.folder(0, 0), os.DirFS("testdata/earlier")); err != nil {
+	c := newTestCluster(t, 0)
+	c.seeds = []string{c.ip(0) + ":1"}
+	if err := os.CopyFS(c.diskDir(0, 0), os.DirFS("testdata/earlier")); err != nil {
 		t.Fatal(err)
 	}
-	f.start(0, false)
-	f.wants(0, 7, 10*time.Second)
-	f.until(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(8)}, 10*time.Second, done)
-	f.stop(0)
-	c, err := Verify(f.folder(0, 0))
-	if err != nil || len(c.Problems) > 0 || len(c.Registers) != 2 || string(c.Registers[1].Value.Body) != evacuationOn {
-		t.Errorf("%v, %+v", err, c)
+	c.start(0, false)
+	c.checkVersion(0, 7, 10*time.Second)
+	c.runUntil(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(8)}, 10*time.Second, completed)
+	c.stop(0)
+	contents, err := Verify(c.diskDir(0, 0))
+	if err != nil || len(contents.Problems) > 0 || len(contents.Registers) != 2 || string(contents.Registers[1].Value.Body) != evacuationOn {
+		t.Errorf("disk after the upgrade: %v, %+v", err, contents)
 	}
-	f.start(0, false)
-	f.wants(0, 8, 10*time.Second)
+	c.start(0, false)
+	c.checkVersion(0, 8, 10*time.Second)
 }
 
-// A core that was killed whole knows what is in force again without any order, and at no time a part of it.
+// After a restart of all stores, each of them sends a complete snapshot again without a command, and never a part of it.
 func TestSnapshotAfterAllStoresWereKilled(t *testing.T) {
-	f := newFleet(t, 3)
-	f.until(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(5)}, 10*time.Second, done)
-	f.until(1, controlstate.Command{Kind: controlstate.BeginEvacuation, Zone: "z1"}, 10*time.Second, done)
+	c := newTestCluster(t, 3)
+	c.runUntil(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(5)}, 10*time.Second, completed)
+	c.runUntil(1, controlstate.Command{Kind: controlstate.BeginEvacuation, Zone: "z1"}, 10*time.Second, completed)
 	for i := range 3 {
-		f.stop(i)
+		c.stop(i)
 	}
 	for i := range 3 {
-		f.start(i, false)
+		c.start(i, false)
 	}
 	for i := range 3 {
 		var conn *transport.Conn
 		for end := time.Now().Add(10 * time.Second); conn == nil && time.Now().Before(end); {
-			conn, _ = transport.Dial(t.Context(), Address(f.ip(i), &nodeconfig.Settings{PortFrom: f.port - 1}), 10*time.Second)
+			conn, _ = transport.Dial(t.Context(), c.address(i), 10*time.Second)
 		}
 		if conn == nil {
 			t.Fatalf("store %d does not listen", i)
@@ -326,28 +338,28 @@
 		if err := conn.Send((&Handshake{ControlPlane: "test"}).Encode()); err != nil {
 			t.Fatal(err)
 		}
-		for known := false; !known; {
+		for received := false; !received; {
 			var encoded controlstatewire.Word
 			if err := conn.Receive(&encoded); err != nil {
-				t.Fatalf("store %d does not know what is in force: %v", i, err)
+				t.Fatalf("store %d sends no snapshot with a configuration: %v", i, err)
 			}
-			w := encoded.Update()
-			if w.Snapshot != nil && w.Snapshot.ConfigVersion > 0 {
-				if known = true; w.Snapshot.ConfigVersion != 5 || len(w.Snapshot.Evacuations) != 1 {
-					t.Errorf("store %d tells a part: %+v", i, w.Snapshot)
+			update := encoded.Update()
+			if update.Snapshot != nil && update.Snapshot.ConfigVersion > 0 {
+				if received = true; update.Snapshot.ConfigVersion != 5 || len(update.Snapshot.Evacuations) != 1 {
+					t.Errorf("store %d sends an incomplete snapshot: %+v", i, update.Snapshot)
 				}
 			}
 		}
 	}
 }
 
-// What a disk holds can be read while its store is away, and reading it changes nothing; a corrupt file is told.
+// Verify reads the disk of a stopped store and does not change it. A torn tail and a corrupt file are reported.
 func TestVerify(t *testing.T) {
-	f := newFleet(t, 1)
-	f.until(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(5)}, 10*time.Second, done)
-	f.until(0, controlstate.Command{Kind: controlstate.BeginEvacuation, Zone: "z1"}, 10*time.Second, done)
-	f.stop(0)
-	path := filepath.Join(f.folder(0, 0), "logbook.db")
+	c := newTestCluster(t, 1)
+	c.runUntil(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(5)}, 10*time.Second, completed)
+	c.runUntil(0, controlstate.Command{Kind: controlstate.BeginEvacuation, Zone: "z1"}, 10*time.Second, completed)
+	c.stop(0)
+	path := filepath.Join(c.diskDir(0, 0), "logbook.db")
 	before, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -359,35 +371,35 @@
 	}
 	torn := len("*3\r\n$3\r\nset\r\n")
 	write(append(slices.Clone(before), before[:torn]...))
-	c, err := Verify(f.folder(0, 0))
-	if err != nil || len(c.Problems) > 0 || len(c.Registers) != 2 || c.DiskID != f.ip(0)+"#first" || c.TornBytes != int64(torn) {
-		t.Errorf("%v, %+v", err, c)
+	contents, err := Verify(c.diskDir(0, 0))
+	if err != nil || len(contents.Problems) > 0 || len(contents.Registers) != 2 || contents.DiskID != c.ip(0)+"#first" || contents.TornBytes != int64(torn) {
+		t.Errorf("disk with a torn tail: %v, %+v", err, contents)
 	}
-	var page strings.Builder
-	c.Print(&page)
-	if !strings.Contains(page.String(), "evacuation/z1") || !strings.Contains(page.String(), f.ip(0)+"#first") {
-		t.Errorf("the page tells\n%s", page.String())
+	var printed strings.Builder
+	contents.Print(&printed)
+	if !strings.Contains(printed.String(), "evacuation/z1") || !strings.Contains(printed.String(), c.ip(0)+"#first") {
+		t.Errorf("key or disk identity is missing in the printed contents\n%s", printed.String())
 	}
-	spoilt := bytes.Replace(before, []byte("a.example"), []byte("b.example"), 1)
-	write(spoilt)
-	if c, err = Verify(f.folder(0, 0)); err != nil || len(c.Problems) != 1 {
-		t.Errorf("spoilt: %v, %+v", err, c)
+	corrupt := bytes.Replace(before, []byte("a.example"), []byte("b.example"), 1)
+	write(corrupt)
+	if contents, err = Verify(c.diskDir(0, 0)); err != nil || len(contents.Problems) != 1 {
+		t.Errorf("corrupt disk: %v, %+v", err, contents)
 	}
-	if after, _ := os.ReadFile(path); !bytes.Equal(after, spoilt) {
-		t.Error("looking at the disk has changed it")
+	if after, _ := os.ReadFile(path); !bytes.Equal(after, corrupt) {
+		t.Error("Verify has changed the disk")
 	}
 	if _, err := Verify(t.TempDir()); err == nil {
-		t.Error("a folder without a logbook is verified")
+		t.Error("Verify accepts a directory without a store")
 	}
 }
 
-// A disk that was lost to a corrupt file is another one, also where the settings still say that this is the first start: its old name would
-// vouch for what it held.
+// A disk with a corrupt file gets a new identity, even if the settings still say bootstrap: under its old identity it would count as holding
+// the promises and values that were lost.
 func TestCorruptDiskGetsANewIdentity(t *testing.T) {
-	f := newFleet(t, 1)
-	f.until(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(5)}, 10*time.Second, done)
-	f.stop(0)
-	path := filepath.Join(f.folder(0, 0), "logbook.db")
+	c := newTestCluster(t, 1)
+	c.runUntil(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(5)}, 10*time.Second, completed)
+	c.stop(0)
+	path := filepath.Join(c.diskDir(0, 0), "logbook.db")
 	text, err := os.ReadFile(path)
 	if err == nil {
 		err = os.WriteFile(path, bytes.Replace(text, []byte("a.example"), []byte("b.example"), 1), 0o600)
@@ -395,38 +407,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.start(0, true)
-	if s, err := QueryStatus(Address(f.ip(0), &nodeconfig.Settings{PortFrom: f.port - 1}), 5*time.Second); err != nil || s.DiskID == f.ip(0)+"#first" || s.IsVoter {
-		t.Errorf("%v, %+v", err, s)
+	c.start(0, true)
+	if s, err := QueryStatus(c.address(0), 5*time.Second); err != nil || s.DiskID == c.ip(0)+"#first" || s.IsVoter {
+		t.Errorf("status with a corrupt disk: %v, %+v", err, s)
 	}
 }
 
-// A store that is told to end has been replaced when it ends, if another waits: those that count and answer are never fewer than three.
+// A store that shuts down is replaced as a voter before it exits, if a learner is available: there are always three voters that respond.
 func TestLeavingStoreIsReplacedBeforeItEnds(t *testing.T) {
-	f := newFleetWithin(t, 4, 20*time.Second)
-	f.until(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(5)}, 10*time.Second, done)
-	f.until(3, controlstate.Command{Kind: controlstate.ReadConfig}, 10*time.Second, done)
-	f.stop(0)
-	if !f.counts(3, 1) {
-		t.Error("nobody had taken its place")
-	}
-	f.wants(3, 5, 5*time.Second)
+	c := newTestClusterWithGrace(t, 4, 20*time.Second)
+	c.runUntil(0, controlstate.Command{Kind: controlstate.PutConfig, Body: config(5)}, 10*time.Second, completed)
+	c.runUntil(3, controlstate.Command{Kind: controlstate.ReadConfig}, 10*time.Second, completed)
+	c.stop(0)
+	if !c.isVoter(3, 1) {
+		t.Error("the learner has not replaced the stopped store")
+	}
+	c.checkVersion(3, 5, 5*time.Second)
 }
 
-// counted waits until a store's present disk counts: the set at the others names it, and is not on its way to another.
-func (f *testCluster) counted(i int, within time.Duration) {
-	f.t.Helper()
+// awaitVoter waits until the present disk of a store is a voter, by the status of another store, and the configuration is not joint.
+func (c *testCluster) awaitVoter(i int, timeout time.Duration) {
+	c.t.Helper()
 	var s *Status
-	for end := time.Now().Add(within); time.Now().Before(end); {
+	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		var err error
-		if s, err = QueryStatus(Address(f.ip((i+1)%3), &nodeconfig.Settings{PortFrom: f.port - 1}), 5*time.Second); err != nil {
-			f.t.Fatal(err)
+		if s, err = QueryStatus(c.address((i+1)%3), 5*time.Second); err != nil {
+			c.t.Fatal(err)
 		}
 		for _, m := range s.Voters.Voters {
-			if m.Addr == Address(f.ip(i), &nodeconfig.Settings{PortFrom: f.port - 1}) && m.DiskID != f.ip(i)+"#first" && !s.Voters.IsJoint() {
+			if m.Addr == c.address(i) && m.DiskID != c.ip(i)+"#first" && !s.Voters.IsJoint() {
 				return
 			}
 		}
 	}
-	f.t.Fatalf("the disk of store %d does not count: %+v", i, s.Voters)
+	c.t.Fatalf("the disk of store %d is not a voter: %+v", i, s.Voters)
 }
--- a/internal/mesh/configstore/shutdown.go
+++ b/internal/mesh/configstore/shutdown.go
@@ -18,7 +18,7 @@
 		}
 		s.log.Info().Str("successor", successor).Msg("hand over coordinator role")
 		s.apply(out)
-		s.awaitCondition(func() bool { set := s.replica.Voters(); return set.Coordinator == successor }, handedOver)
+		s.awaitCondition(func() bool { voters := s.replica.Voters(); return voters.Coordinator == successor }, handedOver)
 	})
 	select {
 	case <-handedOver:
@@ -26,8 +26,8 @@
 	}
 }
 
-// leave announces the shutdown and goes on serving until another disk has replaced this one, if one
-// waits.
+// leave announces the shutdown and continues to serve until a learner has replaced this voter, if one
+// is available, for at most a fraction of the grace time.
 func (s *Server) leave() {
 	replaced := make(chan struct{})
 	s.loop.Post(func() {
@@ -42,7 +42,7 @@
 	s.log.Info().Bool("replaced", ok && !voters.Contains(s.replica.Self().DiskID)).Msg("leave voters")
 }
 
-// awaitCondition closes a channel once a condition holds. It polls in the loop.
+// awaitCondition closes a channel once a condition holds. It polls the condition in the loop.
 func (s *Server) awaitCondition(condition func() bool, done chan struct{}) {
 	if condition() {
 		close(done)
--- a/internal/mesh/configstore/snapshot.go
+++ b/internal/mesh/configstore/snapshot.go
@@ -12,7 +12,7 @@
 	outlierwire "milletmast/internal/mesh/outlier/wire"
 )
 
-// leaseRemaining returns how much longer the snapshot is certain to be the newest.
+// leaseRemaining returns for how much longer the snapshot is certain to be the newest.
 func (s *Server) leaseRemaining(now time.Time) time.Duration {
 	if s.storageFailed {
 		return 0
@@ -20,8 +20,8 @@
 	return s.replica.LeaseRemaining(now)
 }
 
-// snapshot returns the committed control state. Before the first lease it is empty: this replica
-// may hold a part of it, or what was replaced long ago.
+// snapshot returns the committed control state. Before the first lease it is empty, as the registers
+// of this replica may be incomplete or outdated.
 func (s *Server) snapshot() *controlstate.Snapshot {
 	confirmed := s.leaseRemaining(time.Now()) > 0
 	if s.hadLease = s.hadLease || confirmed; !s.hadLease {
@@ -34,8 +34,8 @@
 	return snapshot
 }
 
-// SnapshotOf returns the snapshot of committed registers; confirmed says that a read lease is held.
-// With an error, the ejections are missing.
+// SnapshotOf returns the snapshot of committed registers; confirmed reports that a read lease is held.
+// If the ejections cannot be decoded, it returns the snapshot without them and an error.
 func SnapshotOf(confirmed bool, epoch uint64, committed []consensus.Register) (snapshot *controlstate.Snapshot, err error) {
 	snapshot = &controlstate.Snapshot{Confirmed: confirmed, Epoch: epoch}
 	for _, r := range committed {
@@ -58,12 +58,12 @@
 
 // pushSnapshot sends the snapshot to all control planes, if it has changed.
 func (s *Server) pushSnapshot() {
-	now := s.snapshot()
-	if s.lastPushed.Equal(now) {
+	current := s.snapshot()
+	if s.lastPushed.Equal(current) {
 		return
 	}
-	s.lastPushed = now
-	for b := range s.controlPlanes {
-		b.Send(controlstatewire.FromUpdate(&controlstate.Update{Snapshot: now, Members: s.reachableMembers()}))
+	s.lastPushed = current
+	for outbox := range s.controlPlanes {
+		outbox.Send(controlstatewire.FromUpdate(&controlstate.Update{Snapshot: current, Members: s.reachableMembers()}))
 	}
 }
--- a/internal/mesh/configstore/state.go
+++ b/internal/mesh/configstore/state.go
@@ -16,29 +16,29 @@
 	votersRecord       = "epoch" // the voter configuration
 	statePrefix        = "head/" // the state of a register: its promised and accepted ballots
 	valuePrefix        = "value/"
-	legacyVotersRecord = "set" // of an earlier program
+	legacyVotersRecord = "set" // of an earlier version of the program
 )
 
-// acceptedRecord is an accepted value on disk. It is a record of its own, as it may be large and a
-// promise does not change it.
+// acceptedRecord is an accepted value on disk. It is separate from the state of its register, as it may
+// be large and a promise does not change it.
 type acceptedRecord struct {
 	At    consensuswire.Ballot
 	Value consensuswire.Value
 }
 
-// disk is the state that a store keeps on disk.
+// disk reads and writes the state of a store on its disk.
 type disk struct {
 	store      *storage.Store
 	acceptedAt map[string]consensus.Ballot // by key, the ballot of the value on disk
 }
 
-// persist writes registers and the voter configuration, all or none. They are on disk when it
+// persist writes registers and the voter configuration, all or none. They are durable when it
 // returns.
 func (d *disk) persist(registers []consensus.Register, voters *consensus.VoterConfig) error {
 	return d.write(map[string]any{}, registers, voters)
 }
 
-// write is persist with further records.
+// write persists registers and the voter configuration together with other records, all or none.
 func (d *disk) write(records map[string]any, registers []consensus.Register, voters *consensus.VoterConfig) error {
 	for _, r := range registers {
 		records[statePrefix+r.Key] = consensuswire.FromState(r.RegisterState)
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// loadState reads the registers and the voter configuration; legacy reports that an earlier program
-// wrote them.
+// loadState reads the registers and the voter configuration; legacy reports that an earlier version of
+// the program wrote them.
 func loadState(store *storage.Store) (registers []consensus.Register, voters consensus.VoterConfig, legacy bool, err error) {
 	values := map[string]acceptedRecord{}
 	err = store.Range(valuePrefix, func(name string, decode func(any) error) error {
@@ -75,14 +75,14 @@
 		return nil, voters, false, err
 	}
 	err = store.Range(statePrefix, func(name string, decode func(any) error) error {
-		var head consensuswire.Head
-		if err := decode(&head); err != nil {
+		var state consensuswire.Head
+		if err := decode(&state); err != nil {
 			return err
 		}
-		r := consensus.Register{RegisterState: head.State()}
+		r := consensus.Register{RegisterState: state.State()}
 		v := values[r.Key]
 		if v.At.Ballot() != r.Accepted || name != statePrefix+r.Key {
-			return storage.Corrupt.New("%s: its value is not what was accepted", name)
+			return storage.Corrupt.New("%s: the stored value is not that of the accepted ballot", name)
 		}
 		r.Value = *v.Value.Value()
 		registers = append(registers, r)
@@ -99,15 +99,15 @@
 	return registers, voters, true, err
 }
 
-// legacyRecord is a version of a key as an earlier program wrote it.
+// legacyRecord is a version of a key as an earlier version of the program wrote it.
 type legacyRecord struct {
 	Stamp consensuswire.Stamp
 	Body  []byte
 }
 
-// loadLegacyState reads what an earlier program wrote: versions without ballots, and numbered voter
-// configurations. The version numbers become ballots, so that the newest version of a majority is
-// the highest ballot, as it was the highest number.
+// loadLegacyState reads the state that an earlier version of the program wrote: versions without
+// ballots, and numbered voter configurations. The version numbers become ballots, so that the newest
+// version of a majority, which had the highest number, has the highest ballot.
 func loadLegacyState(store *storage.Store) (registers []consensus.Register, voters consensus.VoterConfig, err error) {
 	var old struct {
 		Number  uint64
@@ -134,8 +134,9 @@
 	return registers, consensus.VoterConfig{Epoch: old.Number, Voters: consensuswire.Members(old.Members)}, err
 }
 
-// recoverState reads the state of the disk, and gives an empty disk its identity. A disk that was
-// lost is no bootstrap voter, whatever the settings say: its identity would vouch for what it held.
+// recoverState reads the state of the disk, and assigns an identity to an empty disk. A lost disk does
+// not become a bootstrap voter, even if the settings say so: with the identity of a bootstrap voter it
+// would count as holding the promises and values that were lost.
 func (s *Server) recoverState(lost bool) (registers []consensus.Register, voters consensus.VoterConfig, self consensus.Member, err error) {
 	self = consensus.Member{
 		Node:     s.settings.Node,
@@ -162,7 +163,7 @@
 		if err := s.disk.write(map[string]any{diskIDRecord: self.DiskID}, nil, &voters); err != nil {
 			return nil, voters, self, Start.Wrap(err, "identity of the disk")
 		}
-	} else if legacy { // write it in the present form
+	} else if legacy { // write the state in the present form
 		clear(s.disk.acceptedAt)
 		if err := s.disk.persist(registers, &voters); err != nil {
 			return nil, voters, self, Start.Wrap(err, "registers")
@@ -177,9 +178,9 @@
 	return registers, voters, self, nil
 }
 
-// bootstrapVoters returns the first voter configuration: the machines that the settings name to all processes
-// of at the very first start, without the last if their number is even. Their disks have identities
-// that all processes can derive, and that no disk is ever given again.
+// bootstrapVoters returns the first voter configuration: the seed machines, which the settings of all
+// processes list at the first start, without the last one if their number is even. All processes can
+// derive the identities of their disks, and these identities are never assigned to other disks.
 func (s *Server) bootstrapVoters(self *consensus.Member) consensus.VoterConfig {
 	first := consensus.VoterConfig{Epoch: 1}
 	ips := slices.Sorted(slices.Values(s.settings.SeedIPs()))
--- a/internal/mesh/configstore/status.go
+++ b/internal/mesh/configstore/status.go
@@ -17,7 +17,7 @@
 	Node, DiskID   string
 	IsVoter        bool // its disk is a voter
 	Voters         consensus.VoterConfig
-	Alive          map[string]bool // by disk, as this store sees them
+	Alive          map[string]bool // by disk, in the view of this store
 	Role           string          // following, campaigning, coordinating or reconfiguring
 	LeaseRemaining time.Duration   // 0 for no lease
 	StorageFailed  bool            // its disk failed
@@ -30,7 +30,7 @@
 	Version   consensus.Version
 	Bytes     int
 	Ballot    consensus.Ballot // at which the value was accepted
-	Committed bool             // the value is known as committed
+	Committed bool             // this store knows the value to be committed
 }
 
 // status returns the status report. It runs in the loop.
@@ -46,9 +46,9 @@
 		LeaseRemaining: s.leaseRemaining(now),
 		StorageFailed:  s.storageFailed,
 	}
-	for _, o := range s.replica.PeerStatuses() {
-		if o.Alive(now) {
-			status.Alive[o.DiskID] = true
+	for _, p := range s.replica.PeerStatuses() {
+		if p.Alive(now) {
+			status.Alive[p.DiskID] = true
 		}
 	}
 	for _, r := range s.replica.Acceptor().Registers() {
@@ -64,7 +64,7 @@
 	return status
 }
 
-// QueryStatus asks a store for its status report.
+// QueryStatus requests the status report of a store.
 func QueryStatus(addr string, timeout time.Duration) (*Status, error) {
 	var s wire.Status
 	if err := transport.Call(context.Background(), addr, timeout, (&Handshake{StatusQuery: true}).Encode(), &s); err != nil {
--- a/internal/mesh/configstore/verify.go
+++ b/internal/mesh/configstore/verify.go
@@ -10,16 +10,17 @@
 	"milletmast/internal/mesh/storage"
 )
 
-// Contents is what a disk holds.
+// Contents describes the state on a disk.
 type Contents struct {
 	storage.Report
-	DiskID    string // its identity
+	DiskID    string // identity of the disk
 	Voters    consensus.VoterConfig
 	Registers []consensus.Register // sorted by key
-	Problems  []string             // found in the records; empty for a disk that can be trusted
+	Problems  []string             // problems found in the file and its records; empty for a disk that can be trusted
 }
 
-// Verify reads the state in a directory and changes nothing there. No store may be running on it.
+// Verify reads the state in a directory and changes nothing there. No store may be running on the
+// directory.
 func Verify(dir string) (*Contents, error) {
 	c := &Contents{}
 	r, err := storage.Verify(dir, func(store *storage.Store) (err error) {
@@ -33,11 +34,11 @@
 	}
 	c.Report = *r
 	if r.Corruption != "" {
-		c.Problems = append(c.Problems, "the file cannot be trusted, and counts as an empty disk: "+r.Corruption)
+		c.Problems = append(c.Problems, "the file is corrupt, and the disk counts as empty: "+r.Corruption)
 		return c, nil
 	}
 	if c.DiskID == "" {
-		c.Problems = append(c.Problems, "the disk has no name: no configuration store has used it")
+		c.Problems = append(c.Problems, "the disk has no identity: no configuration store has used it")
 	}
 	for _, e := range c.Registers {
 		if e.Key != configKey {
@@ -48,7 +49,7 @@
 		} else if config.Version != e.Value.Version.Number {
 			c.Problems = append(
 				c.Problems,
-				fmt.Sprintf("%s: r%d is kept under the number %d", e.Key, config.Version, e.Value.Version.Number),
+				fmt.Sprintf("%s: version r%d is stored under version number %d", e.Key, config.Version, e.Value.Version.Number),
 			)
 		}
 	}
@@ -68,7 +69,7 @@
 		fmt.Fprintf(t, "%s\t%d\t%s\t%d\n", e.Key, e.Value.Version.Number, e.Value.Version.Proposer, len(e.Value.Body))
 	}
 	t.Flush()
-	for _, f := range c.Problems {
-		fmt.Fprintln(w, "problem:", f)
+	for _, p := range c.Problems {
+		fmt.Fprintln(w, "problem:", p)
 	}
 }
--- a/internal/mesh/configstore/newcomer_bench_test.go
+++ b/internal/mesh/configstore/voter_bench_test.go
@@ -7,11 +7,10 @@
 	"time"
 
 	"milletmast/internal/mesh/controlstate"
-	"milletmast/internal/mesh/nodeconfig"
 )
 
-// large is a configuration of so many bytes at least.
-func large(version, size int) []byte {
+// largeConfig returns a configuration whose routes have at least size bytes.
+func largeConfig(version, size int) []byte {
 	route := []byte(`["a%d","a%d.example","/a/","safe","one"]`)
 	var routes bytes.Buffer
 	for i := 0; routes.Len() < size; i++ {
@@ -23,21 +22,22 @@
 	return fmt.Appendf(nil, `{"epoch":"r%d","routes":{"attributes":["name","authority","path_prefix","route_class","target"],"tuples":[%s]},"services":{"attributes":["name"],"tuples":[["one"]]}}`, version, routes.Bytes())
 }
 
-// From the start of a store with an empty disk, at the address of one that was lost, to its disk counting.
-func BenchmarkEmptyDiskCounts(b *testing.B) {
+// BenchmarkEmptyDiskBecomesVoter measures the time from the start of a store with an empty disk, at the address of a lost one, until its
+// disk is a voter.
+func BenchmarkEmptyDiskBecomesVoter(b *testing.B) {
 	for _, size := range []int{200, 1 << 20} {
 		for _, changes := range []int{1, 100} {
 			b.Run(fmt.Sprintf("%d bytes, %d changes", size, changes), func(b *testing.B) {
-				f := newFleet(b, 3)
+				c := newTestCluster(b, 3)
 				for i := range changes {
-					f.until(0, controlstate.Command{Kind: controlstate.PutConfig, Body: large(i+1, size)}, 20*time.Second, done)
+					c.runUntil(0, controlstate.Command{Kind: controlstate.PutConfig, Body: largeConfig(i+1, size)}, 20*time.Second, completed)
 				}
 				disk := 0
 				for b.Loop() {
-					f.stop(2)
+					c.stop(2)
 					disk++
-					f.startOn(2, disk, false)
-					for !f.counts(2, 0) {
+					c.startOn(2, disk, false)
+					for !c.isVoter(2, 0) {
 					}
 				}
 			})
@@ -45,18 +45,18 @@
 	}
 }
 
-// counts tells whether the disk that is at a store now counts by the word of another.
-func (f *testCluster) counts(i, by int) bool {
-	its, err := QueryStatus(Address(f.ip(i), &nodeconfig.Settings{PortFrom: f.port - 1}), 5*time.Second)
+// isVoter reports whether the present disk of store i is a voter, by the status of another store.
+func (c *testCluster) isVoter(i, other int) bool {
+	own, err := QueryStatus(c.address(i), 5*time.Second)
 	if err != nil {
 		return false
 	}
-	s, err := QueryStatus(Address(f.ip(by), &nodeconfig.Settings{PortFrom: f.port - 1}), 5*time.Second)
+	s, err := QueryStatus(c.address(other), 5*time.Second)
 	if err != nil || s.Voters.IsJoint() {
 		return false
 	}
 	for _, m := range s.Voters.Voters {
-		if m.DiskID == its.DiskID {
+		if m.DiskID == own.DiskID {
 			return true
 		}
 	}
--- a/internal/mesh/configstore/wire/wire.go
+++ b/internal/mesh/configstore/wire/wire.go
@@ -1,7 +1,8 @@
 // Package wire holds the encoded forms of the handshake and of the status report of a configuration store.
 //
 // encoding/gob writes the names of struct types and fields between processes that are upgraded one machine at a time, so the
-// names in this package never change; the golden files of package compat check them. Package configstore converts at the edge.
+// names in this package never change; the golden files of package compat check them. Package configstore converts where a message
+// is sent or received.
 package wire
 
 import (
--- a/internal/mesh/consensus/acceptor.go
+++ b/internal/mesh/consensus/acceptor.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Acceptor is the state of one disk: what it has promised and accepted for each register. A
-// response that depends on a change may only be sent once the changed registers are on disk. It is
-// not safe for concurrent use.
+// Acceptor holds the state of one disk: the promised and accepted ballots and the accepted value of
+// each register. A response that depends on a change may only be sent once the changed registers
+// are on disk. It is not safe for concurrent use.
 type Acceptor struct{ registers map[string]Register }
 
 // NewAcceptor returns an acceptor with the registers that were read from a disk.
@@ -19,7 +19,7 @@
 	return a
 }
 
-// Get returns the register of a key, an empty one if nothing was promised for it.
+// Get returns the register of a key; an empty register if nothing was promised for the key.
 func (a *Acceptor) Get(key string) Register {
 	r, ok := a.registers[key]
 	if !ok {
--- a/internal/mesh/consensus/ballot.go
+++ b/internal/mesh/consensus/ballot.go
@@ -5,7 +5,8 @@
 )
 
 // Ballot orders the attempts to decide a register. No two attempts share a ballot: Proposer is the
-// disk of the proposer, and its own promise is on disk before it asks others for theirs.
+// disk of the proposer, and its own promise is on disk before it requests promises from other
+// replicas.
 type Ballot struct {
 	Round    uint64
 	Proposer string
@@ -17,8 +18,8 @@
 	return cmp.Or(cmp.Compare(b.Round, other.Round), cmp.Compare(b.Proposer, other.Proposer))
 }
 
-// Version numbers the values of one register: each change has a higher number. Proposer is the disk
-// that assigned the number; it is empty where operators number the values themselves.
+// Version identifies a value of one register; each change has a higher number. Proposer is the disk
+// that assigned the number; it is empty where operators assign the numbers.
 type Version struct {
 	Number   uint64
 	Proposer string
--- a/internal/mesh/consensus/bodies.go
+++ b/internal/mesh/consensus/bodies.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Large bodies travel separately from the ballots. Requests and responses carry the digest of a
+// Large bodies are sent separately from the ballots. Requests and responses carry the digest of a
 // large body, and a replica that does not hold it requests it from one peer at a time. So a round
 // that is preempted or resent costs little, a body that has arrived is used by any later ballot,
 // and a slow link is not congested.
 
 const (
-	defaultInlineLimit = 64 << 10 // bytes of a body that is sent inline, where the settings give no limit
-	maxHeldBodies      = 4        // bodies kept that no ballot has accepted yet
+	defaultInlineLimit = 64 << 10 // maximum size of a body that is sent inline, if the settings give none
+	maxHeldBodies      = 4        // maximum number of stored bodies that no ballot has accepted yet
 	bodyRetryAfter     = 2 * time.Second
-	bodyOtherPeerAfter = 400 * time.Millisecond // before another peer is asked for the same body
-	maxWantedBodies    = 16                     // bodies requested at once; a peer can name any digest
+	bodyOtherPeerAfter = 400 * time.Millisecond // before the same body is requested from another peer
+	maxWantedBodies    = 16                     // maximum number of bodies requested at once, as a peer can send any digest
 )
 
 // bodies holds the large bodies that have arrived and are not accepted yet, and the requests for
@@ -33,17 +33,17 @@
 	content []byte
 }
 
-// bodyRequest is the state of the requests for one missing body.
+// bodyRequest holds the state of the requests for one missing body.
 type bodyRequest struct {
-	lastSent time.Time            // to any peer
-	nextAt   map[string]time.Time // by address: the body is not requested again before
+	lastSent time.Time            // last request, to any peer
+	nextAt   map[string]time.Time // by address: the earliest time of the next request
 	backoff  map[string]time.Duration
 }
 
-// detachBody returns a value as it is sent: a large body is replaced by its digest, if the peer
-// supports that. Programs of earlier versions do not.
-func (r *Replica) detachBody(v *Value, detached bool) *Value {
-	if !detached || len(v.Body) <= r.bodies.inlineLimit {
+// detachBody returns a value in the form in which it is sent: a large body is replaced by its digest,
+// if the peer supports detached bodies. Earlier versions of the program do not.
+func (r *Replica) detachBody(v *Value, supported bool) *Value {
+	if !supported || len(v.Body) <= r.bodies.inlineLimit {
 		return v
 	}
 	stripped := *v
@@ -85,11 +85,11 @@
 }
 
 // shouldRequestBody reports whether a body is to be requested from a peer now, and records the
-// request. The same peer is asked again with exponential backoff, as the body may be on its way.
+// request. Requests to the same peer back off exponentially, as the body may still be in transit.
 func (r *Replica) shouldRequestBody(now time.Time, addr string, digest uint64) bool {
 	req := r.bodies.wanted[digest]
 	if req == nil {
-		if len(r.bodies.wanted) >= maxWantedBodies { // a superseded body is never named again, so the oldest request makes room
+		if len(r.bodies.wanted) >= maxWantedBodies { // drop the oldest request: its body may be superseded and never arrive
 			oldest := slices.MinFunc(slices.Collect(maps.Keys(r.bodies.wanted)), func(a, b uint64) int {
 				return cmp.Or(r.bodies.wanted[a].lastSent.Compare(r.bodies.wanted[b].lastSent), cmp.Compare(a, b))
 			})
@@ -106,7 +106,7 @@
 	return true
 }
 
-// requestBody requests a body from a peer, if it is time to.
+// requestBody requests a body from a peer, if a request is due.
 func (r *Replica) requestBody(now time.Time, p *peer, digest uint64) {
 	if r.shouldRequestBody(now, p.addr, digest) {
 		r.send(p, Request{Type: MsgFetchBody, Digest: digest})
@@ -124,7 +124,7 @@
 	return resp
 }
 
-// bodyArrived stores a body and continues the rounds that wait for it.
+// bodyArrived stores a body and resumes the rounds that wait for it.
 func (r *Replica) bodyArrived(now time.Time, body []byte) {
 	digest := Digest(body)
 	if _, ok := r.bodies.wanted[digest]; !ok {
@@ -143,9 +143,9 @@
 	r.lastReadAt = time.Time{}
 }
 
-// forgetBodyRequests resets the requests to a peer whose connection was replaced: the responses
-// will not come.
-func (r *Replica) forgetBodyRequests(addr string) {
+// resetBodyRequests resets the requests to a peer whose connection was replaced, as their responses
+// are lost.
+func (r *Replica) resetBodyRequests(addr string) {
 	for _, req := range r.bodies.wanted {
 		delete(req.nextAt, addr)
 		delete(req.backoff, addr)
--- a/internal/mesh/consensus/bodies_test.go
+++ b/internal/mesh/consensus/bodies_test.go
@@ -6,70 +6,70 @@
 	"time"
 )
 
-// pair are two replicas of a set of two; the second holds nothing.
-func pair(along int, held ...Register) (a, b *Replica) {
+// newReplicaPair returns the two replicas of a configuration with two voters; the second has no registers.
+func newReplicaPair(inlineLimit int, stored ...Register) (a, b *Replica) {
 	x, y := Member{DiskID: "a", Addr: "a", InQuorum: true}, Member{DiskID: "b", Addr: "b", InQuorum: true}
-	set := VoterConfig{Epoch: 1, Voters: []Member{x, y}}
-	s := Settings{Lease: 2 * time.Second, ProposalTimeout: 10 * time.Second, InlineLimit: along}
-	return NewReplica(x, s, set, held), NewReplica(y, s, set, nil)
+	voters := VoterConfig{Epoch: 1, Voters: []Member{x, y}}
+	s := Settings{Lease: 2 * time.Second, ProposalTimeout: 10 * time.Second, InlineLimit: inlineLimit}
+	return NewReplica(x, s, voters, stored), NewReplica(y, s, voters, nil)
 }
 
-// A program of before takes no large body apart: it is told, and asked about, whole values. One that does is told the digest, wants the
-// body once, however often it is told of it, and again of the same peer after a while only.
+// A peer without support for detached bodies receives complete values. A peer with it receives the digest, requests the body once, however
+// often the digest arrives, and requests it again from the same peer only after bodyRetryAfter.
 func TestLargeBodyIsRequestedFromOnePeerAtATime(t *testing.T) {
 	now := time.Unix(1, 0)
 	large := bytes.Repeat([]byte("x"), 100)
 	x := Ballot{Round: 1, Proposer: "a"}
-	a, b := pair(10, Register{RegisterState: RegisterState{Key: "k", Promised: x, Accepted: x}, Value: Value{Version: Version{Number: 1}, Body: large}})
+	a, b := newReplicaPair(10, Register{RegisterState: RegisterState{Key: "k", Promised: x, Accepted: x}, Value: Value{Version: Version{Number: 1}, Body: large}})
 	fetch := Request{From: b.Self(), Epoch: 1, Type: MsgFetch, Keys: []string{"k"}}
 	if old, _ := a.HandleRequest(now, &fetch); !bytes.Equal(old.Registers[0].Value.Body, large) || old.Registers[0].Value.BodyDigest != 0 {
-		t.Errorf("a program of before is told %+v", old.Registers)
+		t.Errorf("a peer without detached bodies received %+v", old.Registers)
 	}
 	fetch.DetachedBodies = true
-	told, _ := a.HandleRequest(now, &fetch)
-	if v := told.Registers[0].Value; len(v.Body) > 0 || v.BodyDigest != Digest(large) {
-		t.Fatalf("told %+v", v)
+	detached, _ := a.HandleRequest(now, &fetch)
+	if v := detached.Registers[0].Value; len(v.Body) > 0 || v.BodyDigest != Digest(large) {
+		t.Fatalf("a peer with detached bodies received %+v", v)
 	}
-	wants := func(at time.Time) (out []Request) {
-		for _, k := range b.HandleResponse(at, &told).Requests {
-			if k.Type == MsgFetchBody {
-				out = append(out, k)
+	bodyRequests := func(at time.Time) (out []Request) {
+		for _, req := range b.HandleResponse(at, &detached).Requests {
+			if req.Type == MsgFetchBody {
+				out = append(out, req)
 			}
 		}
 		return out
 	}
-	first := wants(now)
-	if len(first) != 1 || first[0].Digest != Digest(large) || len(wants(now.Add(time.Second))) != 0 {
-		t.Fatalf("it is wanted %v", first)
+	first := bodyRequests(now)
+	if len(first) != 1 || first[0].Digest != Digest(large) || len(bodyRequests(now.Add(time.Second))) != 0 {
+		t.Fatalf("requests for the body: %v, or another within a second", first)
 	}
-	if again := wants(now.Add(bodyRetryAfter)); len(again) != 1 {
-		t.Errorf("not wanted again: %v", again)
+	if again := bodyRequests(now.Add(bodyRetryAfter)); len(again) != 1 {
+		t.Errorf("requests after %v: %v, want 1", bodyRetryAfter, again)
 	}
-	if b.PeerReconnected(now, "a"); len(wants(now.Add(bodyRetryAfter))) != 1 {
-		t.Error("not wanted at once of one that was reached anew")
+	if b.PeerReconnected(now, "a"); len(bodyRequests(now.Add(bodyRetryAfter))) != 1 {
+		t.Error("the body is not requested at once after a reconnect")
 	}
-	given, _ := a.HandleRequest(now, &first[0])
-	b.HandleResponse(now, &given)
-	b.HandleResponse(now, &told)
+	bodyResponse, _ := a.HandleRequest(now, &first[0])
+	b.HandleResponse(now, &bodyResponse)
+	b.HandleResponse(now, &detached)
 	if got := b.Acceptor().Get("k"); !bytes.Equal(got.Value.Body, large) || got.Value.BodyDigest != 0 || got.Accepted != x {
-		t.Errorf("held: %+v", got)
+		t.Errorf("stored register %+v", got)
 	}
 }
 
-// Bodies that were wanted and never come, as they were overtaken, keep nobody from wanting others, however many there were.
+// Requests for superseded bodies, which never arrive, do not block requests for others, however many there are.
 func TestMissingBodiesBlockNothing(t *testing.T) {
 	now := time.Unix(1, 0)
-	_, b := pair(10)
+	_, b := newReplicaPair(10)
 	for n := range uint64(10 * maxWantedBodies) {
 		now = now.Add(bodyOtherPeerAfter)
-		told := Response{From: Member{DiskID: "a", Addr: "a"}, Epoch: 1, DetachedBodies: true, Registers: []Register{{
+		resp := Response{From: Member{DiskID: "a", Addr: "a"}, Epoch: 1, DetachedBodies: true, Registers: []Register{{
 			RegisterState: RegisterState{Key: "k", Accepted: Ballot{Round: n + 1, Proposer: "a"}}, Value: Value{BodyDigest: n + 1},
 		}}}
-		if out := b.HandleResponse(now, &told); len(out.Requests) != 1 || out.Requests[0].Type != MsgFetchBody || out.Requests[0].Digest != n+1 {
-			t.Fatalf("body %d: asked %+v", n, out.Requests)
+		if out := b.HandleResponse(now, &resp); len(out.Requests) != 1 || out.Requests[0].Type != MsgFetchBody || out.Requests[0].Digest != n+1 {
+			t.Fatalf("body %d: requests %+v", n, out.Requests)
 		}
 	}
 	if len(b.bodies.wanted) > maxWantedBodies {
-		t.Errorf("%d are wanted", len(b.bodies.wanted))
+		t.Errorf("%d bodies are requested at once, more than %d", len(b.bodies.wanted), maxWantedBodies)
 	}
 }
--- a/internal/mesh/consensus/change.go
+++ b/internal/mesh/consensus/change.go
@@ -9,13 +9,13 @@
 // VoterConfigKey is the key of the register that holds the voter configuration.
 const VoterConfigKey = "set"
 
-// ChangeKind is what a change does with the value of a register.
+// ChangeKind is the effect of a change on the value of a register.
 type ChangeKind uint8
 
 // The kinds of changes. Each may be applied again: the outcome and the value are the same.
 const (
-	Read           ChangeKind = iota + 1 // changes nothing
-	Repropose                            // changes nothing, but has the current value accepted at a new ballot
+	Read           ChangeKind = iota + 1 // leaves the value as it is
+	Repropose                            // has the current value accepted at a new ballot
 	PutVersion                           // replaces a value that has a lower version, which the caller assigns
 	Put                                  // replaces a different body, under the next version
 	CompareAndSwap                       // replaces the value that has the given version
@@ -28,14 +28,14 @@
 	Key      string
 	Version  Version // PutVersion: the version of the body; CompareAndSwap: the version to replace
 	Body     []byte
-	Proposer string       // the disk that assigns a version
-	Voters   *VoterConfig // Reconfigure: the configuration
+	Proposer string       // the disk that assigns the version
+	Voters   *VoterConfig // Reconfigure: the new configuration
 	// Timeout is how long the change is attempted; 0 means Settings.ProposalTimeout. It is not
-	// sent to others.
+	// sent to peers.
 	Timeout time.Duration
-	// Attempted are the versions that earlier attempts of this very change assigned. Any of
-	// them may have been committed without its proposer knowing, and been followed by others
-	// since.
+	// Attempted holds the versions that earlier attempts of this change assigned. Any of them may
+	// have been committed without an acknowledgement to the proposer, and later versions may have
+	// followed it.
 	Attempted []Version
 }
 
@@ -45,8 +45,8 @@
 // The outcomes of a change.
 const (
 	Committed Outcome = iota + 1
-	Conflict          // another value is committed in its place; this one never will be by this change
-	Unknown           // no quorum answered in time: it may be committed or not, now or later
+	Conflict          // another value is committed instead; this change will not be committed
+	Unknown           // no quorum responded in time: the change may or may not be committed, now or later
 )
 
 // Apply returns the value that follows the current one, and the outcome of the change if that value
@@ -85,9 +85,9 @@
 	return current, Committed
 }
 
-// putVersion keeps the order of the operators' version numbers: a higher number replaces the value,
-// the same content is acknowledged again, other content under the same number is a conflict, and a
-// lower number is acknowledged and changes nothing.
+// putVersion enforces the order of the operators' version numbers: a higher number replaces the
+// value, the same number with the same content is acknowledged again, the same number with different
+// content is a conflict, and a lower number is acknowledged without effect.
 func (c *Change) putVersion(current *Value) (*Value, Outcome) {
 	switch {
 	case current == nil || c.Version.Number > current.Version.Number:
@@ -108,8 +108,8 @@
 	return next
 }
 
-// chosenVersion returns the history entry of the value that this change makes. Where the system
-// assigns the numbers, two proposers may assign the same one, so the digest covers the proposer
+// chosenVersion returns the history entry of the value that this change produces. Where the system
+// assigns the numbers, two proposers may assign the same number, so the digest covers the proposer
 // too.
 func (c *Change) chosenVersion(version Version) ChosenVersion {
 	if version.Proposer == "" {
@@ -118,8 +118,9 @@
 	return ChosenVersion{version.Number, Digest(slices.Concat([]byte(version.Proposer), []byte{0}, c.Body))}
 }
 
-// alreadyApplied reports whether an earlier attempt of this change was committed, whatever followed
-// it. The history is bounded; no change is attempted for as long as it takes to fill it.
+// alreadyApplied reports whether an earlier attempt of this change was committed, even if other
+// changes followed it. The history is bounded: attempts of a change end before later versions can
+// displace its entry.
 func (c *Change) alreadyApplied(current *Value) bool {
 	return current != nil &&
 		slices.ContainsFunc(c.Attempted, func(version Version) bool { return slices.Contains(current.History, c.chosenVersion(version)) })
--- a/internal/mesh/consensus/doc.go
+++ b/internal/mesh/consensus/doc.go
@@ -7,14 +7,14 @@
 // of an Understandable Consensus Algorithm", section 6): while a configuration is joint, each decision needs a majority of the
 // old voters and one of the new.
 //
-// The package is pure, in the manner of a raft library: an Acceptor is the state of one disk, a Replica is one process. Requests,
-// responses and the time go in; an Output comes out with records to persist, requests to send and results. Nothing of an Output
-// may leave the process before its records are on disk.
+// The package does no I/O: an Acceptor is the state of one disk, a Replica is one process. The inputs are requests, responses and
+// the time; each returns an Output with records to persist, requests to send and results. Requests and results may only be sent
+// once the records of the same Output are on disk.
 //
 // Invariants:
 //   - A ballot is used by one proposer for one value. Its own promise is persisted before it is sent.
 //   - An acceptor never accepts a ballot below one that it has promised.
 //   - A value is committed once a quorum has accepted it at one ballot. A later ballot can only commit a successor of it.
-//   - The epoch of a request and that of its receiver are equal, or nothing is done.
+//   - A request has no effect unless its epoch equals that of the receiver.
 //   - A read lease counts from the moment at which the quorum read was sent.
 package consensus
--- a/internal/mesh/consensus/handler.go
+++ b/internal/mesh/consensus/handler.go
@@ -36,27 +36,27 @@
 	return resp, r.takeOutput()
 }
 
-// recordSender updates what is known of the sender of a request.
+// recordSender updates the state of the peer that sent a request.
 func (r *Replica) recordSender(now time.Time, req *Request) {
 	r.AddPeer(req.From.Addr)
 	p := r.peers[req.From.Addr]
 	if p == nil {
 		return
 	}
-	p.member, p.lastHeard, p.epoch = req.From, now, max(p.epoch, req.Epoch)
+	p.member, p.lastReceived, p.epoch = req.From, now, max(p.epoch, req.Epoch)
 	p.detachedBodies, p.leaving = req.DetachedBodies, req.Leaving
 }
 
-// handleQuorumRead returns the states of all registers, unless the sender has the same.
+// handleQuorumRead returns the states of all registers, unless those of the sender are equal.
 func (r *Replica) handleQuorumRead(now time.Time, req *Request, resp *Response) {
-	resp.CoordinatorAlive = r.hearsCoordinator(now)
+	resp.CoordinatorAlive = r.coordinatorReachable(now)
 	states := r.acceptor.States()
 	if resp.SameStates = digestStates(states) == req.Digest; !resp.SameStates {
 		resp.States = states
 	}
 }
 
-// handlePrepare promises a ballot, if the request is not only a read, and returns what was accepted.
+// handlePrepare promises the ballot of a MsgPrepare, and returns the accepted value.
 func (r *Replica) handlePrepare(req *Request, resp *Response) {
 	resp.Granted = true
 	if req.Type == MsgPrepare {
@@ -65,14 +65,14 @@
 			r.persist(req.Key)
 		}
 	}
-	x := r.acceptor.Get(req.Key)
-	resp.State = x.RegisterState
-	if x.Accepted.Compare(req.Accepted) > 0 {
-		resp.Value = r.detachBody(&x.Value, req.DetachedBodies)
+	register := r.acceptor.Get(req.Key)
+	resp.State = register.RegisterState
+	if register.Accepted.Compare(req.Accepted) > 0 {
+		resp.Value = r.detachBody(&register.Value, req.DetachedBodies)
 	}
 }
 
-// handleAccept accepts a value, if it is held here with its body.
+// handleAccept accepts a value, if this replica holds the value and its body.
 func (r *Replica) handleAccept(now time.Time, req *Request, resp *Response) {
 	v := req.Value
 	if resp.State = r.acceptor.Get(req.Key).RegisterState; req.Ballot.Compare(resp.State.Promised) < 0 {
@@ -100,7 +100,7 @@
 	resp.State = r.acceptor.Get(req.Key).RegisterState
 }
 
-// handleCommit commits what is held here, and fetches what is not.
+// handleCommit commits the registers that this replica has accepted, and fetches newer ones.
 func (r *Replica) handleCommit(now time.Time, req *Request) {
 	for _, state := range req.States {
 		r.learnCommitted(now, state.Key, state.Accepted)
@@ -126,7 +126,7 @@
 	if p == nil {
 		return r.takeOutput()
 	}
-	p.member, p.lastHeard, p.epoch, p.detachedBodies = resp.From, now, resp.Epoch, resp.DetachedBodies
+	p.member, p.lastReceived, p.epoch, p.detachedBodies = resp.From, now, resp.Epoch, resp.DetachedBodies
 	p.leaving = resp.Leaving
 	if resp.Voters != nil {
 		r.adoptVoters(now, resp.Voters)
@@ -145,7 +145,7 @@
 		}
 		x.Value = *v
 		if r.repair(x) && r.LeaseRemaining(now) == 0 {
-			r.lastReadAt = time.Time{} // read again at once: this may have been missing for a lease
+			r.lastReadAt = time.Time{} // read again at once: the lease may depend on this register
 		}
 	}
 	if r.read != nil && r.read.id == resp.ID {
--- a/internal/mesh/consensus/joint.go
+++ b/internal/mesh/consensus/joint.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// noteReproposed records that quorums of a joint configuration have accepted a key at one ballot
-// and promised nothing above it. From then on no value can be committed that was proposed before
-// the configuration was joint and that these quorums have not seen.
+// noteReproposed marks a key as reproposed if quorums of the joint configuration have accepted it at
+// one ballot and promised no higher ballot. From then on, no value can be committed that was proposed
+// before the configuration was joint and that these quorums have not accepted.
 func (r *Replica) noteReproposed(key string, b Ballot) {
 	if r.voters.IsJoint() && r.voters.HasQuorum(func(disk string) bool {
-		h := stateOf(r.read.states[disk], key)
-		return h.Accepted == b && h.Promised == b
+		state := stateOf(r.read.states[disk], key)
+		return state.Accepted == b && state.Promised == b
 	}) {
 		r.reproposed[key] = true
 	}
 }
 
-// ReproposeInJoint proposes again each key that a quorum of a joint configuration reported.
+// ReproposeInJoint proposes the current value again for each key that a quorum of the joint
+// configuration reported and that was not committed in it yet.
 func (r *Replica) ReproposeInJoint(now time.Time) Output {
 	if r.voters.IsJoint() {
 		for _, key := range r.reportedInEpoch {
@@ -40,13 +41,13 @@
 // sorted.
 func (r *Replica) reportedKeys(read *quorumRead) []string {
 	out := []string{}
-	for disk, heads := range read.states {
+	for disk, states := range read.states {
 		if !r.voters.Contains(disk) {
 			continue
 		}
-		for _, h := range heads {
-			if !slices.Contains(out, h.Key) {
-				out = append(out, h.Key)
+		for _, state := range states {
+			if !slices.Contains(out, state.Key) {
+				out = append(out, state.Key)
 			}
 		}
 	}
--- a/internal/mesh/consensus/learner.go
+++ b/internal/mesh/consensus/learner.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// commit records that a register is committed. It is the one function that changes what is known as
-// committed.
+// commit records that a register is committed. No other function changes Replica.committed.
 func (r *Replica) commit(now time.Time, register Register) {
 	if old, ok := r.committed[register.Key]; ok && old.Accepted.Compare(register.Accepted) >= 0 {
 		return
@@ -21,14 +20,14 @@
 	r.extendLease(now)
 }
 
-// learnCommitted commits what this disk has accepted at a ballot that is known as committed.
+// learnCommitted commits the register of a key if this disk has accepted it at the committed ballot.
 func (r *Replica) learnCommitted(now time.Time, key string, b Ballot) {
 	if register := r.acceptor.Get(key); register.Accepted == b && b != (Ballot{}) {
 		r.commit(now, register)
 	}
 }
 
-// broadcastCommit sends what was committed to all peers.
+// broadcastCommit announces a committed ballot to all peers.
 func (r *Replica) broadcastCommit(state RegisterState) {
 	for _, addr := range r.PeerAddrs() {
 		r.send(r.peers[addr], Request{Type: MsgCommit, States: []RegisterState{state}})
@@ -42,7 +41,8 @@
 	}
 }
 
-// repair accepts what another replica has accepted, if that is newer, and reports whether it did.
+// repair accepts a register that another replica has accepted, if it is newer, and reports whether
+// the register changed.
 func (r *Replica) repair(register Register) bool {
 	if register.Accepted == (Ballot{}) || r.acceptor.Get(register.Key).Accepted.Compare(register.Accepted) >= 0 {
 		return false
@@ -54,8 +54,8 @@
 	return changed
 }
 
-// adoptVoters is the one function that changes the voter configuration. Only committed
-// configurations are ever sent.
+// adoptVoters replaces the voter configuration by a newer one, and is the only function that does.
+// Replicas send only committed configurations.
 func (r *Replica) adoptVoters(now time.Time, next *VoterConfig) {
 	if next == nil || next.Epoch <= r.voters.Epoch || len(next.Voters) == 0 {
 		return
@@ -63,7 +63,7 @@
 	r.voters = *next
 	voters := r.voters
 	r.output.Voters, r.output.Changed = &voters, true
-	r.read, r.lastReadAt = nil, time.Time{} // the lease remains valid, as it covers an earlier moment
+	r.read, r.lastReadAt = nil, time.Time{} // the lease remains valid, as it covers the time before the change
 	r.reportedInEpoch = nil
 	clear(r.reproposed)
 	for _, m := range r.voters.Members() {
--- a/internal/mesh/consensus/proposer.go
+++ b/internal/mesh/consensus/proposer.go
@@ -39,7 +39,7 @@
 	r.checkQuorum(now, round)
 }
 
-// sendAccept asks a peer to accept the value of a round.
+// sendAccept sends a peer the request to accept the value of a round.
 func (r *Replica) sendAccept(p *peer, round *round) {
 	r.send(p, Request{
 		ID:     round.id,
@@ -57,8 +57,8 @@
 	}
 	switch round.phase {
 	case reading:
-		// What a quorum has accepted at one ballot is committed. If that is not certain,
-		// the value is proposed again.
+		// A value that a quorum has accepted at one ballot is committed. If this cannot be
+		// established, the value is proposed again.
 		if r.committed[round.key].Accepted.Compare(round.highest.Accepted) >= 0 ||
 			r.voters.HasQuorum(func(disk string) bool {
 				vote, ok := round.votes[disk]
@@ -87,9 +87,10 @@
 	}
 }
 
-// applyChanges applies the changes of a round to the value that may be committed already, and has
-// the result accepted. Proposals that have come since join the round, unless nothing is to be
-// accepted: the promises precede them and say nothing of what was committed since.
+// applyChanges applies the changes of a round to the value that may be committed already, and starts
+// the accept phase with the result. Proposals that arrived since join the round, unless there is no
+// value to accept: the promises precede these proposals and do not cover values that were committed
+// in between.
 func (r *Replica) applyChanges(now time.Time, round *round) {
 	joined := len(round.proposals)
 	round.proposals = append(round.proposals, r.pending[round.key]...)
@@ -114,7 +115,7 @@
 		}
 		round.changed, current = round.changed || next != current, next
 	}
-	if current == nil { // nothing is committed and nothing is to be: the promises keep lower ballots out
+	if current == nil { // no value is committed and none is proposed; the promises exclude lower ballots
 		if r.voters.IsJoint() {
 			r.reproposed[round.key] = true
 		}
--- a/internal/mesh/consensus/quorumread.go
+++ b/internal/mesh/consensus/quorumread.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// quorumRead asks all replicas for the states of their registers. What a quorum returns covers all
-// that was committed when the read was sent; once this replica knows all of it as committed, it
-// holds a lease from that moment on.
+// quorumRead requests the states of the registers of all replicas. The states that a quorum returns
+// cover every value that was committed when the read was sent. Once this replica has committed all
+// of these, it holds a lease that counts from the time at which the read was sent.
 type quorumRead struct {
 	id        uint64
 	startedAt time.Time
-	ownStates []RegisterState // as they were when the read was sent
-	ownDigest uint64          // their digest
+	ownStates []RegisterState // when the read was sent
+	ownDigest uint64          // digest of ownStates
 	states    map[string][]RegisterState
 	required  map[string]Ballot // by key, the highest ballot that a quorum reported as accepted; nil until a quorum has responded
 }
@@ -34,26 +34,27 @@
 	r.send(p, Request{ID: r.read.id, Type: MsgStates, Digest: r.read.ownDigest})
 }
 
-// hearsCoordinator reports whether the coordinator was heard from recently, or is this process.
-func (r *Replica) hearsCoordinator(now time.Time) bool {
+// coordinatorReachable reports whether this process is the coordinator, or has received a message from
+// it recently.
+func (r *Replica) coordinatorReachable(now time.Time) bool {
 	if r.voters.Coordinator == r.self.DiskID {
 		return true
 	}
 	for _, p := range r.peers {
-		if p.member.DiskID == r.voters.Coordinator && now.Sub(p.lastHeard) < r.Scale(coordinatorTimeout) {
+		if p.member.DiskID == r.voters.Coordinator && now.Sub(p.lastReceived) < r.Scale(coordinatorTimeout) {
 			return r.voters.Coordinator != ""
 		}
 	}
 	return false
 }
 
-// CoordinatorLost reports whether a quorum has recently reported that it does not hear the
-// coordinator: a process that misses it alone, behind a broken link, must not unseat it. As long as
-// the answer is no, quorum reads are sent more often.
+// CoordinatorLost reports whether a quorum has recently reported that it receives no messages from
+// the coordinator. A process that alone lost its connection to the coordinator must not replace it.
+// While the result is false, quorum reads are sent more often.
 func (r *Replica) CoordinatorLost(now time.Time) (Output, bool) {
 	if r.voters.HasQuorum(func(disk string) bool {
 		if disk == r.self.DiskID {
-			return !r.hearsCoordinator(now)
+			return !r.coordinatorReachable(now)
 		}
 		for _, p := range r.peers {
 			if p.member.DiskID == disk {
@@ -70,7 +71,8 @@
 	return r.takeOutput(), false
 }
 
-// handleStates handles the response of a peer to a quorum read, and fetches what is newer there.
+// handleStates handles the response of a peer to a quorum read, and fetches the registers that are
+// newer at the peer.
 func (r *Replica) handleStates(now time.Time, p *peer, resp *Response) {
 	read := r.read
 	states := resp.States
@@ -86,16 +88,17 @@
 		p.lastInSync = now
 	}
 	var newer []string
-	for _, h := range states {
-		if mine := r.acceptor.Get(h.Key); h.Accepted.Compare(mine.Accepted) > 0 && h.Accepted.Compare(mine.Promised) >= 0 {
-			newer = append(newer, h.Key)
+	for _, state := range states {
+		own := r.acceptor.Get(state.Key)
+		if state.Accepted.Compare(own.Accepted) > 0 && state.Accepted.Compare(own.Promised) >= 0 {
+			newer = append(newer, state.Key)
 		}
 	}
 	r.fetchRegisters(p.addr, newer...)
 	r.evaluateQuorumRead(now)
 }
 
-// evaluateQuorumRead commits what a quorum has accepted at one ballot.
+// evaluateQuorumRead commits the values that a quorum has accepted at one ballot.
 func (r *Replica) evaluateQuorumRead(now time.Time) {
 	read := r.read
 	if r.voters.Contains(r.self.DiskID) {
@@ -105,13 +108,13 @@
 		return
 	}
 	read.required, r.reportedInEpoch = map[string]Ballot{}, r.reportedKeys(read)
-	for disk, heads := range read.states {
+	for disk, states := range read.states {
 		if !r.voters.Contains(disk) {
 			continue
 		}
-		for _, h := range heads {
-			if h.Accepted.Compare(read.required[h.Key]) > 0 {
-				read.required[h.Key] = h.Accepted
+		for _, state := range states {
+			if state.Accepted.Compare(read.required[state.Key]) > 0 {
+				read.required[state.Key] = state.Accepted
 			}
 		}
 	}
@@ -128,8 +131,8 @@
 	r.extendLease(now)
 }
 
-// holdsCommitted reports whether a replica with these states has accepted all that is known as
-// committed.
+// holdsCommitted reports whether a replica with these states has accepted every register that this
+// replica has committed.
 func (r *Replica) holdsCommitted(states []RegisterState) bool {
 	for key, x := range r.committed {
 		if stateOf(states, key).Accepted.Compare(x.Accepted) < 0 {
@@ -140,13 +143,13 @@
 }
 
 func stateOf(states []RegisterState, key string) RegisterState {
-	if i := slices.IndexFunc(states, func(h RegisterState) bool { return h.Key == key }); i >= 0 {
+	if i := slices.IndexFunc(states, func(s RegisterState) bool { return s.Key == key }); i >= 0 {
 		return states[i]
 	}
 	return RegisterState{}
 }
 
-// extendLease extends the lease if all that the quorum reported is known as committed.
+// extendLease extends the lease if every ballot that the quorum reported is committed here.
 func (r *Replica) extendLease(now time.Time) {
 	read := r.read
 	if read == nil || read.required == nil {
@@ -172,10 +175,11 @@
 	}
 }
 
-// finishStalled proposes again what stays undecided, as its proposer may be gone. Replicas take
-// turns. A replica that has promised a ballot and accepted nothing at it takes a shorter turn: the
-// others may know the value as committed and see no need.
-func (r *Replica) finishStalled(now time.Time) {
+// reproposeStalled proposes again the keys that stay undecided, as their proposer may have failed.
+// The replicas wait for different times, so that one of them proposes first. A replica that has
+// promised a ballot and accepted no value at it waits for less: the key may be committed at the
+// other replicas, which then do not repropose it.
+func (r *Replica) reproposeStalled(now time.Time) {
 	for _, key := range slices.Sorted(maps.Keys(r.stalledSince)) {
 		wait := stalledTurn
 		if x := r.acceptor.Get(key); x.Promised != x.Accepted {
--- a/internal/mesh/consensus/register.go
+++ b/internal/mesh/consensus/register.go
@@ -6,20 +6,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ChosenVersion identifies a value that was committed once: the number of its version, and a digest
-// of its body (with the proposer, if that assigned the number).
+// ChosenVersion identifies a value that was committed: the number of its version, and a digest of its
+// body. The digest includes the proposer if the proposer assigned the number.
 type ChosenVersion struct{ Number, Digest uint64 }
 
-// maxHistory bounds the history of a register.
+// maxHistory is the maximum number of versions in the history of a register.
 const maxHistory = 64
 
 // Value is the value of a register. It is immutable.
 type Value struct {
 	Version    Version
 	Body       []byte
-	History    []ChosenVersion // the last versions, this one last; empty in the register of the voters
+	History    []ChosenVersion // the last versions, ending with this one; empty in the register of the voters
 	Voters     *VoterConfig    // in the register of the voters only
-	BodyDigest uint64          // in transit: the digest of a large body that is sent separately; else 0
+	BodyDigest uint64          // in messages: the digest of a large body that is sent separately; 0 otherwise
 }
 
 // Digest returns the digest of a body.
--- a/internal/mesh/consensus/replica.go
+++ b/internal/mesh/consensus/replica.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Settings are the bounds of a replica.
+// Settings configure a replica.
 type Settings struct {
 	Lease           time.Duration // duration of a read lease, from when the quorum read was sent
 	ProposalTimeout time.Duration // after which the outcome of a proposal is Unknown
-	InlineLimit     int           // bytes of a body that is sent inline; 0 for the default
+	InlineLimit     int           // maximum size in bytes of a body that is sent inline; 0 for the default
 	TimeScale       float64       // factor for all other times; 0 means 1
 }
 
-// Output is what follows from an input. Registers and Voters have to be on disk before anything
-// else of it leaves the process.
+// Output holds the effects of an input. Registers and Voters must be on disk before requests or
+// results leave the process.
 type Output struct {
 	Registers []Register
 	Voters    *VoterConfig // to be persisted, if not nil
@@ -30,10 +30,11 @@
 	Proposal uint64
 	Outcome  Outcome
 	Value    *Value // the committed value; nil for none, or if the outcome is Unknown
-	Changed  bool   // by this proposal
+	Changed  bool   // this proposal changed the value
 }
 
-// Replica is one process: the acceptor of its disk, its proposals, and what it knows as committed.
+// Replica is one process: the acceptor of its disk, its proposals, and the registers that it knows to
+// be committed.
 // It is not safe for concurrent use.
 type Replica struct {
 	self            Member
@@ -47,16 +48,16 @@
 	lastRequestID   uint64
 	read            *quorumRead
 	lastReadAt      time.Time // when the last quorum read was sent
-	leaseUntil      time.Time // until then, what is known as committed is known to be the newest; zero for no lease
+	leaseUntil      time.Time // until then, the committed registers are certain to be the newest; zero for no lease
 	stalledSince    map[string]time.Time
 	reportedInEpoch []string        // keys that a quorum reported in this epoch; nil until one has
-	reproposed      map[string]bool // those of them that were committed in the joint configuration
+	reproposed      map[string]bool // the keys of reportedInEpoch that were committed in the joint configuration
 	bodies          bodies
-	leaving         bool // it has announced that it shuts down
+	leaving         bool // Leave was called
 	output          Output
 }
 
-// NewReplica returns a replica with what its disk holds.
+// NewReplica returns a replica with the voters and registers that were read from its disk.
 func NewReplica(self Member, settings Settings, voters VoterConfig, stored []Register) *Replica {
 	r := &Replica{
 		self:         self,
@@ -86,13 +87,13 @@
 // Acceptor returns the acceptor of the disk.
 func (r *Replica) Acceptor() *Acceptor { return r.acceptor }
 
-// Committed returns the committed value of a key, as far as it is known here.
+// Committed returns the newest value of a key that this replica knows to be committed.
 func (r *Replica) Committed(key string) (v Value, ok bool) {
 	x, ok := r.committed[key]
 	return x.Value, ok
 }
 
-// AllCommitted returns all registers that are known as committed, sorted by key.
+// AllCommitted returns all registers that this replica knows to be committed, sorted by key.
 func (r *Replica) AllCommitted() []Register {
 	out := make([]Register, 0, len(r.committed))
 	for _, key := range slices.Sorted(maps.Keys(r.committed)) {
@@ -101,7 +102,7 @@
 	return out
 }
 
-// LeaseRemaining returns how much longer what is known as committed is certain to be the newest; 0
+// LeaseRemaining returns for how much longer the committed registers are certain to be the newest; 0
 // for no lease.
 func (r *Replica) LeaseRemaining(now time.Time) time.Duration { return max(r.leaseUntil.Sub(now), 0) }
 
@@ -135,7 +136,7 @@
 	r.output.Registers = append(r.output.Registers, x)
 }
 
-// Tick does what is due: retries, timeouts, quorum reads, stalled registers.
+// Tick runs the work that is due: retries, timeouts, quorum reads, stalled registers.
 func (r *Replica) Tick(now time.Time) Output {
 	for _, key := range slices.Sorted(maps.Keys(r.rounds)) {
 		round := r.rounds[key]
@@ -160,7 +161,7 @@
 	if now.Sub(r.lastReadAt) >= r.readInterval(now) {
 		r.startQuorumRead(now)
 	}
-	r.finishStalled(now)
+	r.reproposeStalled(now)
 	return r.takeOutput()
 }
 
--- a/internal/mesh/consensus/round.go
+++ b/internal/mesh/consensus/round.go
@@ -14,14 +14,14 @@
 // The phases of a round. enterPhase is the one function that changes them.
 const (
 	backingOff phase = iota // waits until retryAt
-	reading                 // reads what a quorum has accepted, which is enough for a read
-	preparing               // phase 1: asks a quorum to promise a ballot
-	accepting               // phase 2: asks a quorum to accept the value
+	reading                 // reads the values that a quorum has accepted, which completes a read
+	preparing               // phase 1: requests promises of a ballot from a quorum
+	accepting               // phase 2: requests that a quorum accept the value
 )
 
 // proposal is a change that a caller waits for.
 type proposal struct {
-	id       uint64 // 0 for the replica's own
+	id       uint64 // 0 for a proposal of the replica itself
 	change   Change
 	deadline time.Time
 	result   Result // valid once the value of the round is committed
@@ -104,8 +104,8 @@
 	r.checkQuorum(now, round)
 }
 
-// sendRound sends the requests of a round to all peers that have not voted: to the voters for a
-// promise, to all for an accept, so that learners follow.
+// sendRound sends the requests of a round to the peers that have not voted. Read and prepare requests
+// go to the voters, accept requests to all peers, so that learners stay up to date.
 func (r *Replica) sendRound(now time.Time, round *round) {
 	round.sentAt = now
 	for _, addr := range r.PeerAddrs() {
@@ -132,7 +132,7 @@
 	}
 }
 
-// expire returns the proposals whose time is not over; the outcome of the others is Unknown.
+// expire returns the proposals before their deadline; the outcome of the others is Unknown.
 func (r *Replica) expire(now time.Time, proposals []proposal) []proposal {
 	return slices.DeleteFunc(proposals, func(x proposal) bool {
 		expired := !now.Before(x.deadline)
--- a/internal/mesh/consensus/timing.go
+++ b/internal/mesh/consensus/timing.go
@@ -12,13 +12,13 @@
 	maxBackoff         = 800 * time.Millisecond
 	fastReadInterval   = 300 * time.Millisecond // between quorum reads of the coordinator, and of a replica without a lease
 	slowReadInterval   = 900 * time.Millisecond // of any other replica
-	fastReadsPerLease  = 6                      // at least so many fast reads in the duration of a lease
-	slowReadsPerLease  = 2
-	peerTimeout        = 2 * time.Second        // a peer counts as alive for so long after its last message
-	coordinatorTimeout = time.Second            // and the coordinator as heard from
-	stalledTimeout     = 700 * time.Millisecond // after which an undecided key is proposed again, on this replica's turn
-	stalledTurn        = 350 * time.Millisecond // between the turns of two replicas
-	shortTurnDivisor   = 8                      // divides the turn where only this replica may see the need
+	fastReadsPerLease  = 6                      // minimum number of fast reads in the duration of a lease
+	slowReadsPerLease  = 2                      // minimum number of slow reads in the duration of a lease
+	peerTimeout        = 2 * time.Second        // after the last message of a peer, during which it counts as alive
+	coordinatorTimeout = time.Second            // after the last message of the coordinator, during which it counts as reachable
+	stalledTimeout     = 700 * time.Millisecond // after which the first replica proposes an undecided key again
+	stalledTurn        = 350 * time.Millisecond // further wait per replica that sorts before this one
+	shortTurnDivisor   = 8                      // divides stalledTurn where only this replica may have an undecided key
 )
 
 // Scale scales a time by the settings.
@@ -40,7 +40,7 @@
 	return min(r.Scale(fastReadInterval), r.settings.Lease/fastReadsPerLease)
 }
 
-// turn returns the number of members whose disks sort before this one.
+// turn returns the number of members whose disks sort before that of this replica.
 func (r *Replica) turn() int {
 	all := r.voters.Members()
 	slices.SortFunc(all, func(a, b Member) int { return cmp.Compare(a.DiskID, b.DiskID) })
--- a/internal/mesh/consensus/voters.go
+++ b/internal/mesh/consensus/voters.go
@@ -4,9 +4,9 @@
 
 // Member identifies a replica, a voter or a learner.
 type Member struct {
-	DiskID string // assigned when the disk was first used: a disk that was emptied is another member
+	DiskID string // assigned when the disk was first used; a disk that was emptied gets another
 	Node   string
-	Addr   string // of its configuration store
+	Addr   string // address of its configuration store
 	Zone   string
 	// InQuorum reports whether the platform counts the machine among those whose simultaneous
 	// loss is bounded.
@@ -65,8 +65,8 @@
 }
 
 // CanFollow reports whether a configuration may follow another, such that each quorum of the one
-// intersects each quorum of the other: the coordinator changes, incoming voters are named, or they
-// are given up. The incoming voters replace the present ones only after all registers were
+// intersects each quorum of the other: the coordinator changes, incoming voters are added, or they
+// are removed again. The incoming voters replace the present voters only after all registers were
 // committed in the joint configuration (Replica.ReproposedInJoint).
 func (c *VoterConfig) CanFollow(old *VoterConfig) bool {
 	if c.Epoch != old.Epoch+1 || len(c.Voters) == 0 {
@@ -78,7 +78,7 @@
 	return old.IsJoint() && !c.IsJoint() && SameMembers(c.Voters, old.Incoming)
 }
 
-// SameMembers reports whether two lists hold the same disks, in any order.
+// SameMembers reports whether two member lists have the same disks, in any order.
 func SameMembers(a, b []Member) bool {
 	return len(a) == len(b) && !slices.ContainsFunc(a, func(m Member) bool { return !ContainsDisk(b, m.DiskID) })
 }
--- a/internal/mesh/consensus/wire/wire.go
+++ b/internal/mesh/consensus/wire/wire.go
@@ -2,7 +2,7 @@
 //
 // encoding/gob writes the names of struct types and fields, on disk and between processes that are upgraded one machine at a
 // time, so the names in this package never change; the golden files of package compat check them. The rest of the program uses
-// the types of package consensus and converts at the edge, where a message is sent or received and a record written or read.
+// the types of package consensus and converts where a message is sent or received and a record is written or read.
 package wire
 
 import (
--- a/internal/mesh/lease/lease.go
+++ b/internal/mesh/lease/lease.go
@@ -1,22 +1,22 @@
-// Package lease tracks how long a control plane may serve what its configuration store has sent it.
-// The lease is renewed by the acknowledgement of a heartbeat, which has the remaining time of the
-// store's own read lease. It counts on the monotonic clock from when the heartbeat was sent, so
+// Package lease tracks how long a control plane may serve the state that its configuration store has
+// sent it. The acknowledgement of a heartbeat renews the lease; it carries the remaining time of the
+// store's own read lease. The lease counts on the monotonic clock from when the heartbeat was sent, so
 // neither a message that waited in a socket nor a stalled process extends it (C. Gray and D.
-// Cheriton, "Leases", 1989). The package is pure: the time is an argument.
+// Cheriton, "Leases", 1989). The package reads no clock: the time is an argument.
 package lease
 
 import "time"
 
-// maxPending bounds the heartbeats that are not acknowledged. A connection that is not idle has
-// fewer.
+// maxPending is the maximum number of heartbeats without an acknowledgement that are recorded. A
+// connection that is not idle has fewer.
 const maxPending = 16
 
-// Lease is held until its expiry; set is the one function that changes that. The zero value is not
-// held. It is not safe for concurrent use.
+// Lease is held until its expiry, which only set changes. The zero value is not held. It is not safe
+// for concurrent use.
 type Lease struct {
 	expiry     time.Time   // zero for none
-	lastNumber uint64      // of the last heartbeat that was sent
-	pending    []heartbeat // heartbeats after the newest one that was acknowledged, in order
+	lastNumber uint64      // number of the last heartbeat that was sent
+	pending    []heartbeat // heartbeats after the last acknowledged one, in order
 }
 
 type heartbeat struct {
@@ -25,7 +25,7 @@
 }
 
 // StartHeartbeat records that a heartbeat is sent now and returns its number. Numbers are never
-// reused, not over connections either.
+// reused, even on another connection.
 func (l *Lease) StartHeartbeat(now time.Time) uint64 {
 	l.lastNumber++
 	if len(l.pending) == maxPending {
@@ -35,10 +35,10 @@
 	return l.lastNumber
 }
 
-// HeartbeatAcked handles the acknowledgement of a heartbeat; remaining is what remained of the
-// store's lease when it was sent. It reports whether the lease is held now and was not just before.
-// The acknowledgement of an unknown heartbeat, or of one older than another that was acknowledged,
-// changes nothing.
+// HeartbeatAcked handles the acknowledgement of a heartbeat; remaining is the remaining time
+// of the store's lease when the store sent the acknowledgement. It reports whether the lease is held
+// now and was not just before. The acknowledgement of an unknown heartbeat, or of one older than the
+// last acknowledged heartbeat, has no effect.
 func (l *Lease) HeartbeatAcked(now time.Time, number uint64, remaining time.Duration) (gained bool) {
 	for i, h := range l.pending {
 		if h.number != number {
@@ -50,7 +50,8 @@
 	return false
 }
 
-// Revoke ends the lease, as the store cannot be reached, and ignores later acknowledgements.
+// Revoke ends the lease when the store is unreachable. Later acknowledgements of earlier heartbeats are
+// ignored.
 func (l *Lease) Revoke(now time.Time) {
 	l.pending = l.pending[:0]
 	l.set(now, time.Time{})
--- a/internal/mesh/membership/coordinator.go
+++ b/internal/mesh/membership/coordinator.go
@@ -1,8 +1,8 @@
-// Package membership changes the set of voters. One process does so at a time, the coordinator. Its
-// disk is named in the voter configuration itself, so each coordinator has epochs of its own, and a
-// change by a process that no longer is the coordinator is refused by the register of the voters
-// (fencing by epoch). A coordinator that shuts down names its successor; one that a quorum no
-// longer hears is replaced. The package is pure.
+// Package membership changes the set of voters. Only one process does so at a time, the coordinator.
+// Its disk is part of the voter configuration, so each coordinator has epochs of its own, and the
+// register of the voters rejects a change by a process that is no longer the coordinator (fencing by
+// epoch). A coordinator that shuts down hands the role to a successor; a coordinator from which a
+// quorum receives no messages is replaced. The package does no I/O.
 package membership
 
 import (
@@ -21,9 +21,9 @@
 // The states. setState is the one function that changes them.
 const (
 	Following     State = iota // another process is the coordinator, or none is
-	Campaigning                // it has proposed itself
-	Coordinating               // it is the coordinator
-	Reconfiguring              // it is the coordinator and has proposed a configuration
+	Campaigning                // this process has proposed itself as the coordinator
+	Coordinating               // this process is the coordinator
+	Reconfiguring              // this process is the coordinator and has proposed a configuration
 )
 
 func (s State) String() string {
@@ -31,26 +31,27 @@
 }
 
 const (
-	coordinatorTimeout   = time.Second            // after which a coordinator that is not heard is replaced
-	campaignStagger      = 450 * time.Millisecond // between two candidates: longer than a quorum read takes
-	campaignJitterMillis = 300                    // by epoch and disk: two that campaigned at once do not do so again
-	stepInterval         = 25 * time.Millisecond  // between two steps of a reconfiguration
-	stepTimeout          = 800 * time.Millisecond // after which a step is retried
-	jointTimeout         = 4 * time.Second        // after which a joint configuration is given up
-	replaceAfter         = 1500 * time.Millisecond
-	removeAfter          = 10 * time.Second
-	inSyncFor            = 2 * time.Second // how long an observation that a member is in sync is valid
+	coordinatorTimeout   = time.Second             // after the last message of the coordinator, until it is replaced
+	campaignStagger      = 450 * time.Millisecond  // between the campaigns of two candidates: longer than a quorum read takes
+	campaignJitterMillis = 300                     // by epoch and disk, so that two candidates do not collide repeatedly
+	stepInterval         = 25 * time.Millisecond   // between two steps of a reconfiguration
+	stepTimeout          = 800 * time.Millisecond  // after which a step is retried
+	jointTimeout         = 4 * time.Second         // after which a joint configuration is abandoned
+	replaceAfter         = 1500 * time.Millisecond // unreachable time after which a learner replaces a voter
+	removeAfter          = 10 * time.Second        // unreachable time after which a voter is removed without replacement
+	inSyncFor            = 2 * time.Second         // how long an observation that a member is in sync is valid
 )
 
-// Coordinator is the state machine of one process. It is not safe for concurrent use.
+// Coordinator is the state machine of the coordinator role in one process. It is not safe for
+// concurrent use.
 type Coordinator struct {
 	replica          *consensus.Replica
 	faultBudget      int // disks that may be lost at once
 	state            State
-	epoch            uint64    // of the configuration, when last looked at
-	stateSince       time.Time // start of that epoch or of the state
-	coordinatorSince time.Time // when this process adopted that epoch, which names its coordinator
-	startedAt        time.Time // when the process started: no member was heard before
+	epoch            uint64    // of the configuration at the last step
+	stateSince       time.Time // start of the state or of the epoch
+	coordinatorSince time.Time // when this process adopted the epoch, whose configuration names the coordinator
+	startedAt        time.Time // when the process started; no message of a member was received before
 	jointSince       time.Time // since when the configuration is joint; zero if it is not
 }
 
@@ -65,8 +66,8 @@
 // setState is the one function that changes the state.
 func (c *Coordinator) setState(now time.Time, to State) { c.state, c.stateSince = to, now }
 
-// Tick does what is due, first here and then in the replica: the replica may start another quorum
-// read, which discards the last one.
+// Tick runs the work that is due, for the coordinator role first and for the replica second: the
+// replica may start another quorum read, which discards the results of the last one.
 func (c *Coordinator) Tick(now time.Time) consensus.Output {
 	out := c.step(now)
 	out.Append(c.replica.Tick(now))
@@ -89,7 +90,7 @@
 	case c.jointSince.IsZero():
 		c.jointSince = now
 	}
-	if c.replica.LeaseRemaining(now) == 0 { // a replica without a lease is not up to date
+	if c.replica.LeaseRemaining(now) == 0 { // a replica without a lease may not be up to date
 		return out
 	}
 	switch c.state {
@@ -120,14 +121,14 @@
 // NextTick returns when Tick is to be called next: soon while the configuration is joint.
 func (c *Coordinator) NextTick(now time.Time) time.Time {
 	due := c.replica.NextTick(now)
-	set := c.replica.Voters()
-	if soon := now.Add(stepInterval); set.Epoch != c.epoch || set.IsJoint() && c.state == Coordinating && soon.Before(due) {
+	voters := c.replica.Voters()
+	if soon := now.Add(stepInterval); voters.Epoch != c.epoch || voters.IsJoint() && c.state == Coordinating && soon.Before(due) {
 		return soon
 	}
 	return due
 }
 
-// propose proposes a configuration.
+// propose proposes a configuration and enters a state.
 func (c *Coordinator) propose(now time.Time, next consensus.VoterConfig, to State) consensus.Output {
 	c.setState(now, to)
 	return c.replica.Propose(now, 0, consensus.Change{Kind: consensus.Reconfigure, Key: consensus.VoterConfigKey, Voters: &next})
@@ -170,52 +171,52 @@
 	return c.propose(now, voters, Following), voters.Coordinator
 }
 
-// successor returns the disk of the voter that was heard from last; empty for none.
+// successor returns the disk of the alive voter with the latest message; empty for none.
 func (c *Coordinator) successor(now time.Time, voters *consensus.VoterConfig) string {
 	best := consensus.PeerStatus{}
 	for _, o := range c.replica.PeerStatuses() {
-		if o.Alive(now) && !o.Leaving && voters.Contains(o.DiskID) && o.LastHeard.After(best.LastHeard) {
+		if o.Alive(now) && !o.Leaving && voters.Contains(o.DiskID) && o.LastReceived.After(best.LastReceived) {
 			best = o
 		}
 	}
 	return best.DiskID
 }
 
-// shouldCampaign reports whether this process is to propose itself now: the coordinator was not
-// heard for a while, and it is this disk's turn.
+// shouldCampaign reports whether this process is to propose itself now: no message was received from
+// the coordinator for a while, and it is this disk's turn.
 func (c *Coordinator) shouldCampaign(now time.Time, voters *consensus.VoterConfig) bool {
 	self := c.replica.Self().DiskID
 	turn := slices.IndexFunc(voters.Voters, func(x consensus.Member) bool { return x.DiskID == self })
 	if turn < 0 || c.replica.IsLeaving() {
 		return false
 	}
-	lastHeard := c.startedAt
-	if c.stateSince.After(lastHeard) && (voters.Coordinator == "" || !voters.Contains(voters.Coordinator)) {
-		lastHeard = c.stateSince
+	lastReceived := c.startedAt
+	if c.stateSince.After(lastReceived) && (voters.Coordinator == "" || !voters.Contains(voters.Coordinator)) {
+		lastReceived = c.stateSince
 	}
-	if c.coordinatorSince.After(lastHeard) { // a quorum agreed on it then
-		lastHeard = c.coordinatorSince
+	if c.coordinatorSince.After(lastReceived) { // a quorum committed the coordinator then
+		lastReceived = c.coordinatorSince
 	}
 	for _, o := range c.replica.PeerStatuses() {
-		if o.DiskID != "" && o.DiskID == voters.Coordinator && o.LastHeard.After(lastHeard) {
-			lastHeard = o.LastHeard
+		if o.DiskID != "" && o.DiskID == voters.Coordinator && o.LastReceived.After(lastReceived) {
+			lastReceived = o.LastReceived
 		}
 	}
 	jitter := namehash.Hash(fmt.Sprint(self, voters.Epoch)) % campaignJitterMillis
 	timeout := coordinatorTimeout + time.Duration(turn)*campaignStagger + time.Duration(jitter)*time.Millisecond
-	return now.Sub(lastHeard) > c.replica.Scale(timeout)
+	return now.Sub(lastReceived) > c.replica.Scale(timeout)
 }
 
-// MemberView is a member as the coordinator sees it.
+// MemberView is the last known status of a member, in the view of the coordinator.
 type MemberView struct {
 	consensus.Member
 	Alive          bool
 	UnreachableFor time.Duration // since its last message, at a time scale of 1
-	InSync         bool          // it has accepted all that is committed
+	InSync         bool          // it has accepted all committed registers
 	Leaving        bool          // it has announced that it shuts down
 }
 
-// memberViews returns all members as this process sees them, itself included.
+// memberViews returns the views that this process has of all members, including itself.
 func (c *Coordinator) memberViews(now time.Time) []MemberView {
 	out := []MemberView{{Member: c.replica.Self(), Alive: true, InSync: true, Leaving: c.replica.IsLeaving()}}
 	for _, o := range c.replica.PeerStatuses() {
@@ -227,7 +228,7 @@
 		}
 		if !s.Alive {
 			s.UnreachableFor = time.Duration(
-				float64(now.Sub(cmp.Or(o.LastHeard, c.startedAt))) * float64(time.Second) / float64(c.replica.Scale(time.Second)),
+				float64(now.Sub(cmp.Or(o.LastReceived, c.startedAt))) * float64(time.Second) / float64(c.replica.Scale(time.Second)),
 			)
 		}
 		out = append(out, s)
@@ -235,41 +236,41 @@
 	return out
 }
 
-// NextVoters returns the voters that are to replace the present ones, or nil if these are to stay.
+// NextVoters returns the voters that are to replace the present voters, or nil if these are to stay.
 // FaultBudget is how many disks may be lost at once.
 //
 // In one step, unreachable voters are replaced by learners that are in sync, and as many more
-// learners join as leave the number odd. A voter whose machine reports another disk is lost for
-// certain. One that announces its shutdown is replaced while it still serves. One that does not
-// answer is replaced soon; where no learner waits it is removed only after long, and never below
-// 2*faultBudget+1 voters.
+// learners are added as keep the number of voters odd. A voter whose machine reports another disk is lost
+// permanently. A voter that announces its shutdown is replaced while it still serves. A voter that
+// does not respond is replaced after replaceAfter; without an available learner it is removed only
+// after removeAfter, and never below 2*faultBudget+1 voters.
 func NextVoters(voters []consensus.Member, views []MemberView, faultBudget int) []consensus.Member {
-	var staying, waiting []consensus.Member
-	var leaving []unreachable
+	var retained, learners []consensus.Member
+	var lost []lostVoter
 	for _, s := range views {
 		if s.Alive && s.InQuorum && s.InSync && !s.Leaving && !consensus.ContainsDisk(voters, s.DiskID) {
-			waiting = append(waiting, s.Member)
+			learners = append(learners, s.Member)
 		}
 	}
 	for _, x := range voters {
 		if d := unreachableFor(x, views); d >= replaceAfter {
-			leaving = append(leaving, unreachable{x, d})
+			lost = append(lost, lostVoter{x, d})
 		} else {
-			staying = append(staying, x)
+			retained = append(retained, x)
 		}
 	}
-	slices.SortStableFunc(leaving, func(a, b unreachable) int { return cmp.Compare(b.since, a.since) })
-	replaced := min(len(leaving), len(waiting))
-	next := append(slices.Clone(staying), waiting[:replaced]...)
-	waiting, leaving = waiting[replaced:], leaving[replaced:]
+	slices.SortStableFunc(lost, func(a, b lostVoter) int { return cmp.Compare(b.unreachableFor, a.unreachableFor) })
+	replaced := min(len(lost), len(learners))
+	next := append(slices.Clone(retained), learners[:replaced]...)
+	learners, lost = learners[replaced:], lost[replaced:]
 	minimum := 2*faultBudget + 1
-	for _, g := range leaving {
-		if g.since < removeAfter || len(next)+len(leaving) <= minimum || len(next) < minimum {
-			next = append(next, g.Member)
+	for _, v := range lost {
+		if v.unreachableFor < removeAfter || len(next)+len(lost) <= minimum || len(next) < minimum {
+			next = append(next, v.Member)
 		}
 	}
-	if count := len(next) + len(waiting); len(waiting) > 0 {
-		next = append(next, waiting[:len(waiting)-(1-count%2)]...)
+	if count := len(next) + len(learners); len(learners) > 0 {
+		next = append(next, learners[:len(learners)-(1-count%2)]...)
 	}
 	if len(next)%2 == 0 && len(next) > minimum {
 		next = makeOdd(next, views)
@@ -286,24 +287,25 @@
 	return next
 }
 
-// makeOdd removes the voter that is unreachable for longest, or else the last.
+// makeOdd removes the voter that has been unreachable the longest; the last if all are reachable.
 func makeOdd(next []consensus.Member, views []MemberView) []consensus.Member {
-	out := len(next) - 1
+	removed := len(next) - 1
 	for i, x := range next {
-		if unreachableFor(x, views) > unreachableFor(next[out], views) {
-			out = i
+		if unreachableFor(x, views) > unreachableFor(next[removed], views) {
+			removed = i
 		}
 	}
-	return slices.Delete(next, out, out+1)
+	return slices.Delete(next, removed, removed+1)
 }
 
-type unreachable struct {
+// lostVoter is a voter that is to be replaced or removed.
+type lostVoter struct {
 	consensus.Member
-	since time.Duration
+	unreachableFor time.Duration
 }
 
-// unreachableFor returns for how long a member has not answered; for ever if its machine reports
-// another disk.
+// unreachableFor returns for how long no message was received from a member; the maximum if its
+// machine reports another disk.
 func unreachableFor(member consensus.Member, views []MemberView) time.Duration {
 	for _, s := range views {
 		switch {
--- a/internal/mesh/membership/coordinator_test.go
+++ b/internal/mesh/membership/coordinator_test.go
@@ -11,20 +11,20 @@
 	"milletmast/internal/mesh/consensus"
 )
 
-// TestNext: from whatever the holder sees, the set that is to come has each disk once, a majority of it answers, it is odd unless one
-// less would be fewer than are to be counted, and it is not smaller than that while so many are there.
+// For any views of the coordinator, the next voters have each disk once, a majority of them responds, their number is odd unless it is the
+// minimum of 2*faultBudget+1 or less, and it is not below the minimum while enough disks are available.
 func TestNextVoters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		losses := rapid.IntRange(0, 3).Draw(t, "losses")
-		least := 2*losses + 1
+		faultBudget := rapid.IntRange(0, 3).Draw(t, "fault budget")
+		minimum := 2*faultBudget + 1
 		var members []consensus.Member
-		var seen []MemberView
-		able := 0
+		var views []MemberView
+		available := 0
 		for i := range rapid.IntRange(1, 11).Draw(t, "machines") {
 			m := consensus.Member{DiskID: fmt.Sprint("d", i), Addr: fmt.Sprint("m", i), InQuorum: true}
-			s := MemberView{Member: m, Alive: rapid.IntRange(0, 3).Draw(t, "alive") > 0, InSync: rapid.Bool().Draw(t, "holds")}
+			s := MemberView{Member: m, Alive: rapid.IntRange(0, 3).Draw(t, "alive") > 0, InSync: rapid.Bool().Draw(t, "in sync")}
 			if !s.Alive {
-				s.UnreachableFor = time.Duration(rapid.IntRange(1, 20).Draw(t, "absent")) * time.Second
+				s.UnreachableFor = time.Duration(rapid.IntRange(1, 20).Draw(t, "unreachable for")) * time.Second
 			}
 			if rapid.Bool().Draw(t, "member") {
 				old := m
@@ -33,71 +33,71 @@
 				}
 				members = append(members, old)
 				if s.Alive && (s.InSync || old.DiskID == m.DiskID) {
-					able++
+					available++
 				}
 			} else if s.Alive && s.InSync {
-				able++
+				available++
 			}
-			seen = append(seen, s)
+			views = append(views, s)
 		}
 		if len(members) == 0 {
 			return
 		}
-		next := NextVoters(members, seen, losses)
+		next := NextVoters(members, views, faultBudget)
 		if next == nil {
 			return
 		}
 		disks := map[string]bool{}
-		there := 0
+		responding := 0
 		for _, m := range next {
 			disks[m.DiskID] = true
-			if unreachableFor(m, seen) < replaceAfter {
-				there++
+			if unreachableFor(m, views) < replaceAfter {
+				responding++
 			}
 		}
-		if len(disks) != len(next) || there < consensus.Majority(next) {
-			t.Fatalf("%v: %d disks, %d of them answer", next, len(disks), there)
+		if len(disks) != len(next) || responding < consensus.Majority(next) {
+			t.Fatalf("%v: %d disks, %d of them respond", next, len(disks), responding)
 		}
-		if len(next)%2 == 0 && len(next) > least {
-			t.Fatalf("%v of %v is even", next, members)
+		if len(next)%2 == 0 && len(next) > minimum {
+			t.Fatalf("the number of next voters %v after %v is even", next, members)
 		}
-		if able >= least && len(next) < least {
-			t.Fatalf("%d disks, with %d able and %d to be counted: %v of %v, seen %+v", len(next), able, least, next, members, seen)
+		if available >= minimum && len(next) < minimum {
+			t.Fatalf("%d next voters, with %d disks available and a minimum of %d: %v after %v, views %+v", len(next), available, minimum, next, members, views)
 		}
 	})
 }
 
-// TestNextInOneStep: a disk that is lost is replaced by one that waits in one step, whatever the size; never by one that does not hold
-// all, and a machine that only does not answer is left in where nobody waits.
+// A learner replaces a lost disk in one step, for any number of voters, but only once it is in sync. A voter that does not respond stays
+// while no learner is available.
 func TestNextVotersInOneStep(t *testing.T) {
 	for size := 1; size <= 9; size += 2 {
 		var members []consensus.Member
-		var seen []MemberView
+		var views []MemberView
 		for i := range size {
 			m := consensus.Member{DiskID: fmt.Sprint("d", i), Addr: fmt.Sprint("m", i), InQuorum: true}
 			members = append(members, m)
-			seen = append(seen, MemberView{Member: m, Alive: true, InSync: true})
+			views = append(views, MemberView{Member: m, Alive: true, InSync: true})
 		}
 		if size == 1 {
-			continue // it holds the only copy
+			continue // the lost disk is the only replica
 		}
-		emptied := &seen[size-1]
+		emptied := &views[size-1]
 		emptied.DiskID, emptied.InSync = "new", false
-		if next := NextVoters(members, seen, size/2); next != nil && (has(next, "new") || len(next) < size) {
-			t.Errorf("%d disks: an empty one is to count: %v", size, next)
+		if next := NextVoters(members, views, size/2); next != nil && (containsDisk(next, "new") || len(next) < size) {
+			t.Errorf("%d voters: an empty disk is to become one: %v", size, next)
 		}
 		emptied.InSync = true
-		next := NextVoters(members, seen, size/2)
-		if len(next) != size || !has(next, "new") || has(next, members[size-1].DiskID) {
-			t.Errorf("%d disks, one of them replaced: %v", size, next)
+		next := NextVoters(members, views, size/2)
+		if len(next) != size || !containsDisk(next, "new") || containsDisk(next, members[size-1].DiskID) {
+			t.Errorf("%d voters, one of them with a new disk in sync: %v", size, next)
 		}
-		seen[size-1] = MemberView{Member: members[size-1], UnreachableFor: 2 * time.Second}
-		if next := NextVoters(members, seen, size/2); next != nil {
-			t.Errorf("%d disks, one does not answer for two seconds, nobody waits: %v", size, next)
+		views[size-1] = MemberView{Member: members[size-1], UnreachableFor: 2 * time.Second}
+		if next := NextVoters(members, views, size/2); next != nil {
+			t.Errorf("%d voters, one unreachable for two seconds, without a learner: %v", size, next)
 		}
 	}
 }
 
-func has(members []consensus.Member, disk string) bool {
+func containsDisk(members []consensus.Member, disk string) bool {
 	return slices.ContainsFunc(members, func(m consensus.Member) bool { return m.DiskID == disk })
 }
--- a/internal/mesh/membership/joint_test.go
+++ b/internal/mesh/membership/joint_test.go
@@ -8,47 +8,47 @@
 	"milletmast/internal/mesh/consensus"
 )
 
-// TestReproposeInJointAtEveryTick: the coordinator ends a joint set although it ticks no more often than it looks at the others: what a look
-// told is used before the next one begins. What was decided under the old set is decided anew by a majority of the next one first.
+// The coordinator completes a joint configuration even if it ticks no more often than it starts quorum reads: it uses the results of a read
+// before it starts the next. Values that were committed before are first committed again by a majority of the incoming voters.
 func TestReproposeInJointAtEveryTick(t *testing.T) {
 	now := time.Unix(1, 0)
 	member := func(disk string) consensus.Member { return consensus.Member{DiskID: disk, Addr: disk, InQuorum: true} }
-	set := consensus.VoterConfig{
+	voters := consensus.VoterConfig{
 		Epoch: 2, Coordinator: "a",
 		Voters: []consensus.Member{member("a"), member("b"), member("c")}, Incoming: []consensus.Member{member("a"), member("b"), member("d")},
 	}
 	x := consensus.Ballot{Round: 1, Proposer: "b"}
-	held := []consensus.Register{{RegisterState: consensus.RegisterState{Key: "k", Promised: consensus.Ballot{Round: 2, Proposer: "c"}, Accepted: x}, Value: consensus.Value{Body: []byte("v")}}}
-	all := map[string]*consensus.Replica{}
+	stored := []consensus.Register{{RegisterState: consensus.RegisterState{Key: "k", Promised: consensus.Ballot{Round: 2, Proposer: "c"}, Accepted: x}, Value: consensus.Value{Body: []byte("v")}}}
+	replicas := map[string]*consensus.Replica{}
 	for _, disk := range []string{"a", "b", "c", "d"} {
-		all[disk] = consensus.NewReplica(member(disk), consensus.Settings{Lease: 2 * time.Second, ProposalTimeout: time.Second}, set, slices.Clone(held))
+		replicas[disk] = consensus.NewReplica(member(disk), consensus.Settings{Lease: 2 * time.Second, ProposalTimeout: time.Second}, voters, slices.Clone(stored))
 	}
-	r := all["a"]
-	m := New(now, r, 1)
-	var carry func(consensus.Output)
-	carry = func(out consensus.Output) {
-		for _, a := range out.Requests {
-			t, _ := all[a.To].HandleRequest(now, &a)
-			carry(r.HandleResponse(now, &t))
+	r := replicas["a"]
+	c := New(now, r, 1)
+	var deliver func(consensus.Output)
+	deliver = func(out consensus.Output) {
+		for _, req := range out.Requests {
+			resp, _ := replicas[req.To].HandleRequest(now, &req)
+			deliver(r.HandleResponse(now, &resp))
 		}
 	}
 	for n := 0; n < 10; n++ {
 		now = now.Add(300 * time.Millisecond)
-		if carry(m.Tick(now)); r.Voters().Epoch == 3 {
+		if deliver(c.Tick(now)); r.Voters().Epoch == 3 {
 			if s := r.Voters(); s.IsJoint() || len(s.Voters) != 3 || !s.Contains("d") {
-				t.Fatalf("%+v", s)
+				t.Fatalf("the next configuration is %+v", s)
 			}
-			anew := 0
-			for _, m := range set.Incoming {
-				if all[m.DiskID].Acceptor().Get("k").Accepted.Compare(x) > 0 {
-					anew++
+			reproposed := 0
+			for _, m := range voters.Incoming {
+				if replicas[m.DiskID].Acceptor().Get("k").Accepted.Compare(x) > 0 {
+					reproposed++
 				}
 			}
-			if anew < consensus.Majority(set.Incoming) {
-				t.Errorf("what was decided before was decided anew by %d of those that were next", anew)
+			if reproposed < consensus.Majority(voters.Incoming) {
+				t.Errorf("only %d of the incoming voters have accepted the earlier value again", reproposed)
 			}
 			return
 		}
 	}
-	t.Fatalf("still %+v", r.Voters())
+	t.Fatalf("the configuration is still joint: %+v", r.Voters())
 }
--- a/internal/mesh/peerwatch/watcher.go
+++ b/internal/mesh/peerwatch/watcher.go
@@ -1,7 +1,6 @@
 // Package peerwatch is a failure detector among peers. Each process watches a small set of others,
-// selected by rendezvous hashing: processes that know the same peers agree on who watches whom
-// without communication, and a peer that joins or leaves changes few of the sets. The package is
-// pure.
+// selected by rendezvous hashing: processes with the same list of peers compute the same sets without
+// communication, and a peer that joins or leaves changes few of the sets. The package does no I/O.
 package peerwatch
 
 import (
@@ -12,18 +11,18 @@
 	"milletmast/internal/namehash"
 )
 
-// Node is a process.
+// Node identifies a process.
 type Node struct{ Name, Zone string }
 
-// SelectPeers returns the peers that a process watches, at least one of them in another zone if
-// there is any.
-func SelectPeers(me Node, all []Node, count int) []string {
-	others := slices.DeleteFunc(slices.Clone(all), func(n Node) bool { return n.Name == me.Name })
+// SelectPeers returns the peers that a process watches. With a count above 1, at least one of them is
+// in another zone, if there is any.
+func SelectPeers(self Node, all []Node, count int) []string {
+	others := slices.DeleteFunc(slices.Clone(all), func(n Node) bool { return n.Name == self.Name })
 	slices.SortFunc(others, func(a, b Node) int {
-		return cmp.Or(cmp.Compare(namehash.Hash(me.Name+"|"+a.Name), namehash.Hash(me.Name+"|"+b.Name)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(namehash.Hash(self.Name+"|"+a.Name), namehash.Hash(self.Name+"|"+b.Name)), cmp.Compare(a.Name, b.Name))
 	})
-	if len(others) > count && count > 1 && !slices.ContainsFunc(others[:count], func(n Node) bool { return n.Zone != me.Zone }) {
-		if i := slices.IndexFunc(others, func(n Node) bool { return n.Zone != me.Zone }); i >= count {
+	if len(others) > count && count > 1 && !slices.ContainsFunc(others[:count], func(n Node) bool { return n.Zone != self.Zone }) {
+		if i := slices.IndexFunc(others, func(n Node) bool { return n.Zone != self.Zone }); i >= count {
 			others[count-1] = others[i]
 		}
 	}
@@ -37,11 +36,11 @@
 // State is the state of a watched peer.
 type State uint8
 
-// The states. peer.setState is the one function that changes them.
+// The states. Only peer.setState changes them.
 const (
-	New     State = iota // not heard from yet
-	Healthy              // heard from recently
-	Silent               // not heard from for longer than allowed
+	New     State = iota // no response was received yet
+	Healthy              // a response was received recently
+	Silent               // no response was received for longer than allowed
 )
 
 // Watcher tracks the watched peers of one process. It is not safe for concurrent use.
@@ -51,17 +50,16 @@
 }
 
 type peer struct {
-	state     State
-	lastHeard time.Time
+	state        State
+	lastReceived time.Time // arrival of its last response; before the first, when it was added
 }
 
-// NewWatcher returns a watcher to which a peer is silent after a time.
-func NewWatcher(quiet time.Duration) *Watcher {
-	return &Watcher{silentAfter: quiet, peers: map[string]*peer{}}
+// NewWatcher returns a watcher that reports a peer as silent after a time without a response.
+func NewWatcher(silentAfter time.Duration) *Watcher {
+	return &Watcher{silentAfter: silentAfter, peers: map[string]*peer{}}
 }
 
-// setState is the one function that changes the state of a peer. It reports whether the state
-// changed.
+// setState changes the state of a peer and reports whether it was another before.
 func (p *peer) setState(to State) bool {
 	changed := p.state != to
 	p.state = to
@@ -72,7 +70,7 @@
 func (w *Watcher) SetPeers(now time.Time, names []string) (added, removed []string) {
 	for _, name := range names {
 		if w.peers[name] == nil {
-			w.peers[name] = &peer{lastHeard: now}
+			w.peers[name] = &peer{lastReceived: now}
 			added = append(added, name)
 		}
 	}
@@ -86,19 +84,19 @@
 	return added, removed
 }
 
-// HeardFrom records that a peer has answered.
+// HeardFrom records a response of a peer.
 func (w *Watcher) HeardFrom(now time.Time, name string) {
-	if x := w.peers[name]; x != nil {
-		x.lastHeard = now
-		x.setState(Healthy)
+	if p := w.peers[name]; p != nil {
+		p.lastReceived = now
+		p.setState(Healthy)
 	}
 }
 
 // NewlySilent returns the peers that have just become silent, sorted.
 func (w *Watcher) NewlySilent(now time.Time) []string {
 	var out []string
-	for name, x := range w.peers {
-		if now.Sub(x.lastHeard) > w.silentAfter && x.setState(Silent) {
+	for name, p := range w.peers {
+		if now.Sub(p.lastReceived) > w.silentAfter && p.setState(Silent) {
 			out = append(out, name)
 		}
 	}
@@ -106,7 +104,7 @@
 	return out
 }
 
-// IsHealthy reports whether a peer has answered recently.
+// IsHealthy reports whether a peer has responded recently.
 func (w *Watcher) IsHealthy(name string) bool {
 	return w.peers[name] != nil && w.peers[name].state == Healthy
 }
--- a/internal/mesh/storage/batch.go
+++ b/internal/mesh/storage/batch.go
@@ -9,15 +9,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The file is a list of batches, in the append-only format of buntdb, which loads it. A batch is
-// what one call wrote: a set command of the key "commit", with the offset of the batch, the length
-// of the records that follow and their checksum, then a set command for each record.
+// The file is a list of batches, in the append-only format of buntdb, which loads it. A batch holds
+// the records of one write: a set command of the key "commit", with the offset of the batch, the
+// length of the records that follow and their checksum, then a set command for each record.
 //
 //	commit  8 bytes checksum of the key and the rest | 8 offset in the file | 8 bytes of records that follow | 8 their checksum
 //
-// A file begins with a snapshot, which ends with a batch without records and was synced before the
-// file got its name. Files of earlier versions have records without a commit, each with a checksum
-// of its own. They are read, and batches may follow them.
+// A file begins with a snapshot, which ends with a batch without records and is synced before the
+// file is renamed to its final name. Files of earlier versions have records without a commit, each
+// with a checksum of its own. These are read, and batches may follow them.
 const (
 	commitKey   = "commit"
 	setHead     = "*3\r\n$3\r\nset\r\n"
@@ -36,6 +36,7 @@
 	return string(sum[:]) + string(value)
 }
 
+// unseal returns a value without its checksum; false if the checksum does not match.
 func unseal(key, value string) ([]byte, bool) {
 	if len(value) < 8 {
 		return nil, false
@@ -86,11 +87,11 @@
 	return binary.BigEndian.Uint64(plain[8:]), binary.BigEndian.Uint64(plain[16:]), true
 }
 
-// scan reads the batches of a file and returns up to where they are intact. What follows was torn
-// by a loss of power and never acknowledged; an error reports what no loss of power leaves.
+// scan reads the batches of a file and returns the offset up to which they are intact. The rest was
+// torn by a power loss and never acknowledged; an error reports corruption that no power loss causes.
 //
-// Only the last append can be torn, as each is synced before the next begins. Of it, any sector may
-// be missing, which reads as zeros, and any part of its end; what is present is as it was written.
+// Only the last append can be torn, as each append is synced before the next begins. In a torn append,
+// any sector may be missing, which reads as zeros, and so may its end; the rest is as it was written.
 func scan(text []byte, each func(records []byte) error) (intact int, err error) {
 	inSnapshot := true
 	intact, err = readBatches(text, func(records []byte, sealed bool) error {
@@ -103,8 +104,8 @@
 	return intact, err
 }
 
-// readBatches is scan without regard to the snapshot; sealed reports that the records have a
-// commit.
+// readBatches reads the batches of a file without the check that its snapshot is complete; sealed
+// reports that the records have a commit.
 func readBatches(text []byte, each func(records []byte, sealed bool) error) (intact int, err error) {
 	for intact < len(text) {
 		n, records, sealed, err := readBatch(text, intact)
@@ -112,19 +113,19 @@
 			return intact, err
 		}
 		if err := each(records, sealed); err != nil {
-			what := "record"
+			kind := "record"
 			if sealed {
-				what = "batch"
+				kind = "batch"
 			}
-			return intact, Corrupt.Wrap(err, "the %s at byte %d", what, intact)
+			return intact, Corrupt.Wrap(err, "the %s at byte %d", kind, intact)
 		}
 		intact += n
 	}
 	return intact, nil
 }
 
-// readBatch reads the batch, or the record without a commit, at an offset, and returns its length:
-// 0 for the torn end of the file.
+// readBatch reads the batch, or the record without a commit, at an offset, and returns its length; 0
+// for a torn tail.
 func readBatch(text []byte, offset int) (n int, records []byte, sealed bool, err error) {
 	rest := len(text) - offset
 	if rest < commitBytes {
@@ -144,29 +145,28 @@
 		return end - offset, records, true, nil
 	}
 	if end < len(text) || !hasUnwrittenSector(text, offset) {
-		return 0, nil, false, Corrupt.New("the batch at byte %d is not what was written", offset)
+		return 0, nil, false, Corrupt.New("the batch at byte %d does not match its checksum", offset)
 	}
 	return 0, nil, false, nil
 }
 
-// readLegacyRecord returns the length of the record without a commit at an offset: 0 for the torn
-// end of the file.
+// readLegacyRecord returns the length of the record without a commit at an offset; 0 for a torn tail.
 func readLegacyRecord(text []byte, offset int) (n int, err error) {
 	n, torn := parseLegacyRecord(text[offset:])
 	if torn || n > 0 {
 		return n, nil
 	}
 	if !hasUnwrittenSector(text, offset) {
-		return 0, Corrupt.New("byte %d begins no batch", offset)
+		return 0, Corrupt.New("no batch begins at byte %d", offset)
 	}
 	if next := findLaterCommit(text, offset); next > 0 {
-		return 0, Corrupt.New("byte %d begins no batch, and byte %d does", offset, next)
+		return 0, Corrupt.New("no batch begins at byte %d, but one begins at byte %d", offset, next)
 	}
 	return 0, nil
 }
 
-// hasUnwrittenSector reports whether a part of the text from an offset on was never written: a
-// sector of it is all zeros, or its last byte is, which is never so in a batch.
+// hasUnwrittenSector reports whether a part of the text after an offset was never written: one of its
+// sectors is all zeros, or its last byte is zero, which never ends a batch.
 func hasUnwrittenSector(text []byte, from int) bool {
 	if text[len(text)-1] == 0 {
 		return true
@@ -195,8 +195,8 @@
 	}
 }
 
-// parseLegacyRecord returns the length of a record without a commit, 0 for none that can be
-// trusted; torn reports that the text ends within it.
+// parseLegacyRecord returns the length of a record without a commit; 0 if the record is invalid. Torn
+// reports that the text ends within the record.
 func parseLegacyRecord(text []byte) (n int, torn bool) {
 	rest, ok := bytes.CutPrefix(text, []byte(setHead))
 	if !ok {
@@ -216,8 +216,8 @@
 	return len(text) - len(rest), false
 }
 
-// parseBulkString reads a string and returns what follows it; torn reports that the text ends
-// within it.
+// parseBulkString reads a string of a command and returns it with the text that follows; torn reports
+// that the text ends within the string.
 func parseBulkString(text []byte) (s string, rest []byte, torn bool) {
 	line, rest, found := bytes.Cut(text, []byte("\r\n"))
 	if !found {
--- a/internal/mesh/storage/bench_test.go
+++ b/internal/mesh/storage/bench_test.go
@@ -11,76 +11,77 @@
 	"time"
 )
 
-// BenchmarkChanges changes a configuration so often, on a real disk, and tells what that does to the file, to opening it and to a
-// change: go test -run - -bench Changes -benchtime 1x ./internal/mesh/storage
+// BenchmarkChanges replaces a configuration many times on a real disk, and reports the size of the file and the durations of opening it and
+// of a change: go test -run - -bench Changes -benchtime 1x ./internal/mesh/storage
 func BenchmarkChanges(b *testing.B) {
 	for _, c := range []struct{ bytes, changes int }{
 		{20 << 10, 10}, {20 << 10, 1000}, {20 << 10, 10_000}, {1 << 20, 10}, {1 << 20, 1000},
 	} {
 		b.Run(fmt.Sprintf("%dKB/%d", c.bytes>>10, c.changes), func(b *testing.B) {
 			for b.Loop() {
-				changes(b, c.bytes, c.changes)
+				measureChanges(b, c.bytes, c.changes)
 			}
 		})
 	}
 }
 
-func changes(b *testing.B, length, n int) {
-	folder := b.TempDir()
-	book, _, err := Open(folder)
+// measureChanges writes a record of some length n times, then opens the store several times.
+func measureChanges(b *testing.B, length, n int) {
+	dir := b.TempDir()
+	store, _, err := Open(dir)
 	if err != nil {
 		b.Fatal(err)
 	}
-	var times []time.Duration
+	var changes []time.Duration
 	var largest int64
-	replaced, handle := 0, book.file.handle
+	rewrites, handle := 0, store.file.handle
 	for i := range n {
 		body := bytes.Repeat([]byte(fmt.Sprintf("line %07d\n", i)), length/13+1)[:length]
-		from := time.Now()
-		if err := book.Put("config", body); err != nil {
+		start := time.Now()
+		if err := store.Put("config", body); err != nil {
 			b.Fatal(err)
 		}
-		times = append(times, time.Since(from))
-		largest = max(largest, book.file.size)
-		if book.file.handle != handle {
-			replaced, handle = replaced+1, book.file.handle
+		changes = append(changes, time.Since(start))
+		largest = max(largest, store.file.size)
+		if store.file.handle != handle {
+			rewrites, handle = rewrites+1, store.file.handle
 		}
 	}
-	if err := book.Close(); err != nil {
+	if err := store.Close(); err != nil {
 		b.Fatal(err)
 	}
-	info, err := os.Stat(filepath.Join(folder, fileName))
+	info, err := os.Stat(filepath.Join(dir, fileName))
 	if err != nil {
 		b.Fatal(err)
 	}
 	var opens []time.Duration
-	cpu := spent(b)
+	cpu := processCPUTime(b)
 	for range 9 {
-		from := time.Now()
-		book, spoilt, err := Open(folder)
-		if err != nil || spoilt != nil {
-			b.Fatal(err, spoilt)
+		start := time.Now()
+		store, corrupt, err := Open(dir)
+		if err != nil || corrupt != nil {
+			b.Fatal(err, corrupt)
 		}
-		opens = append(opens, time.Since(from))
-		book.Close()
+		opens = append(opens, time.Since(start))
+		store.Close()
 	}
-	cpu = spent(b) - cpu
-	slices.Sort(times)
+	cpu = processCPUTime(b) - cpu
+	slices.Sort(changes)
 	slices.Sort(opens)
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	b.ReportMetric(float64(info.Size()), "B-at-end")
 	b.ReportMetric(float64(largest), "B-most")
-	b.ReportMetric(float64(replaced), "new-files")
+	b.ReportMetric(float64(rewrites), "new-files")
 	b.ReportMetric(ms(opens[len(opens)/2]), "ms-open")
 	b.ReportMetric(ms(cpu)/float64(len(opens)), "cpu-ms-open")
-	b.ReportMetric(ms(times[len(times)/2]), "ms-change")
-	b.ReportMetric(ms(times[len(times)*99/100]), "ms-change-p99")
-	b.ReportMetric(ms(times[len(times)-1]), "ms-change-worst")
+	b.ReportMetric(ms(changes[len(changes)/2]), "ms-change")
+	b.ReportMetric(ms(changes[len(changes)*99/100]), "ms-change-p99")
+	b.ReportMetric(ms(changes[len(changes)-1]), "ms-change-worst")
 	b.ReportMetric(0, "ns/op")
 }
 
-// spent is the processor time of this process.
-func spent(b *testing.B) time.Duration {
+// processCPUTime returns the CPU time that this process has used.
+func processCPUTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
--- a/internal/mesh/storage/filesystem.go
+++ b/internal/mesh/storage/filesystem.go
@@ -5,7 +5,7 @@
 	"os"
 )
 
-// filesystem has the operations that a store needs.
+// filesystem is the set of file operations that a store needs; tests inject faults into it.
 type filesystem interface {
 	// OpenFile opens a file for reading and writing, with flags of package os.
 	OpenFile(path string, flags int) (fileHandle, error)
@@ -22,7 +22,7 @@
 	Truncate(size int64) error
 }
 
-// osFilesystem is the filesystem of the machine.
+// osFilesystem is the filesystem of the operating system.
 type osFilesystem struct{}
 
 func (osFilesystem) OpenFile(path string, flags int) (fileHandle, error) {
--- a/internal/mesh/storage/logfile.go
+++ b/internal/mesh/storage/logfile.go
@@ -15,10 +15,9 @@
 	corruptFileName = fileName + ".spoilt" // the last file that was found corrupt
 )
 
-// logFile is the file of a store. It is attached to a handle, whose bytes are all known to be
-// durable and to which the next batch is appended, or it is detached, and the next batch is written
-// by rewriting the file. So nothing is ever appended to a file with a torn end, nor to one of which
-// a sync has failed.
+// logFile is the file of a store. While it is attached to a handle, all bytes of the file are durable
+// and the next batch is appended to it. While it is detached, the next batch rewrites the file. So
+// nothing is ever appended to a file with a torn tail or a failed sync.
 type logFile struct {
 	fs     filesystem
 	dir    string
@@ -28,7 +27,7 @@
 
 func (lf *logFile) path(name string) string { return filepath.Join(lf.dir, name) }
 
-// detach closes the handle. It is the one change from attached to detached.
+// detach closes the handle. No other function detaches the file.
 func (lf *logFile) detach() {
 	if lf.handle != nil {
 		lf.handle.Close()
@@ -36,21 +35,21 @@
 	lf.handle, lf.size = nil, 0
 }
 
-// attach is the one change from detached to attached.
+// attach sets the handle. No other function attaches the file.
 func (lf *logFile) attach(f fileHandle, size int64) {
 	lf.detach()
 	lf.handle, lf.size = f, size
 }
 
-// read makes the file and its name durable, then reads it. A process that was killed before its
-// sync may have left bytes that are read here and must not be lost with the next loss of power. It
-// returns nil for no file.
+// read makes the file and its name durable, then reads it. A process that was killed before its sync
+// may have left bytes in memory only; once they are read here, the next power loss must not remove
+// them. Read returns nil if there is no file.
 func (lf *logFile) read() ([]byte, error) {
 	if err := lf.fs.Remove(lf.path(tempFileName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return nil, DiskFailure.Wrap(err, "remove what is left of a snapshot")
+		return nil, DiskFailure.Wrap(err, "remove the unfinished snapshot")
 	}
 	if err := lf.fs.SyncDir(lf.dir); err != nil {
-		return nil, DiskFailure.Wrap(err, "sync the folder")
+		return nil, DiskFailure.Wrap(err, "sync the directory")
 	}
 	h, err := lf.fs.OpenFile(lf.path(fileName), os.O_RDWR)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -79,13 +78,13 @@
 		return nil, DiskFailure.Wrap(err, "read")
 	}
 	if len(text) > maxFileBytes {
-		return nil, Corrupt.New("the file has more than %d bytes", maxFileBytes)
+		return nil, Corrupt.New("the file exceeds the limit of %d bytes", maxFileBytes)
 	}
 	return text, nil
 }
 
-// append writes a batch at the end of the file and returns once it is durable. After an error it
-// may be in the file or not.
+// append writes a batch at the end of the file and returns once it is durable. After an error the
+// batch may or may not be in the file.
 func (lf *logFile) append(records []byte) error {
 	text := encodeBatch(lf.size, records)
 	_, err := lf.handle.Write(text)
@@ -93,8 +92,8 @@
 		err = lf.handle.Sync()
 	}
 	if err != nil {
-		// A restarted process must not read what is in memory only. If this fails too, the
-		// batch is read as torn.
+		// A restarted process must not read a batch that is in memory only. If this fails too,
+		// the batch is read as torn.
 		_ = lf.handle.Truncate(lf.size)
 		lf.detach()
 		return DiskFailure.Wrap(err, "append")
@@ -103,13 +102,14 @@
 	return nil
 }
 
-// rewrite writes the file anew: a second file is written and synced, renamed, and the directory is
-// synced; only then is it appended to. After an error the old file remains. If the error came after
-// the new file was synced, the name may lead to either, and the next batch rewrites the file again.
+// rewrite replaces the file by a snapshot: a second file is written, synced and renamed, and the
+// directory is synced; only then may batches be appended to it. After an error the old file remains.
+// If the error occurred after the new file was synced, the name may refer to either file, and the
+// next batch rewrites the file again.
 func (lf *logFile) rewrite(records func(each func(records []byte) error) error) error {
 	f, err := lf.fs.OpenFile(lf.path(tempFileName), os.O_RDWR|os.O_CREATE|os.O_TRUNC)
 	if err != nil {
-		return DiskFailure.Wrap(err, "make the new file")
+		return DiskFailure.Wrap(err, "create the new file")
 	}
 	var size int64
 	to := bufio.NewWriterSize(f, 1<<16)
@@ -130,7 +130,7 @@
 	}
 	if err != nil {
 		f.Close()
-		_ = lf.fs.Remove(lf.path(tempFileName)) // it is removed at the next start otherwise
+		_ = lf.fs.Remove(lf.path(tempFileName)) // if this fails, the next start removes it
 		return DiskFailure.Wrap(err, "write the new file")
 	}
 	lf.detach()
@@ -139,13 +139,13 @@
 	}
 	if err != nil {
 		f.Close()
-		return DiskFailure.Wrap(err, "give the new file the name")
+		return DiskFailure.Wrap(err, "rename the new file")
 	}
 	lf.attach(f, size)
 	return nil
 }
 
-// setCorruptAside renames a corrupt file.
+// setCorruptAside renames the corrupt file to corruptFileName.
 func (lf *logFile) setCorruptAside() error {
 	lf.detach()
 	err := lf.fs.Rename(lf.path(fileName), lf.path(corruptFileName))
@@ -153,7 +153,7 @@
 		err = lf.fs.SyncDir(lf.dir)
 	}
 	if err != nil {
-		return DiskFailure.Wrap(err, "set aside")
+		return DiskFailure.Wrap(err, "set the corrupt file aside")
 	}
 	return nil
 }
--- a/internal/mesh/storage/power_test.go
+++ b/internal/mesh/storage/power_test.go
@@ -16,54 +16,56 @@
 	"github.com/joomcode/errorx"
 )
 
-// A model of the loss of power. A recorder does what a store asks for on real files, and notes each step. From every prefix of
-// the steps, each disk that may be left is made and opened. What was synced is there; of what came after, writes are there, absent
-// or torn, and names in the folder were changed or not, each by itself. A sync that failed leaves any of that for good, also when a
-// later one succeeds.
+// A model of power loss. A recorder runs the operations of a store on real files and records each step. For every prefix of the steps,
+// each disk content that a power loss may leave is created and opened. Synced data is present. Of the later operations, each write is
+// present, absent or torn, and each change of a name in the directory was made or not, independently. After a failed sync, any of these
+// outcomes remains possible, even if a later sync succeeds.
 
-// step is one operation, or a mark: a write began or was confirmed that makes the state what it tells.
+// step is one file operation, or the begin or the confirmation of a write of the store, with the state that it results in.
 type step struct {
-	kind     string // create, write, truncate, sync, sync failed, rename, remove, sync folder, began, confirmed
+	kind     string // create, write, truncate, sync, sync failed, rename, remove, sync directory, began, confirmed
 	inode    int
 	name, to string
-	at       int64 // of a write: its place; of a truncation: the size
+	at       int64 // of a write: the offset; of a truncation: the size
 	data     []byte
 	state    map[string]string
-	print    uint64 // of the state
+	digest   uint64 // of the state
 }
 
 var errKilled = errors.New("killed")
 
-// recorder is a disk that notes what is done to it. The real files are what a process that is started anew reads.
+// recorder is a filesystem that records its operations. They also run on real files, which a restarted process reads.
 type recorder struct {
 	osFilesystem
 	steps []step
 	names map[string]int
 	count int
-	// fails tells what an operation ends with: nil, errKilled (and so does each after it), or another error.
-	fails func(count int, kind, name string) error
-	deaf  string // an operation, with the name it is done to, that is taken for done and is not: a planted fault
-	dead  bool
+	// fault returns the result of an operation: nil, errKilled (for each later one too), or another error.
+	fault   func(count int, kind, name string) error
+	ignored string // an injected fault: an operation and its file name; it reports success without effect
+	killed  bool
 }
 
+// begin counts an operation and returns its injected error.
 func (r *recorder) begin(kind, path string) error {
-	if r.dead {
+	if r.killed {
 		return errKilled
 	}
 	r.count++
-	if r.fails == nil {
+	if r.fault == nil {
 		return nil
 	}
-	err := r.fails(r.count, kind, filepath.Base(path))
-	r.dead = errors.Is(err, errKilled)
+	err := r.fault(r.count, kind, filepath.Base(path))
+	r.killed = errors.Is(err, errKilled)
 	return err
 }
 
-func (r *recorder) note(s step) {
+// record records a step, unless it is ignored.
+func (r *recorder) record(s step) {
 	if s.state != nil {
-		s.print = xxhash.Sum64String(fmt.Sprint(s.state))
+		s.digest = xxhash.Sum64String(fmt.Sprint(s.state))
 	}
-	if r.deaf == "" || strings.TrimSpace(s.kind+" "+s.name) != r.deaf {
+	if r.ignored == "" || strings.TrimSpace(s.kind+" "+s.name) != r.ignored {
 		r.steps = append(r.steps, s)
 	}
 }
@@ -77,15 +79,15 @@
 		return nil, err
 	}
 	name := filepath.Base(path)
-	inode, there := r.names[name]
-	if !there {
+	inode, exists := r.names[name]
+	if !exists {
 		inode = len(r.steps) + 1
 		r.names[name] = inode
-		r.note(step{kind: "create", name: name, inode: inode})
+		r.record(step{kind: "create", name: name, inode: inode})
 	} else if flags&os.O_TRUNC != 0 {
-		r.note(step{kind: "truncate", inode: inode})
+		r.record(step{kind: "truncate", inode: inode})
 	}
-	return &recorded{fileHandle: f, r: r, inode: inode}, nil
+	return &recordedFile{fileHandle: f, r: r, inode: inode}, nil
 }
 
 func (r *recorder) Rename(from, to string) error {
@@ -96,7 +98,7 @@
 		return err
 	}
 	from, to = filepath.Base(from), filepath.Base(to)
-	r.note(step{kind: "rename", name: from, to: to, inode: r.names[from]})
+	r.record(step{kind: "rename", name: from, to: to, inode: r.names[from]})
 	r.names[to] = r.names[from]
 	delete(r.names, from)
 	return nil
@@ -110,27 +112,28 @@
 		return err
 	}
 	delete(r.names, filepath.Base(path))
-	r.note(step{kind: "remove", name: filepath.Base(path)})
+	r.record(step{kind: "remove", name: filepath.Base(path)})
 	return nil
 }
 
 func (r *recorder) SyncDir(string) error {
-	if err := r.begin("sync folder", ""); err != nil {
+	if err := r.begin("sync directory", ""); err != nil {
 		return err
 	}
-	r.note(step{kind: "sync folder"})
+	r.record(step{kind: "sync directory"})
 	return nil
 }
 
-type recorded struct {
+// recordedFile is an open file of a recorder.
+type recordedFile struct {
 	fileHandle
 	r     *recorder
 	inode int
 	at    int64
 }
 
-// name is the one that the file has now; "" for none.
-func (f *recorded) name() string {
+// name returns the present name of the file; "" for none.
+func (f *recordedFile) name() string {
 	for name, inode := range f.r.names {
 		if inode == f.inode {
 			return name
@@ -139,66 +142,68 @@
 	return ""
 }
 
-func (f *recorded) Read(to []byte) (int, error) {
+func (f *recordedFile) Read(to []byte) (int, error) {
 	n, err := f.fileHandle.Read(to)
 	f.at += int64(n)
 	return n, err
 }
 
-func (f *recorded) Write(data []byte) (int, error) {
-	failed := f.r.begin("write", f.name())
-	if errors.Is(failed, errKilled) {
-		return 0, failed
+func (f *recordedFile) Write(data []byte) (int, error) {
+	fault := f.r.begin("write", f.name())
+	if errors.Is(fault, errKilled) {
+		return 0, fault
 	}
-	if failed != nil {
+	if fault != nil {
 		data = data[:len(data)/2]
 	}
 	n, err := f.fileHandle.Write(data)
 	if err != nil {
 		return n, err
 	}
-	f.r.note(step{kind: "write", name: f.name(), inode: f.inode, at: f.at, data: slices.Clone(data)})
+	f.r.record(step{kind: "write", name: f.name(), inode: f.inode, at: f.at, data: slices.Clone(data)})
 	f.at += int64(n)
-	return n, failed
+	return n, fault
 }
 
-func (f *recorded) Sync() error {
+func (f *recordedFile) Sync() error {
 	err := f.r.begin("sync", f.name())
 	switch {
 	case err == nil:
-		f.r.note(step{kind: "sync", name: f.name(), inode: f.inode})
+		f.r.record(step{kind: "sync", name: f.name(), inode: f.inode})
 	case !errors.Is(err, errKilled):
-		f.r.note(step{kind: "sync failed", name: f.name(), inode: f.inode})
+		f.r.record(step{kind: "sync failed", name: f.name(), inode: f.inode})
 	}
 	return err
 }
 
-func (f *recorded) Truncate(size int64) error {
+func (f *recordedFile) Truncate(size int64) error {
 	if err := f.r.begin("truncate", f.name()); err != nil {
 		return err
 	}
-	f.r.note(step{kind: "truncate", name: f.name(), inode: f.inode, at: size})
+	f.r.record(step{kind: "truncate", name: f.name(), inode: f.inode, at: size})
 	return f.fileHandle.Truncate(size)
 }
 
-// world is what is certain of a disk, and what was done to it since.
-type world struct {
-	files  map[int]*content
-	names  map[string]int
-	since  []step // to names
-	states []step // marks: the one confirmed last, and those that began since
+// diskModel is the durable content of a disk, with the operations since.
+type diskModel struct {
+	files       map[int]*fileModel // by inode
+	names       map[string]int
+	nameChanges []step // since the last sync of the directory
+	states      []step // the last confirmed write of the store, and those that began since
 }
 
-type content struct {
-	maybe [][]byte // one of these is on the disk
-	since []step
+// fileModel is the content of a file.
+type fileModel struct {
+	durable [][]byte // possible durable contents
+	pending []step   // since the last sync
 }
 
-func newWorld() *world {
-	return &world{files: map[int]*content{}, names: map[string]int{}, states: []step{{kind: "confirmed", state: map[string]string{}}}}
+func newDiskModel() *diskModel {
+	return &diskModel{files: map[int]*fileModel{}, names: map[string]int{}, states: []step{{kind: "confirmed", state: map[string]string{}}}}
 }
 
-func written(before []byte, s *step, data []byte) []byte {
+// applyStep returns the content of a file after a write of data or a truncation.
+func applyStep(before []byte, s *step, data []byte) []byte {
 	if s.kind == "truncate" {
 		return append(slices.Clone(before[:min(len(before), int(s.at))]), make([]byte, max(0, int(s.at)-len(before)))...)
 	}
@@ -207,88 +212,90 @@
 	return after
 }
 
-// options are the contents that a loss of power may leave; fine is for each way to tear a write, not only a few.
-func (c *content) options(fine bool) (out [][]byte) {
-	for _, now := range c.maybe {
-		out = append(out, now)
-		for i := range c.since {
-			s := &c.since[i]
+// outcomes returns the contents that a power loss may leave. If exhaustive, a write is torn in every way, not only in a few.
+func (f *fileModel) outcomes(exhaustive bool) (out [][]byte) {
+	for _, content := range f.durable {
+		out = append(out, content)
+		for i := range f.pending {
+			s := &f.pending[i]
 			if s.kind == "write" {
-				out = append(out, torn(now, s, fine)...)
+				out = append(out, tornWrites(content, s, exhaustive)...)
 			}
-			now = written(now, s, s.data)
-			out = append(out, now)
+			content = applyStep(content, s, s.data)
+			out = append(out, content)
 		}
 	}
 	return out
 }
 
-func torn(before []byte, s *step, fine bool) (out [][]byte) {
+// tornWrites returns contents after a torn write: cut short, followed by zeros, or without some sectors.
+func tornWrites(before []byte, s *step, exhaustive bool) (out [][]byte) {
 	n := len(s.data)
 	cuts := []int{0, min(commitBytes, n), n / 2, n - 1}
 	var edges []int
 	for at := sectorBytes - int(s.at)%sectorBytes; at < n; at += sectorBytes {
 		edges = append(edges, at)
 	}
-	if fine && n < 400 {
+	if exhaustive && n < 400 {
 		cuts = cuts[:0]
 		for cut := range n {
 			cuts = append(cuts, cut)
 		}
-	} else if fine {
+	} else if exhaustive {
 		for _, at := range edges {
 			cuts = append(cuts, at-1, at, at+1)
 		}
 	}
 	for _, cut := range cuts {
 		zeros := append(slices.Clone(s.data[:cut]), make([]byte, n-cut)...)
-		out = append(out, written(before, s, s.data[:cut]), written(before, s, zeros))
+		out = append(out, applyStep(before, s, s.data[:cut]), applyStep(before, s, zeros))
 	}
 	from := 0
 	for _, to := range append(edges, n) {
-		hole := slices.Clone(s.data)
-		clear(hole[from:to])
+		missing := slices.Clone(s.data)
+		clear(missing[from:to])
 		only := make([]byte, n)
 		copy(only[from:to], s.data[from:to])
-		out = append(out, written(before, s, hole), written(before, s, only))
+		out = append(out, applyStep(before, s, missing), applyStep(before, s, only))
 		from = to
 	}
 	return out
 }
 
-func (w *world) do(s step) {
-	file := w.files[s.inode]
+// apply applies a step to the model.
+func (m *diskModel) apply(s step) {
+	file := m.files[s.inode]
 	switch s.kind {
 	case "create":
-		w.files[s.inode] = &content{maybe: [][]byte{nil}}
-		w.since = append(w.since, s)
+		m.files[s.inode] = &fileModel{durable: [][]byte{nil}}
+		m.nameChanges = append(m.nameChanges, s)
 	case "rename", "remove":
-		w.since = append(w.since, s)
+		m.nameChanges = append(m.nameChanges, s)
 	case "write", "truncate":
-		file.since = append(file.since, s)
+		file.pending = append(file.pending, s)
 	case "sync":
-		for i, now := range file.maybe {
-			for j := range file.since {
-				now = written(now, &file.since[j], file.since[j].data)
+		for i, content := range file.durable {
+			for j := range file.pending {
+				content = applyStep(content, &file.pending[j], file.pending[j].data)
 			}
-			file.maybe[i] = now
+			file.durable[i] = content
 		}
-		file.since = nil
+		file.pending = nil
 	case "sync failed":
-		file.maybe, file.since = file.options(false), nil
-	case "sync folder":
-		w.names, w.since = w.named(1<<len(w.since)-1), nil
+		file.durable, file.pending = file.outcomes(false), nil
+	case "sync directory":
+		m.names, m.nameChanges = m.namesAfter(1<<len(m.nameChanges)-1), nil
 	case "began":
-		w.states = append(w.states, s)
+		m.states = append(m.states, s)
 	case "confirmed":
-		w.states = []step{s}
+		m.states = []step{s}
 	}
 }
 
-// named are the names if of the changes since just those in a set were kept.
-func (w *world) named(kept int) map[string]int {
-	names := maps.Clone(w.names)
-	for i, s := range w.since {
+// namesAfter returns the names if only the pending changes in a bit set were made.
+func (m *diskModel) namesAfter(kept int) map[string]int {
+	names := maps.Clone(m.names)
+	for i, s := range m.nameChanges {
 		if kept&(1<<i) == 0 {
 			continue
 		}
@@ -303,115 +310,115 @@
 	return names
 }
 
-// disks gives each disk that may be left.
-func (w *world) disks(fine bool, each func(map[string][]byte)) {
-	for kept := range 1 << len(w.since) {
-		disk, main := map[string][]byte{}, [][]byte(nil)
-		for name, inode := range w.named(kept) {
+// disks calls each for every disk content that a power loss may leave.
+func (m *diskModel) disks(exhaustive bool, each func(map[string][]byte)) {
+	for kept := range 1 << len(m.nameChanges) {
+		disk, storeFile := map[string][]byte{}, [][]byte(nil)
+		for name, inode := range m.namesAfter(kept) {
 			if name == fileName {
-				main = w.files[inode].options(fine)
+				storeFile = m.files[inode].outcomes(exhaustive)
 				continue
 			}
-			options := w.files[inode].options(false)
-			disk[name] = options[len(options)/2]
+			outcomes := m.files[inode].outcomes(false)
+			disk[name] = outcomes[len(outcomes)/2]
 		}
-		if main == nil {
+		if storeFile == nil {
 			each(disk)
 		}
-		for _, text := range main {
+		for _, text := range storeFile {
 			disk[fileName] = text
 			each(disk)
 		}
 	}
 }
 
-// quiet is the machine's disk without its syncs, which would only take time: no power is lost while it is looked at.
-type quiet struct{ osFilesystem }
+// noSyncFilesystem is the filesystem without its syncs, which are slow and not needed where no power loss is modeled.
+type noSyncFilesystem struct{ osFilesystem }
 
-type quietHandle struct{ fileHandle }
+type noSyncHandle struct{ fileHandle }
 
-func (quietHandle) Sync() error { return nil }
+func (noSyncHandle) Sync() error { return nil }
 
-func (quiet) SyncDir(string) error { return nil }
+func (noSyncFilesystem) SyncDir(string) error { return nil }
 
-func (q quiet) OpenFile(path string, flags int) (fileHandle, error) {
-	f, err := q.osFilesystem.OpenFile(path, flags)
+func (n noSyncFilesystem) OpenFile(path string, flags int) (fileHandle, error) {
+	f, err := n.osFilesystem.OpenFile(path, flags)
 	if err != nil {
 		return nil, err
 	}
-	return quietHandle{f}, nil
+	return noSyncHandle{f}, nil
 }
 
-// model looks at disks that a loss of power left, each once.
-type model struct {
-	folder string
-	seen   map[string]bool
-	there  map[string][]byte // in the folder
+// recoveryChecker opens and checks disk contents that a power loss may leave, each once.
+type recoveryChecker struct {
+	dir     string
+	checked map[string]bool
+	present map[string][]byte // the files in dir
 }
 
-func newModel(t *testing.T) *model {
-	return &model{folder: t.TempDir(), seen: map[string]bool{}, there: map[string][]byte{}}
+func newRecoveryChecker(t *testing.T) *recoveryChecker {
+	return &recoveryChecker{dir: t.TempDir(), checked: map[string]bool{}, present: map[string][]byte{}}
 }
 
-// make makes the files of a disk.
-func (m *model) make(disk map[string][]byte) error {
-	for name := range m.there {
+// createFiles replaces the files in the directory by those of a disk.
+func (c *recoveryChecker) createFiles(disk map[string][]byte) error {
+	for name := range c.present {
 		if _, stays := disk[name]; !stays {
-			if err := os.Remove(filepath.Join(m.folder, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			if err := os.Remove(filepath.Join(c.dir, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return err
 			}
 		}
 	}
 	for name, text := range disk {
-		if err := os.WriteFile(filepath.Join(m.folder, name), text, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(c.dir, name), text, 0o600); err != nil {
 			return err
 		}
 	}
-	m.there = maps.Clone(disk)
+	c.present = maps.Clone(disk)
 	return nil
 }
 
-// open opens a disk, by way of real files or just what its file holds.
-func (m *model) open(disk map[string][]byte, onDisk bool) (*Store, error) {
-	if !onDisk {
+// open opens a disk, either with real files or only by loading the content of its file.
+func (c *recoveryChecker) open(disk map[string][]byte, realFiles bool) (*Store, error) {
+	if !realFiles {
 		db, _, err := load(disk[fileName])
 		return &Store{db: db}, err
 	}
-	if err := m.make(disk); err != nil {
+	if err := c.createFiles(disk); err != nil {
 		return nil, err
 	}
-	b, spoilt, err := openIn(quiet{}, m.folder, testSlack)
-	if err == nil && spoilt != nil {
-		err = fmt.Errorf("an intact disk counts as lost: %w", spoilt)
+	s, corrupt, err := openIn(noSyncFilesystem{}, c.dir, testSlack)
+	if err == nil && corrupt != nil {
+		err = fmt.Errorf("a disk without corruption is reported as corrupt: %w", corrupt)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if _, err := os.Stat(filepath.Join(m.folder, tempFileName)); !errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("what is left of a second file stays: %w", err)
+	if _, err := os.Stat(filepath.Join(c.dir, tempFileName)); !errors.Is(err, fs.ErrNotExist) {
+		return nil, fmt.Errorf("the unfinished snapshot was not removed: %w", err)
 	}
-	return b, nil
+	return s, nil
 }
 
-// check opens a disk, which must hold one of the states.
-func (m *model) check(disk map[string][]byte, states []step) error {
+// check opens a disk and checks that it holds one of the states.
+func (c *recoveryChecker) check(disk map[string][]byte, states []step) error {
 	key := ""
 	for _, s := range states {
-		key += fmt.Sprintf("%x ", s.print)
+		key += fmt.Sprintf("%x ", s.digest)
 	}
 	for _, name := range slices.Sorted(maps.Keys(disk)) {
 		key += fmt.Sprintf(" %s=%x:%d", name, xxhash.Sum64(disk[name]), len(disk[name]))
 	}
-	if m.seen[key] {
+	if c.checked[key] {
 		return nil
 	}
-	m.seen[key] = true
-	b, err := m.open(disk, len(m.seen)%6 == 0)
+	c.checked[key] = true
+	store, err := c.open(disk, len(c.checked)%6 == 0)
 	if err != nil {
 		return err
 	}
-	defer b.Close()
-	held, err := everything(b)
+	defer store.Close()
+	held, err := readAllRecords(store)
 	if err != nil {
 		return err
 	}
@@ -420,34 +427,35 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("holds %v, which is none of %v", brief(held), len(states))
+	return fmt.Errorf("the disk holds %v, which is none of the %d possible states", summarize(held), len(states))
 }
 
-// after checks each disk that may be left after any of the steps from one on.
-func (m *model) after(steps []step, from int, fine bool) (bad error) {
-	w := newWorld()
+// checkPowerLoss checks each disk content that a power loss may leave after any of the steps, from an index on.
+func (c *recoveryChecker) checkPowerLoss(steps []step, from int, exhaustive bool) (failure error) {
+	model := newDiskModel()
 	for i, s := range steps {
-		w.do(s)
+		model.apply(s)
 		if i < from {
 			continue
 		}
-		w.disks(fine, func(disk map[string][]byte) {
-			if bad != nil {
+		model.disks(exhaustive, func(disk map[string][]byte) {
+			if failure != nil {
 				return
 			}
-			if err := m.check(disk, w.states); err != nil {
-				bad = fmt.Errorf("power lost after step %d (%s %s): %w", i+1, s.kind, s.name, err)
+			if err := c.check(disk, model.states); err != nil {
+				failure = fmt.Errorf("power lost after step %d (%s %s): %w", i+1, s.kind, s.name, err)
 			}
 		})
 	}
-	return bad
+	return failure
 }
 
-const testSlack = 300
+const testSlack = 300 // small, so that the file is rewritten often
 
-func everything(b *Store) (map[string]string, error) {
+// readAllRecords returns all records of a store, by name.
+func readAllRecords(store *Store) (map[string]string, error) {
 	out := map[string]string{}
-	err := b.Range("", func(name string, decode func(any) error) error {
+	err := store.Range("", func(name string, decode func(any) error) error {
 		var s string
 		if err := decode(&s); err != nil {
 			return err
@@ -458,7 +466,8 @@
 	return out, err
 }
 
-func brief(state map[string]string) string {
+// summarize returns the records of a state with shortened values.
+func summarize(state map[string]string) string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(state)) {
 		out = append(out, fmt.Sprintf("%s:%.9s", name, state[name]))
@@ -466,8 +475,9 @@
 	return strings.Join(out, " ")
 }
 
-// writes are a day of a store: the name of its disk, small records, large ones over and over, several at once.
-func writes() (out []map[string]any) {
+// workload returns the writes of a store: the identity of its disk, small records, large records that replace each other, and several
+// records at once.
+func workload() (out []map[string]any) {
 	large := func(i, n int) string { return fmt.Sprint("version ", i, strings.Repeat(fmt.Sprint(" line ", i), n)) }
 	out = append(out, map[string]any{"disk": "d#1"}, map[string]any{"promise": "7"})
 	for i := range 4 {
@@ -477,43 +487,43 @@
 	return out
 }
 
-// write writes all from one on, and notes what began and what was confirmed. An error ends nothing.
-func (r *recorder) write(b *Store, state map[string]string, from int) (errs []error) {
-	for _, records := range writes()[from:] {
+// writeWorkload runs the workload from an index on, and records the begin and the confirmation of each write. It continues after errors.
+func (r *recorder) writeWorkload(store *Store, state map[string]string, from int) (errs []error) {
+	for _, records := range workload()[from:] {
 		next := maps.Clone(state)
 		for name, v := range records {
 			next[name] = v.(string)
 		}
-		r.note(step{kind: "began", state: next})
-		if err := b.PutAll(records); err != nil {
+		r.record(step{kind: "began", state: next})
+		if err := store.PutAll(records); err != nil {
 			errs = append(errs, err)
 			continue
 		}
 		state = next
-		r.note(step{kind: "confirmed", state: state})
+		r.record(step{kind: "confirmed", state: state})
 	}
 	return errs
 }
 
-// day records a day on an empty disk.
-func day(t *testing.T, r *recorder) (folder string, errs []error) {
+// recordWorkload runs the workload on an empty disk.
+func recordWorkload(t *testing.T, r *recorder) (dir string, errs []error) {
 	t.Helper()
-	folder, r.names = t.TempDir(), map[string]int{}
-	b, spoilt, err := openIn(r, folder, testSlack)
+	dir, r.names = t.TempDir(), map[string]int{}
+	store, corrupt, err := openIn(r, dir, testSlack)
 	if err != nil {
-		return folder, []error{err}
+		return dir, []error{err}
 	}
-	defer b.Close()
-	if spoilt != nil {
-		t.Fatal(spoilt)
+	defer store.Close()
+	if corrupt != nil {
+		t.Fatal(corrupt)
 	}
-	return folder, r.write(b, map[string]string{}, 0)
+	return dir, r.writeWorkload(store, map[string]string{}, 0)
 }
 
 func TestPowerLossAtAnyStep(t *testing.T) {
 	t.Parallel()
 	r := &recorder{}
-	if _, errs := day(t, r); errs != nil {
+	if _, errs := recordWorkload(t, r); errs != nil {
 		t.Fatal(errs)
 	}
 	renames := 0
@@ -525,31 +535,31 @@
 	if renames < 4 {
 		t.Errorf("only %d compactions", renames)
 	}
-	m := newModel(t)
-	if err := m.after(r.steps, 0, true); err != nil {
+	c := newRecoveryChecker(t)
+	if err := c.checkPowerLoss(r.steps, 0, true); err != nil {
 		t.Error(err)
 	}
-	t.Logf("%d steps, %d compactions, %d disks", len(r.steps), renames, len(m.seen))
+	t.Logf("%d steps, %d compactions, %d disks", len(r.steps), renames, len(c.checked))
 }
 
-// Power is lost again while what it left is opened and written to.
+// A second power loss occurs while the disk that the first one left is opened and written to.
 func TestPowerLossDuringRecovery(t *testing.T) {
 	t.Parallel()
 	r := &recorder{}
-	if _, errs := day(t, r); errs != nil {
+	if _, errs := recordWorkload(t, r); errs != nil {
 		t.Fatal(errs)
 	}
-	m, left := newModel(t), 0
-	w := newWorld()
+	c, first := newRecoveryChecker(t), 0
+	model := newDiskModel()
 	for _, s := range r.steps {
-		w.do(s)
-		w.disks(false, func(disk map[string][]byte) {
-			if left++; left%9 != 0 || t.Failed() {
+		model.apply(s)
+		model.disks(false, func(disk map[string][]byte) {
+			if first++; first%9 != 0 || t.Failed() {
 				return
 			}
-			folder, again := t.TempDir(), &recorder{names: map[string]int{}}
+			dir, again := t.TempDir(), &recorder{names: map[string]int{}}
 			for name, text := range disk {
-				if err := os.WriteFile(filepath.Join(folder, name), text, 0o600); err != nil {
+				if err := os.WriteFile(filepath.Join(dir, name), text, 0o600); err != nil {
 					t.Fatal(err)
 				}
 				inode := len(again.steps) + 1
@@ -557,80 +567,81 @@
 				again.steps = append(again.steps, step{kind: "create", name: name, inode: inode},
 					step{kind: "write", inode: inode, data: text}, step{kind: "sync", inode: inode})
 			}
-			again.steps = append(again.steps, step{kind: "sync folder"})
-			again.steps = append(again.steps, w.states...)
-			if err := m.reopened(again, folder, ""); err != nil {
+			again.steps = append(again.steps, step{kind: "sync directory"})
+			again.steps = append(again.steps, model.states...)
+			if err := c.checkReopen(again, dir, ""); err != nil {
 				t.Error(err)
 			}
 		})
 	}
-	t.Logf("%d disks, %d after the second loss", left/9, len(m.seen))
+	t.Logf("%d disks, %d after the second power loss", first/9, len(c.checked))
 }
 
-// reopened opens a disk as its files show it, writes to it, and checks what a loss of power leaves from the opening on. What was
-// read at opening may be told to others, and so must last. An operation is deaf until then.
-func (m *model) reopened(r *recorder, folder, deaf string) error {
+// checkReopen opens the real files, writes to them, and checks every power loss from the opening on. Records that were read at the opening
+// may be sent to peers, so they must be durable. The ignored operation has no effect during the opening.
+func (c *recoveryChecker) checkReopen(r *recorder, dir, ignored string) error {
 	from := len(r.steps)
-	r.deaf = deaf
-	b, spoilt, err := openIn(r, folder, testSlack)
-	r.deaf = ""
+	r.ignored = ignored
+	store, corrupt, err := openIn(r, dir, testSlack)
+	r.ignored = ""
 	if err != nil {
 		return err
 	}
-	defer b.Close()
-	if spoilt != nil {
-		return fmt.Errorf("an intact disk counts as lost: %w", spoilt)
+	defer store.Close()
+	if corrupt != nil {
+		return fmt.Errorf("a disk without corruption is reported as corrupt: %w", corrupt)
 	}
-	state, err := everything(b)
+	state, err := readAllRecords(store)
 	if err != nil {
 		return err
 	}
-	r.note(step{kind: "confirmed", state: state})
-	if errs := r.write(b, state, len(writes())-2); errs != nil {
+	r.record(step{kind: "confirmed", state: state})
+	if errs := r.writeWorkload(store, state, len(workload())-2); errs != nil {
 		return errs[0]
 	}
-	return m.after(r.steps, from, false)
+	return c.checkPowerLoss(r.steps, from, false)
 }
 
-// A process is killed at any step, with the power on, is started anew and reads what may be in memory only; then power is lost.
+// The process is killed at any operation and restarts without a power loss, so it reads data that may be in memory only; then power is lost.
 func TestKillAtAnyStep(t *testing.T) {
 	t.Parallel()
-	m := newModel(t)
-	if err := m.kills(t, ""); err != nil {
+	c := newRecoveryChecker(t)
+	if err := c.checkKills(t, ""); err != nil {
 		t.Error(err)
 	}
-	t.Logf("%d disks", len(m.seen))
+	t.Logf("%d disks", len(c.checked))
 }
 
-func (m *model) kills(t *testing.T, deaf string) error {
+// checkKills kills the process at each operation of the workload and checks the restart.
+func (c *recoveryChecker) checkKills(t *testing.T, ignored string) error {
 	for kill := 1; ; kill++ {
-		r := &recorder{fails: func(count int, _, _ string) error {
+		r := &recorder{fault: func(count int, _, _ string) error {
 			if count == kill {
 				return errKilled
 			}
 			return nil
 		}}
-		folder, errs := day(t, r)
+		dir, errs := recordWorkload(t, r)
 		if errs == nil {
 			return nil
 		}
-		r.fails, r.dead = nil, false
-		if err := m.reopened(r, folder, deaf); err != nil {
+		r.fault, r.killed = nil, false
+		if err := c.checkReopen(r, dir, ignored); err != nil {
 			return fmt.Errorf("killed at operation %d: %w", kill, err)
 		}
 	}
 }
 
-// Operations fail, one or several in a row. The writes are told as not done, by errors of the disk; what was held is held; later
-// writes are done.
+// One operation fails, or several in a row. The failed writes return errors of the disk, the earlier records are kept, and later writes
+// succeed.
 func TestFailingDiskLosesNothing(t *testing.T) {
 	t.Parallel()
-	m := newModel(t)
-	for _, row := range []int{1, 5} {
-		for fail := 1; ; fail += row {
+	c := newRecoveryChecker(t)
+	for _, failures := range []int{1, 5} {
+		for fail := 1; ; fail += failures {
 			first, from, r := "", 0, &recorder{}
-			r.fails = func(count int, kind, _ string) error {
-				if count < fail || count >= fail+row {
+			r.fault = func(count int, kind, _ string) error {
+				if count < fail || count >= fail+failures {
 					return nil
 				}
 				if first == "" {
@@ -638,33 +649,33 @@
 				}
 				return syscall.ENOSPC
 			}
-			_, errs := day(t, r)
+			_, errs := recordWorkload(t, r)
 			if first == "" {
 				break
 			}
-			if len(errs) == 0 || len(errs) > row {
-				t.Fatalf("operation %d, %s, failed: told as %v", fail, first, errs)
+			if len(errs) == 0 || len(errs) > failures {
+				t.Fatalf("operation %d, %s, failed: the writes return %v", fail, first, errs)
 			}
 			for _, err := range errs {
 				if !errorx.IsOfType(err, DiskFailure) {
-					t.Fatalf("operation %d, %s, failed: told as %v", fail, first, err)
+					t.Fatalf("operation %d, %s, failed: a write returns %v, want a disk failure", fail, first, err)
 				}
 			}
-			if err := m.after(r.steps, from, false); err != nil {
-				t.Fatalf("operation %d, %s, and so on, %d in all, failed: %v", fail, first, row, err)
+			if err := c.checkPowerLoss(r.steps, from, false); err != nil {
+				t.Fatalf("%d operations failed, from operation %d, %s: %v", failures, fail, first, err)
 			}
 		}
 	}
-	t.Logf("%d disks", len(m.seen))
+	t.Logf("%d disks", len(c.checked))
 }
 
-// A sync fails, and the process ends before it writes again: what is in memory only must not be read as if it lasted.
+// A sync fails, and the process exits before the next write: data that is in memory only must not be read as durable.
 func TestExitAfterAFailedSync(t *testing.T) {
 	t.Parallel()
-	m := newModel(t)
+	c := newRecoveryChecker(t)
 	for fail := 1; ; fail++ {
 		failed, r := false, &recorder{}
-		r.fails = func(count int, kind, _ string) error {
+		r.fault = func(count int, kind, _ string) error {
 			switch {
 			case count == fail && kind == "sync":
 				failed = true
@@ -674,36 +685,36 @@
 			}
 			return nil
 		}
-		folder, errs := day(t, r)
+		dir, errs := recordWorkload(t, r)
 		if !failed && r.count < fail {
 			break
 		}
 		if errs == nil {
 			continue
 		}
-		r.fails, r.dead = nil, false
-		if err := m.reopened(r, folder, ""); err != nil {
+		r.fault, r.killed = nil, false
+		if err := c.checkReopen(r, dir, ""); err != nil {
 			t.Fatalf("operation %d failed: %v", fail, err)
 		}
 	}
-	t.Logf("%d disks", len(m.seen))
+	t.Logf("%d disks", len(c.checked))
 }
 
-// The model bites: without any one of the syncs, it finds a disk that lost what was confirmed, or counts as lost.
+// The model detects each missing sync: without it, a disk lost confirmed records, or is corrupt.
 func TestMissingSyncIsFound(t *testing.T) {
 	t.Parallel()
-	for _, deaf := range []string{"sync " + fileName, "sync " + tempFileName, "sync folder"} {
-		r := &recorder{deaf: deaf}
-		if _, errs := day(t, r); errs != nil {
+	for _, ignored := range []string{"sync " + fileName, "sync " + tempFileName, "sync directory"} {
+		r := &recorder{ignored: ignored}
+		if _, errs := recordWorkload(t, r); errs != nil {
 			t.Fatal(errs)
 		}
-		if newModel(t).after(r.steps, 0, false) == nil {
-			t.Errorf("without %q, nothing is found", deaf)
+		if newRecoveryChecker(t).checkPowerLoss(r.steps, 0, false) == nil {
+			t.Errorf("without %q, no loss is detected", ignored)
 		}
 	}
-	for _, deaf := range []string{"sync " + fileName, "sync folder"} {
-		if newModel(t).kills(t, deaf) == nil {
-			t.Errorf("without %q at opening, nothing is found", deaf)
+	for _, ignored := range []string{"sync " + fileName, "sync directory"} {
+		if newRecoveryChecker(t).checkKills(t, ignored) == nil {
+			t.Errorf("without %q at the opening, no loss is detected", ignored)
 		}
 	}
 }
