--- a/internal/mesh/storage/store.go
+++ b/internal/mesh/storage/store.go
@@ -1,7 +1,7 @@
 // Package storage is a crash-safe store of named records in one file. A write is durable when it
-// returns. Opening cuts off a tail that a loss of power has torn; a file that is corrupt otherwise
-// is set aside and reported, and the store is empty. The file is bounded by the live records, not
-// by the number of writes (docs/design/storage.md).
+// returns. Opening drops a tail that a power loss has torn. Any other corrupt file is set aside and
+// reported, and the store is empty. The size of the file is bounded by the live records, not by the
+// number of writes (docs/design/storage.md).
 package storage
 
 import (
@@ -21,21 +21,21 @@
 var space = errorx.NewNamespace("storage")
 
 var (
-	// DiskFailure is the type of errors of the disk: what was to be written may not be durable.
+	// DiskFailure is the type of errors of the disk: the data of a write may not be durable.
 	DiskFailure = space.NewType("disk_failure")
-	// Corrupt is the type of errors of a file that holds what was never written.
+	// Corrupt is the type of errors of a file whose content differs from what was written.
 	Corrupt = space.NewType("corrupt")
 	// InvalidRecord is the type of errors of a record that cannot be stored: gob cannot encode
-	// it, or it is too large.
+	// it, or the batch is too large.
 	InvalidRecord = space.NewType("invalid_record")
 )
 
 const (
-	legacyPrefix = "entry/" // of an earlier program
+	legacyPrefix = "entry/" // of an earlier version of the program
 	recordPrefix = "record/"
 
-	maxFileBytes  = 1 << 30  // bytes of a file that is read
-	maxBatchBytes = 48 << 20 // bytes of the records of one write: the largest configuration and what goes with it
+	maxFileBytes  = 1 << 30  // maximum size of the file
+	maxBatchBytes = 48 << 20 // maximum size of the records of one write: the largest configuration and its metadata
 	// The file is rewritten before it exceeds growthFactor times the live records plus some
 	// slack.
 	growthFactor      = 2
@@ -44,19 +44,19 @@
 
 // Store is an open store. It is safe for concurrent use.
 type Store struct {
-	db         *buntdb.DB // the records, in memory
+	db         *buntdb.DB // holds the records in memory
 	slackBytes int64      // see growthFactor
 	file       logFile    // owned by the write transaction
-	liveBytes  int64      // of a file with the live records only; owned by the write transaction
+	liveBytes  int64      // size of a file with the live records only; owned by the write transaction
 }
 
 // Open opens the store in a directory, which is created if it does not exist. Corrupt reports that
-// an earlier file could not be trusted and was set aside: the store is empty.
-func Open(folder string) (s *Store, corrupt error, err error) {
-	if err := makeDir(folder); err != nil {
+// the file was corrupt and was set aside: the store is empty.
+func Open(dir string) (s *Store, corrupt error, err error) {
+	if err := makeDir(dir); err != nil {
 		return nil, nil, err
 	}
-	return openIn(osFilesystem{}, folder, defaultSlackBytes)
+	return openIn(osFilesystem{}, dir, defaultSlackBytes)
 }
 
 // makeDir creates a directory and makes its name durable.
@@ -77,12 +77,14 @@
 	}
 	for _, path := range parents {
 		if err := (osFilesystem{}).SyncDir(path); err != nil {
-			return DiskFailure.Wrap(err, "sync the folder over a new one")
+			return DiskFailure.Wrap(err, "sync the parent of a new directory")
 		}
 	}
 	return nil
 }
 
+// openIn opens the store in an existing directory. A torn tail detaches the file, so that the next
+// write rewrites it.
 func openIn(fs filesystem, dir string, slackBytes int64) (s *Store, corrupt error, err error) {
 	s = &Store{slackBytes: slackBytes, file: logFile{fs: fs, dir: dir}}
 	text, err := s.file.read()
@@ -112,8 +114,8 @@
 	return s, corrupt, nil
 }
 
-// load reads the records of a file and returns up to where it is intact. Nothing may be appended to
-// a file that is not intact to its end.
+// load reads the records of a file and returns the offset up to which it is intact. Nothing may be
+// appended to a file that is not intact to its end.
 func load(text []byte) (db *buntdb.DB, intact int, err error) {
 	if db, err = buntdb.Open(":memory:"); err != nil {
 		return nil, 0, DiskFailure.Wrap(err, "memory")
@@ -150,8 +152,8 @@
 	return nil
 }
 
-// write writes values under keys, all or none, and returns once they are durable. After an error
-// the store holds what it held before; a restarted process may find the new values all the same.
+// write writes values under keys, all or none, and returns once they are durable. After an error the
+// store is unchanged, but a restarted process may read the new values.
 func (s *Store) write(values map[string]any) error {
 	err := s.db.Update(func(tx *buntdb.Tx) error {
 		records, live, err := setValues(tx, values, s.liveBytes)
@@ -175,8 +177,8 @@
 	return err
 }
 
-// setValues sets values in a transaction. It returns their records as they are written, and the
-// live bytes with them.
+// setValues sets values in a transaction. It returns their encoded records, and the live bytes that
+// include them.
 func setValues(tx *buntdb.Tx, values map[string]any, live int64) (records []byte, liveAfter int64, err error) {
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		var text bytes.Buffer
@@ -184,7 +186,7 @@
 			return nil, 0, InvalidRecord.Wrap(err, "encode %s", key)
 		}
 		if len(records)+text.Len() > maxBatchBytes {
-			return nil, 0, InvalidRecord.New("more than %d bytes with %s", maxBatchBytes, key)
+			return nil, 0, InvalidRecord.New("the records of a write exceed the limit of %d bytes at %s", maxBatchBytes, key)
 		}
 		value := seal(key, text.Bytes())
 		records = appendSetCommand(records, key, value)
@@ -199,7 +201,7 @@
 	return records, live, nil
 }
 
-// allRecords iterates over the records that a transaction sees, as they are written.
+// allRecords iterates over the encoded records that a transaction sees.
 func allRecords(tx *buntdb.Tx) func(each func(record []byte) error) error {
 	return func(each func([]byte) error) error {
 		var failed error
@@ -214,7 +216,7 @@
 	}
 }
 
-// LegacyEntries iterates over the records that an earlier program wrote, by key.
+// LegacyEntries iterates over the records that an earlier version of the program wrote, by key.
 func (s *Store) LegacyEntries(each func(key string, decode func(any) error) error) error {
 	return s.forEach(legacyPrefix, func(key string, decode func(any) error) error {
 		return each(strings.TrimPrefix(key, legacyPrefix), decode)
@@ -254,8 +256,8 @@
 	return true, nil
 }
 
-// Range calls each for the records whose names have a prefix, sorted by name, as they were when
-// Range was called, until it returns an error. It may write.
+// Range calls each for the records whose names have a prefix, sorted by name, until each returns an
+// error. The records are those at the time of the call; each may write to the store.
 func (s *Store) Range(prefix string, each func(name string, decode func(any) error) error) error {
 	return s.forEach(recordPrefix+prefix, func(key string, decode func(any) error) error {
 		return each(strings.TrimPrefix(key, recordPrefix), decode)
@@ -288,7 +290,7 @@
 func decodeValue(key, value string, v any) error {
 	plain, ok := unseal(key, value)
 	if !ok {
-		return Corrupt.New("%s is not what was written", key)
+		return Corrupt.New("%s does not match its checksum", key)
 	}
 	if err := gob.NewDecoder(bytes.NewReader(plain)).Decode(v); err != nil {
 		return Corrupt.Wrap(err, "decode %s", key)
--- a/internal/mesh/storage/store_test.go
+++ b/internal/mesh/storage/store_test.go
@@ -14,7 +14,7 @@
 	"github.com/tidwall/buntdb"
 )
 
-// version is a record as an earlier program kept it.
+// version is a legacy entry, as an earlier version of the program stored it. gob writes the name of the type.
 type version struct {
 	Key   string
 	Stamp struct {
@@ -24,24 +24,24 @@
 	Body []byte
 }
 
-func entry(key string, n uint64) version {
+func newLegacyEntry(key string, n uint64) version {
 	v := version{Key: key, Body: []byte("body of " + key)}
 	v.Stamp.Number, v.Stamp.By = n, "d"
 	return v
 }
 
-// entries writes versions as an earlier program did, all or none.
-func entries(b *Store, all ...version) error {
+// writeLegacyEntries writes entries as an earlier version of the program did, all or none.
+func writeLegacyEntries(s *Store, all ...version) error {
 	values := map[string]any{}
 	for _, v := range all {
 		values[legacyPrefix+v.Key] = v
 	}
-	return b.write(values)
+	return s.write(values)
 }
 
-// versions are all that an earlier program kept in a book.
-func versions(b *Store) (out []version, err error) {
-	err = b.LegacyEntries(func(key string, decode func(any) error) error {
+// readLegacyEntries returns all entries that an earlier version of the program stored.
+func readLegacyEntries(s *Store) (out []version, err error) {
+	err = s.LegacyEntries(func(key string, decode func(any) error) error {
 		var v version
 		if err := decode(&v); err != nil {
 			return err
@@ -55,74 +55,75 @@
 	return out, err
 }
 
-func fill(t *testing.T, folder string) {
+// createStore creates a store with two legacy entries and one record.
+func createStore(t *testing.T, dir string) {
 	t.Helper()
-	b, spoilt, err := Open(folder)
-	if err != nil || spoilt != nil {
-		t.Fatal(err, spoilt)
+	store, corrupt, err := Open(dir)
+	if err != nil || corrupt != nil {
+		t.Fatal(err, corrupt)
 	}
-	if err := entries(b, entry("config", 3), entry("evacuation/north", 1)); err != nil {
+	if err := writeLegacyEntries(store, newLegacyEntry("config", 3), newLegacyEntry("evacuation/north", 1)); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Put("disk", "d#1"); err != nil {
+	if err := store.Put("disk", "d#1"); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Close(); err != nil {
+	if err := store.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func TestWrittenRecordsAreRead(t *testing.T) {
-	folder := t.TempDir()
-	fill(t, folder)
-	b, spoilt, err := Open(folder)
-	if err != nil || spoilt != nil {
-		t.Fatal(err, spoilt)
-	}
-	defer b.Close()
-	held, err := versions(b)
-	if err != nil || len(held) != 2 || !reflect.DeepEqual(held[0], entry("config", 3)) {
+	dir := t.TempDir()
+	createStore(t, dir)
+	store, corrupt, err := Open(dir)
+	if err != nil || corrupt != nil {
+		t.Fatal(err, corrupt)
+	}
+	defer store.Close()
+	held, err := readLegacyEntries(store)
+	if err != nil || len(held) != 2 || !reflect.DeepEqual(held[0], newLegacyEntry("config", 3)) {
 		t.Fatalf("%v %v", held, err)
 	}
 	var disk string
-	if ok, err := b.Get("disk", &disk); !ok || err != nil || disk != "d#1" {
+	if ok, err := store.Get("disk", &disk); !ok || err != nil || disk != "d#1" {
 		t.Fatal(ok, err, disk)
 	}
-	if ok, err := b.Get("nothing", &disk); ok || err != nil {
+	if ok, err := store.Get("nothing", &disk); ok || err != nil {
 		t.Fatal(ok, err)
 	}
 }
 
-// A write that power cut short is cut off at any byte, also where the rest of it reads as zeros, and none of its records is there:
-// what was synced before it is all there, and writing goes on.
+// A write that a power loss has torn at any byte is dropped with all its records, even if the rest reads as zeros. The records that were
+// synced before are kept, and later writes succeed.
 func TestTornTailIsCutOff(t *testing.T) {
-	folder := t.TempDir()
-	fill(t, folder)
-	path := filepath.Join(folder, fileName)
-	whole, err := os.ReadFile(path)
+	dir := t.TempDir()
+	createStore(t, dir)
+	path := filepath.Join(dir, fileName)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, _, err := Open(folder)
+	store, _, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := entries(b, entry("config", 4), entry("evacuation/south", 1)); err != nil {
+	if err := writeLegacyEntries(store, newLegacyEntry("config", 4), newLegacyEntry("evacuation/south", 1)); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Close(); err != nil {
+	if err := store.Close(); err != nil {
 		t.Fatal(err)
 	}
 	longer, err := os.ReadFile(path)
-	if err != nil || len(longer) <= len(whole) {
+	if err != nil || len(longer) <= len(intact) {
 		t.Fatal(len(longer), err)
 	}
-	for cut := len(whole); cut < len(longer); cut++ {
+	for cut := len(intact); cut < len(longer); cut++ {
 		zeros := make([]byte, len(longer)-cut)
 		for _, left := range [][]byte{longer[:cut], append(slices.Clone(longer[:cut]), zeros...), append(slices.Clone(longer[:cut]), zeros[0])} {
 			db, at, err := load(left)
-			if err != nil || at != len(whole) {
-				t.Fatalf("cut at %d of %d, %d left: whole to %d, %v", cut, len(longer), len(left), at, err)
+			if err != nil || at != len(intact) {
+				t.Fatalf("cut at %d of %d, %d left: intact to %d, %v", cut, len(longer), len(left), at, err)
 			}
 			db.Close()
 			if cut%10 != 0 {
@@ -131,55 +132,55 @@
 			if err := os.WriteFile(path, left, 0o644); err != nil {
 				t.Fatal(err)
 			}
-			b, spoilt, err := openIn(quiet{}, folder, defaultSlackBytes)
-			if err != nil || spoilt != nil {
-				t.Fatalf("cut at %d of %d, %d left: %v %v", cut, len(longer), len(left), err, spoilt)
+			store, corrupt, err := openIn(noSyncFilesystem{}, dir, defaultSlackBytes)
+			if err != nil || corrupt != nil {
+				t.Fatalf("cut at %d of %d, %d left: %v %v", cut, len(longer), len(left), err, corrupt)
 			}
-			held, err := versions(b)
+			held, err := readLegacyEntries(store)
 			if err != nil || len(held) != 2 || held[0].Stamp.Number != 3 {
 				t.Fatalf("cut at %d: %v %v", cut, held, err)
 			}
-			if err := entries(b, entry("config", 5)); err != nil {
+			if err := writeLegacyEntries(store, newLegacyEntry("config", 5)); err != nil {
 				t.Fatal(err)
 			}
-			b.Close()
-			if b, spoilt, err = openIn(quiet{}, folder, defaultSlackBytes); err != nil || spoilt != nil {
-				t.Fatalf("cut at %d, then written: %v %v", cut, err, spoilt)
+			store.Close()
+			if store, corrupt, err = openIn(noSyncFilesystem{}, dir, defaultSlackBytes); err != nil || corrupt != nil {
+				t.Fatalf("cut at %d, then written: %v %v", cut, err, corrupt)
 			}
-			if held, err = versions(b); err != nil || len(held) != 2 || held[0].Stamp.Number != 5 {
+			if held, err = readLegacyEntries(store); err != nil || len(held) != 2 || held[0].Stamp.Number != 5 {
 				t.Fatalf("cut at %d, then written: %v %v", cut, held, err)
 			}
-			b.Close()
+			store.Close()
 		}
 	}
 }
 
-// Any byte that changed is told, in the last write too; so are zeros in the middle and a part that is gone.
+// A changed byte at any offset is reported as corruption, in the last write too. So are zeros in the middle and missing parts.
 func TestAnyChangedByteIsDetected(t *testing.T) {
-	folder := t.TempDir()
-	fill(t, folder)
-	text, err := os.ReadFile(filepath.Join(folder, fileName))
+	dir := t.TempDir()
+	createStore(t, dir)
+	text, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := func(what string, text []byte) {
+	wantCorrupt := func(change string, text []byte) {
 		t.Helper()
 		db, _, err := load(text)
 		if err == nil {
 			db.Close()
 		}
 		if !errorx.IsOfType(err, Corrupt) {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: %v, want corruption", change, err)
 		}
 	}
 	for i := range text {
 		changed := slices.Clone(text)
 		changed[i] ^= 0x40
-		told(fmt.Sprintf("byte %d changed", i), changed)
+		wantCorrupt(fmt.Sprintf("byte %d changed", i), changed)
 	}
-	holed := slices.Clone(text)
-	clear(holed[:commitBytes])
-	told("zeros in the middle", holed)
+	zeroed := slices.Clone(text)
+	clear(zeroed[:commitBytes])
+	wantCorrupt("zeros in the middle", zeroed)
 	snapshot := 0
 	for at := range text {
 		if n, _, ok := parseCommit(text, at); ok && n == 0 {
@@ -187,34 +188,35 @@
 		}
 	}
 	if snapshot == 0 || snapshot == len(text) {
-		t.Fatalf("%d of %d bytes are a snapshot", snapshot, len(text))
+		t.Fatalf("the snapshot has %d of %d bytes", snapshot, len(text))
 	}
 	for cut := 1; cut < snapshot; cut++ {
-		told(fmt.Sprintf("a snapshot cut at %d", cut), text[:cut])
-		told(fmt.Sprintf("a snapshot of zeros from %d", cut), append(slices.Clone(text[:cut]), make([]byte, snapshot-cut)...))
+		wantCorrupt(fmt.Sprintf("a snapshot cut at %d", cut), text[:cut])
+		wantCorrupt(fmt.Sprintf("a snapshot of zeros from %d", cut), append(slices.Clone(text[:cut]), make([]byte, snapshot-cut)...))
 	}
 	long := slices.Clone(text)
 	for i := range 3 {
 		long = append(long, encodeBatch(int64(len(long)), appendSetCommand(nil, "key", seal("key", bytes.Repeat([]byte{'a' + byte(i)}, 600))))...)
 	}
-	if db, whole, err := load(long); err != nil || whole != len(long) {
-		t.Fatal(whole, err)
+	if db, intact, err := load(long); err != nil || intact != len(long) {
+		t.Fatal(intact, err)
 	} else {
 		db.Close()
 	}
-	each := (len(long) - len(text)) / 3
-	told("the first write is gone", long[len(text):])
-	told("a write is gone in the middle", append(slices.Clone(long[:len(text)]), long[len(text)+each:]...))
-	next := len(text) + each
+	batchBytes := (len(long) - len(text)) / 3
+	wantCorrupt("the first write is missing", long[len(text):])
+	wantCorrupt("a write in the middle is missing", append(slices.Clone(long[:len(text)]), long[len(text)+batchBytes:]...))
+	next := len(text) + batchBytes
 	clear(long[next : (next/sectorBytes+1)*sectorBytes])
-	told("a sector of zeros in the middle", long)
-	told("a part is gone", append(slices.Clone(text[:commitBytes+9]), text[commitBytes+29:]...))
+	wantCorrupt("a sector of zeros in the middle", long)
+	wantCorrupt("a part is missing", append(slices.Clone(text[:commitBytes+9]), text[commitBytes+29:]...))
 }
 
-// A file that an earlier version wrote, by buntdb itself and with no commits, is read, also with a torn end; and buntdb reads ours.
+// A file that an earlier version of the program wrote, with buntdb and without commits, is read, even with a torn tail. buntdb reads a file
+// of the present version.
 func TestLegacyFileIsRead(t *testing.T) {
-	folder := t.TempDir()
-	path := filepath.Join(folder, fileName)
+	dir := t.TempDir()
+	path := filepath.Join(dir, fileName)
 	db, err := buntdb.Open(path)
 	if err != nil {
 		t.Fatal(err)
@@ -233,7 +235,7 @@
 		}
 	}
 	set(recordPrefix+"disk", "d#1")
-	set(legacyPrefix+"config", entry("config", 3))
+	set(legacyPrefix+"config", newLegacyEntry("config", 3))
 	if err := db.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -244,7 +246,7 @@
 	if db, err = buntdb.Open(path); err != nil {
 		t.Fatal(err)
 	}
-	set(legacyPrefix+"config", entry("config", 4))
+	set(legacyPrefix+"config", newLegacyEntry("config", 4))
 	if err := db.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -261,7 +263,7 @@
 			if cut%10 != 0 && cut < len(after) {
 				db, at, err := load(left)
 				if err != nil || at != len(before) {
-					t.Fatalf("cut at %d: whole to %d, %v", cut, at, err)
+					t.Fatalf("cut at %d: intact to %d, %v", cut, at, err)
 				}
 				db.Close()
 				continue
@@ -269,19 +271,19 @@
 			if err := os.WriteFile(path, left, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			b, spoilt, err := openIn(quiet{}, folder, defaultSlackBytes)
-			if err != nil || spoilt != nil {
-				t.Fatalf("cut at %d: %v %v", cut, err, spoilt)
+			store, corrupt, err := openIn(noSyncFilesystem{}, dir, defaultSlackBytes)
+			if err != nil || corrupt != nil {
+				t.Fatalf("cut at %d: %v %v", cut, err, corrupt)
 			}
 			var disk string
-			held, err := versions(b)
-			if ok, failed := b.Get("disk", &disk); err != nil || failed != nil || !ok || disk != "d#1" || len(held) != 1 || held[0].Stamp.Number != want {
+			held, err := readLegacyEntries(store)
+			if ok, failed := store.Get("disk", &disk); err != nil || failed != nil || !ok || disk != "d#1" || len(held) != 1 || held[0].Stamp.Number != want {
 				t.Fatalf("cut at %d: %v %v %v %q", cut, err, failed, held, disk)
 			}
-			if err := b.Put("later", "x"); err != nil {
+			if err := store.Put("later", "x"); err != nil {
 				t.Fatal(err)
 			}
-			b.Close()
+			store.Close()
 		}
 	}
 	if db, err = buntdb.Open(path); err != nil {
@@ -297,62 +299,63 @@
 	}
 }
 
-// Records come by name, those that begin so only, and may be written meanwhile; one that can't be kept leaves all as it was.
+// Range returns only the records whose names have the prefix, sorted by name, and its callback may write. A write with a record that cannot
+// be stored changes no record.
 func TestRecordsAreWrittenAtomically(t *testing.T) {
-	folder := t.TempDir()
-	b, _, err := Open(filepath.Join(folder, "new", "folder"))
+	dir := t.TempDir()
+	store, _, err := Open(filepath.Join(dir, "new", "folder"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
-	if err := b.PutAll(map[string]any{"register/b": 2, "register/a": 1, "registry": 9}); err != nil {
+	defer store.Close()
+	if err := store.PutAll(map[string]any{"register/b": 2, "register/a": 1, "registry": 9}); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.PutAll(map[string]any{"register/a": 7, "register/c": make(chan int)}); !errorx.IsOfType(err, InvalidRecord) {
-		t.Errorf("a channel is kept: %v", err)
+	if err := store.PutAll(map[string]any{"register/a": 7, "register/c": make(chan int)}); !errorx.IsOfType(err, InvalidRecord) {
+		t.Errorf("write of a channel: %v, want an invalid record", err)
 	}
-	if err := b.Put("large", make([]byte, maxBatchBytes)); !errorx.IsOfType(err, InvalidRecord) {
-		t.Errorf("a record of any size is kept: %v", err)
+	if err := store.Put("large", make([]byte, maxBatchBytes)); !errorx.IsOfType(err, InvalidRecord) {
+		t.Errorf("write of a record above the limit: %v, want an invalid record", err)
 	}
 	var names []string
 	sum := 0
-	err = b.Range("register/", func(name string, decode func(any) error) error {
+	err = store.Range("register/", func(name string, decode func(any) error) error {
 		var n int
 		if err := decode(&n); err != nil {
 			return err
 		}
 		names, sum = append(names, name), sum*10+n
-		return b.Put(name, n+1)
+		return store.Put(name, n+1)
 	})
 	if err != nil || !slices.Equal(names, []string{"register/a", "register/b"}) || sum != 12 {
 		t.Errorf("%v %v %d", err, names, sum)
 	}
 }
 
-// However often a record is changed, the file stays within its bound.
+// The file stays within its size bound, however often a record is changed.
 func TestFileSizeIsBounded(t *testing.T) {
-	folder := t.TempDir()
-	b, _, err := openIn(quiet{}, folder, 10_000)
+	dir := t.TempDir()
+	store, _, err := openIn(noSyncFilesystem{}, dir, 10_000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
+	defer store.Close()
 	for i := range 500 {
-		if err := b.Put("config", bytes.Repeat([]byte{byte(i)}, 3000+i)); err != nil {
+		if err := store.Put("config", bytes.Repeat([]byte{byte(i)}, 3000+i)); err != nil {
 			t.Fatal(err)
 		}
-		info, err := os.Stat(filepath.Join(folder, fileName))
+		info, err := os.Stat(filepath.Join(dir, fileName))
 		if err != nil || info.Size() > growthFactor*3700+10_000 {
 			t.Fatalf("after %d changes: %d bytes, %v", i+1, info.Size(), err)
 		}
 	}
 }
 
-// A byte that changed makes the disk an empty one, and that is told.
+// A changed byte is reported as corruption, and the store is empty.
 func TestCorruptFileIsSetAside(t *testing.T) {
-	folder := t.TempDir()
-	fill(t, folder)
-	path := filepath.Join(folder, fileName)
+	dir := t.TempDir()
+	createStore(t, dir)
+	path := filepath.Join(dir, fileName)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -362,15 +365,15 @@
 	if err := os.WriteFile(path, text, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	b, spoilt, err := Open(folder)
+	store, corrupt, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
-	if !errorx.IsOfType(spoilt, Corrupt) {
-		t.Fatalf("spoilt: %v", spoilt)
+	defer store.Close()
+	if !errorx.IsOfType(corrupt, Corrupt) {
+		t.Fatalf("%v, want corruption", corrupt)
 	}
-	if held, _ := versions(b); len(held) > 0 {
-		t.Fatalf("held %v", held)
+	if held, _ := readLegacyEntries(store); len(held) > 0 {
+		t.Fatalf("the store still holds %v", held)
 	}
 }
--- a/internal/mesh/storage/verify.go
+++ b/internal/mesh/storage/verify.go
@@ -5,15 +5,15 @@
 	"path/filepath"
 )
 
-// Report says what the file of a store holds, and whether it can be trusted.
+// Report describes the file of a store, and whether it can be trusted.
 type Report struct {
 	FileBytes  int64  // length of the file
-	TornBytes  int64  // of them, at the end, that a loss of power has torn; opening cuts them off
+	TornBytes  int64  // length of the torn tail, which opening drops
 	Corruption string // why the file cannot be trusted; empty if it can
 }
 
-// Verify reads the store in a directory, which no process may have open, changes nothing, and
-// passes it to a function.
+// Verify opens the store in a directory read-only and passes it to a function. No process may have
+// the store open.
 func Verify(dir string, read func(*Store) error) (*Report, error) {
 	f, err := os.Open(filepath.Join(dir, fileName))
 	if err != nil {
--- a/internal/mesh/transport/backoff_test.go
+++ b/internal/mesh/transport/backoff_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// A peer that was just lost is tried again soon, one that stays away less and less often, and never less than was said.
+// The delay starts at Min, doubles up to Max, and starts again at Min after Reset.
 func TestBackoff(t *testing.T) {
-	p := Backoff{Min: 20 * time.Millisecond, Max: 300 * time.Millisecond}
-	most := p.Min
+	b := Backoff{Min: 20 * time.Millisecond, Max: 300 * time.Millisecond}
+	limit := b.Min
 	for range 20 {
-		if d := p.Next(); d < most/2 || d > most {
-			t.Fatalf("%v, want from %v to %v", d, most/2, most)
+		if d := b.Next(); d < limit/2 || d > limit {
+			t.Fatalf("delay %v, want from %v to %v", d, limit/2, limit)
 		}
-		most = min(2*most, p.Max)
+		limit = min(2*limit, b.Max)
 	}
-	if p.Reset(); p.Next() > p.Min {
-		t.Error("after it was reached, the first wait is long")
+	if b.Reset(); b.Next() > b.Min {
+		t.Error("the first delay after Reset is longer than Min")
 	}
 }
--- a/internal/mesh/transport/conn.go
+++ b/internal/mesh/transport/conn.go
@@ -20,19 +20,20 @@
 var (
 	// ConnectionLost is the type of errors of a connection that ended or was idle for too long.
 	ConnectionLost = space.NewType("connection_lost")
-	// ProtocolError is the type of errors of a peer that sends what cannot be decoded.
+	// ProtocolError is the type of errors of messages that cannot be decoded or are too large, and of
+	// peers with another protocol version.
 	ProtocolError = space.NewType("protocol_error")
 )
 
 const (
-	maxFrameBytes = 16 << 20         // of one message
-	greeting      = "milletmast 2\n" // sent first by either side: the version of the protocol
+	maxFrameBytes = 16 << 20         // maximum size of a message
+	greeting      = "milletmast 2\n" // first bytes of either side, with the version of the protocol
 	writeTimeout  = 2 * time.Second
 	dialTimeout   = 500 * time.Millisecond
-	chunkBytes    = 32 << 10 // bytes that have to pass within the idle timeout; a link that carries less is treated as broken
-	// writeBufferBytes bounds the bytes in the kernel for a peer. The window is announced in
-	// steps of a third of that, so it bounds how slow a link may be; and a message in the
-	// kernel can no longer be changed.
+	chunkBytes    = 32 << 10 // bytes that must be transferred within the idle timeout; a slower link is treated as broken
+	// writeBufferBytes is the send buffer of the kernel for a peer. The peer announces its TCP window
+	// in steps of a third of that, so it bounds how slow a link may be. A message in the kernel can
+	// no longer be replaced by a newer one.
 	writeBufferBytes = 256 << 10
 
 	acceptRetryInterval = 10 * time.Millisecond
@@ -45,15 +46,15 @@
 	cancel      context.CancelFunc
 	in          bytes.Buffer
 	dec         *gob.Decoder
-	idleTimeout time.Duration // after which a peer that sends nothing counts as gone
+	idleTimeout time.Duration // after which a connection without received bytes counts as lost
 
 	mu  sync.Mutex
 	out bytes.Buffer
 	enc *gob.Encoder
 }
 
-// New returns a connection over raw after an exchange of greetings, in which both sides take part.
-// It is closed when ctx ends.
+// New returns a connection over raw once both sides have exchanged greetings. It is closed when ctx
+// ends.
 func New(ctx context.Context, raw net.Conn, idleTimeout time.Duration) (*Conn, error) {
 	c := &Conn{raw: raw, idleTimeout: idleTimeout}
 	c.done, c.cancel = context.WithCancel(ctx)
@@ -62,7 +63,7 @@
 	if tcp, ok := raw.(*net.TCPConn); ok {
 		_ = tcp.SetWriteBuffer(writeBufferBytes) // the kernel may bound it otherwise
 	}
-	_ = raw.SetDeadline(time.Now().Add(idleTimeout)) // fails on a closed connection, and so does the write
+	_ = raw.SetDeadline(time.Now().Add(idleTimeout)) // fails only on a closed connection, on which the write fails too
 	if _, err := io.WriteString(raw, greeting); err != nil {
 		c.Close()
 		return nil, ConnectionLost.Wrap(err, "greeting")
@@ -74,7 +75,7 @@
 	}
 	if string(received) != greeting {
 		c.Close()
-		return nil, ProtocolError.New("the peer has another protocol version: %q", received)
+		return nil, ProtocolError.New("the peer sent the greeting %q, want %q", received, greeting)
 	}
 	_ = raw.SetDeadline(time.Time{})
 	return c, nil
@@ -111,14 +112,14 @@
 			serve(raw)
 			continue
 		}
-		select { // no file descriptor may be left
+		select { // the process may be out of file descriptors
 		case <-ctx.Done():
 		case <-time.After(acceptRetryInterval):
 		}
 	}
 }
 
-// Send sends a message. The receiver must expect its type.
+// Send sends a message. The receiver must expect the type of the message.
 func (c *Conn) Send(message any) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,7 +132,7 @@
 	frame := c.out.Bytes()
 	if len(frame)-4 > maxFrameBytes {
 		c.Close()
-		return ProtocolError.New("a message of %d bytes is more than %d", len(frame), maxFrameBytes)
+		return ProtocolError.New("send: a message of %d bytes exceeds the limit of %d bytes", len(frame), maxFrameBytes)
 	}
 	binary.BigEndian.PutUint32(frame, uint32(len(frame)-4))
 	for len(frame) > 0 {
@@ -146,8 +147,8 @@
 	return nil
 }
 
-// Receive waits for the next message, up to the idle timeout. While a long message arrives the peer
-// is not idle.
+// Receive waits for the next message, up to the idle timeout. Each chunk of a long message extends the
+// deadline.
 func (c *Conn) Receive(message any) error {
 	_ = c.raw.SetReadDeadline(time.Now().Add(c.idleTimeout))
 	var length [4]byte
@@ -156,7 +157,7 @@
 	}
 	n := binary.BigEndian.Uint32(length[:])
 	if n > maxFrameBytes {
-		return ProtocolError.New("a message of %d bytes is more than %d", n, maxFrameBytes)
+		return ProtocolError.New("receive: a message of %d bytes exceeds the limit of %d bytes", n, maxFrameBytes)
 	}
 	for left := int64(n); left > 0; left -= chunkBytes {
 		_ = c.raw.SetReadDeadline(time.Now().Add(c.idleTimeout))
@@ -173,13 +174,13 @@
 // RemoteAddr returns the address of the peer.
 func (c *Conn) RemoteAddr() string { return c.raw.RemoteAddr().String() }
 
-// Close closes the connection; Receive and Send return then.
+// Close closes the connection; Receive and Send return an error then.
 func (c *Conn) Close() {
 	c.cancel()
 	c.raw.Close()
 }
 
-// SendPeriodically sends a message at an interval until the connection is closed, as a heartbeat.
+// SendPeriodically sends a message, such as a heartbeat, at an interval until the connection is closed.
 func (c *Conn) SendPeriodically(interval time.Duration, message any) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
--- a/internal/mesh/transport/conn_test.go
+++ b/internal/mesh/transport/conn_test.go
@@ -17,8 +17,8 @@
 	Many []string
 }
 
-// pair is two ends of a connection on loopback.
-func pair(t *testing.T) (a, b net.Conn) {
+// connPair returns the two ends of a TCP connection on loopback.
+func connPair(t *testing.T) (a, b net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +36,7 @@
 }
 
 func TestMessageRoundTrip(t *testing.T) {
-	a, b := pair(t)
+	a, b := connPair(t)
 	ends := make(chan *Conn, 1)
 	go func() {
 		c, _ := New(t.Context(), b, 5*time.Second)
@@ -59,18 +59,18 @@
 	}
 }
 
-// What a peer sends that is not of this wire costs it its connection, and no more memory than a frame's bound.
+// Bytes that are not of this protocol, or announce a frame above the limit, are reported as a protocol error.
 func TestProtocolErrors(t *testing.T) {
 	huge := binary.BigEndian.AppendUint32(nil, maxFrameBytes+1)
 	for name, c := range map[string]struct {
-		bytes string
-		greet bool
+		bytes         string
+		greetingFails bool
 	}{
 		"another greeting": {"GET / HTTP/1.1\r\n\r\n", true},
 		"a huge frame":     {greeting + string(huge), false},
 		"no message":       {greeting + "\x00\x00\x00\x03abc", false},
 	} {
-		a, b := pair(t)
+		a, b := connPair(t)
 		if _, err := io.WriteString(b, c.bytes); err != nil {
 			t.Fatal(err)
 		}
@@ -78,18 +78,18 @@
 		if err == nil {
 			var m message
 			err = conn.Receive(&m)
-		} else if !c.greet {
-			t.Errorf("%s: greeting fails: %v", name, err)
+		} else if !c.greetingFails {
+			t.Errorf("%s: the greeting fails: %v", name, err)
 		}
 		if !errorx.IsOfType(err, ProtocolError) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: %v, want a protocol error", name, err)
 		}
 	}
 }
 
-// One that does not take what it is told is cut off, and an outbox ends with its connection.
+// A peer that does not receive its messages is disconnected, and an outbox ends with its connection.
 func TestOutboxEndsWithItsConnection(t *testing.T) {
-	a, b := pair(t)
+	a, b := connPair(t)
 	if _, err := io.WriteString(b, greeting); err != nil {
 		t.Fatal(err)
 	}
@@ -99,17 +99,17 @@
 	}
 	o := NewOutbox(conn, 1)
 	if !o.Send(&message{}) || o.Send(&message{}) {
-		t.Error("a message is refused with room, or taken without")
+		t.Error("want the first message queued, and the second rejected by the full queue")
 	}
 	o.Run() // returns, as the connection is closed
 	var m message
 	if err := conn.Receive(&m); !errorx.IsOfType(err, ConnectionLost) {
-		t.Errorf("of a closed connection: %v", err)
+		t.Errorf("receive on a closed connection: %v", err)
 	}
 }
 
 func TestIdlePeerIsDisconnected(t *testing.T) {
-	a, b := pair(t)
+	a, b := connPair(t)
 	if _, err := io.WriteString(b, greeting); err != nil {
 		t.Fatal(err)
 	}
@@ -119,22 +119,22 @@
 	}
 	var m message
 	if err := conn.Receive(&m); !errorx.IsOfType(err, ConnectionLost) {
-		t.Fatalf("%v", err)
+		t.Fatalf("receive from an idle peer: %v", err)
 	}
 }
 
-// A message that takes longer over a thin link than a peer may be silent, or slow to take, comes whole: neither end cuts the connection
-// while its bytes pass.
+// A message that takes longer over a low-bandwidth link than the idle timeout arrives complete: neither end closes the connection while its
+// bytes are transferred.
 func TestLongMessageOverASlowLink(t *testing.T) {
-	const silence, size = 300 * time.Millisecond, 4 << 20
-	a, near := pair(t)
-	far, b := pair(t)
+	const idleTimeout, size = 300 * time.Millisecond, 4 << 20
+	a, near := connPair(t)
+	far, b := connPair(t)
 	go func() { // 16 KB each 5 ms one way, anything the other way
-		piece := make([]byte, 16<<10)
+		chunk := make([]byte, 16<<10)
 		for tick := time.NewTicker(5 * time.Millisecond); ; <-tick.C {
-			n, err := near.Read(piece)
+			n, err := near.Read(chunk)
 			if err == nil {
-				_, err = far.Write(piece[:n])
+				_, err = far.Write(chunk[:n])
 			}
 			if err != nil {
 				far.Close()
@@ -143,9 +143,9 @@
 		}
 	}()
 	go func() { _, _ = io.Copy(near, far) }()
-	got := make(chan error, 1)
+	received := make(chan error, 1)
 	go func() {
-		conn, err := New(t.Context(), b, silence)
+		conn, err := New(t.Context(), b, idleTimeout)
 		if err == nil {
 			var m message
 			if err = conn.Receive(&m); err == nil && len(m.Text) != size {
@@ -153,21 +153,21 @@
 			}
 			conn.Close()
 		}
-		got <- err
+		received <- err
 	}()
-	conn, err := New(t.Context(), a, silence)
+	conn, err := New(t.Context(), a, idleTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	began := time.Now()
+	start := time.Now()
 	if err := conn.Send(&message{Text: strings.Repeat("x", size)}); err != nil {
 		t.Error(err)
 	}
-	if err := <-got; err != nil {
+	if err := <-received; err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(began); took < 2*silence {
-		t.Fatalf("it took %v: the link was not thin", took)
+	if took := time.Since(start); took < 2*idleTimeout {
+		t.Fatalf("the message took %v: the link is not slower than the idle timeout", took)
 	}
 }
--- a/internal/mesh/transport/outbox.go
+++ b/internal/mesh/transport/outbox.go
@@ -1,8 +1,7 @@
 package transport
 
-// Deferred makes a message when it is its turn to be sent, as its content may have changed while it
-// was queued. The goroutine of the outbox calls it once; nil means that nothing is to be sent any
-// more.
+// Deferred builds a queued message when it is about to be sent, as its content may have changed while
+// it was queued. The goroutine of the outbox calls it once; nil means that there is nothing to send.
 type Deferred func() any
 
 // Outbox is the send queue of a connection, so that a sender never blocks.
@@ -11,10 +10,10 @@
 	queue chan any
 }
 
-// NewOutbox returns an outbox that holds at most capacity messages that are not sent yet.
+// NewOutbox returns an outbox that holds up to capacity unsent messages.
 func NewOutbox(c *Conn, capacity int) *Outbox { return &Outbox{c, make(chan any, capacity)} }
 
-// Send queues a message. If the queue is full the peer is too slow: the connection is closed, and
+// Send queues a message. A full queue means that the peer is too slow: the connection is closed, and
 // Send returns false.
 func (o *Outbox) Send(message any) bool {
 	select {
