--- a/internal/sidecar/message.go
+++ b/internal/sidecar/message.go
@@ -17,7 +17,7 @@
 // interim response for the final one.
 
 const (
-	maxHeadBytes    = 16 << 10 // of the start line and the headers; ten times the size that clients and endpoints send
+	maxHeadBytes    = 16 << 10 // of the start line and the headers; ten times the size of usual requests and responses
 	maxBufferedBody = 64 << 10 // bytes of a body that is buffered
 	maxEmptyLines   = 4        // before a request
 	maxInterim      = 16       // interim responses before the final one
@@ -30,7 +30,7 @@
 	errTooLong   = errors.New("the message is over the limit")
 )
 
-// Lengths of bodies that are not numbers.
+// Values of a body length that are not a number of bytes.
 const (
 	lengthChunked = -1
 	lengthUnknown = -2
@@ -60,7 +60,7 @@
 	return m, err
 }
 
-// parseHead parses a head in any form that is allowed.
+// parseHead parses a head in any valid form. parseCommonHead is the fast path for the usual form.
 func parseHead(text []byte) (first string, header http.Header, err error) {
 	lines := textproto.NewReader(bufio.NewReaderSize(bytes.NewReader(text), len(text)))
 	if first, err = lines.ReadLine(); err != nil {
@@ -122,7 +122,7 @@
 	return strings.ContainsFunc(s, func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f })
 }
 
-// bodyLength returns the length of the body by the headers. Headers that are ambiguous are an error.
+// bodyLength returns the length of the body according to the headers. Ambiguous headers are an error.
 func bodyLength(h http.Header) (int64, error) {
 	coding, length := h["Transfer-Encoding"], h["Content-Length"]
 	switch {
@@ -142,11 +142,11 @@
 
 // readBody reads a body of at most maxBufferedBody.
 func readBody(r *bufio.Reader, length int64) ([]byte, error) {
-	return readWhole(r, length, maxBufferedBody)
+	return readBodyUpTo(r, length, maxBufferedBody)
 }
 
-// readWhole reads a body of at most maxBytes. A body that is announced to be longer is not read.
-func readWhole(r *bufio.Reader, length, maxBytes int64) ([]byte, error) {
+// readBodyUpTo reads a body of at most maxBytes. A body that is announced to be longer is not read.
+func readBodyUpTo(r *bufio.Reader, length, maxBytes int64) ([]byte, error) {
 	if length > maxBytes {
 		return nil, errTooLong
 	}
@@ -179,7 +179,7 @@
 	return status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// readResponseHead reads the head of the final response, past interim ones.
+// readResponseHead reads the head of the final response and skips interim responses before it.
 func readResponseHead(r *bufio.Reader) (status int, m message, err error) {
 	for range maxInterim {
 		if m, err = readMessage(r); err != nil {
@@ -195,8 +195,8 @@
 	return 0, m, errTooLong
 }
 
-// containsStatusLine reports whether there is a status line in the middle of this head. Then it is the start of a response that was
-// cut off with another behind it.
+// containsStatusLine reports whether there is a status line in the middle of this head. It shows that a truncated response is
+// followed by another response.
 func (m *message) containsStatusLine() bool {
 	if hasStatusLine(m.startLine[len("HTTP/1.1"):]) {
 		return true
@@ -240,7 +240,7 @@
 	return status, nil
 }
 
-// keepsAlive reports whether the peer keeps the connection open behind this message.
+// keepsAlive reports whether the peer keeps the connection open after this message.
 func (m *message) keepsAlive() bool {
 	return !strings.Contains(m.startLine, "HTTP/1.0") && !m.hasToken("Connection", "close")
 }
@@ -257,7 +257,7 @@
 	return false
 }
 
-// hopByHop are the headers of one connection only (RFC 9110, section 7.6.1).
+// hopByHop lists the headers that apply to one connection only (RFC 9110, section 7.6.1).
 var hopByHop = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding",
 	"Upgrade", "Expect", "Content-Length"}
 
--- a/internal/sidecar/mux.go
+++ b/internal/sidecar/mux.go
@@ -11,12 +11,12 @@
 	"milletmast/internal/h2"
 )
 
-// Calls are sent to the servers of a gRPC pool as streams of HTTP/2 (RFC 9113), many on one connection. Each stream is an attempt
-// that the decision module has decided on; a connection never opens or retries one by itself.
+// Calls are sent to the servers of a gRPC pool as HTTP/2 streams (RFC 9113) that share connections. Each stream is an attempt that
+// the decision module has decided on; a connection never opens or retries a stream by itself.
 
 // muxConfig configures the connections of a gRPC pool.
 type muxConfig struct {
-	maxStreams int           // on one connection, and no more than the server allows
+	maxStreams int           // per connection; the server may allow fewer
 	pingAfter  time.Duration // see h2.Config
 }
 
@@ -33,23 +33,23 @@
 	body    [][]byte
 	end     bool
 	startBy time.Time
-	claim   func() bool // called last; false if it must not be sent any more
+	claim   func() bool // called last; false if the stream must not be opened any more
 }
 
-// openStream opens a stream to a server, on a connection that can carry one more or on a new one.
+// openStream opens a stream to a server, on a connection with a free stream or on a new connection.
 func (u *upstream) openStream(ctx context.Context, e *endpoint, until time.Time, st *streamRequest) (*h2.Stream, *conn, error) {
 	s, c, err := u.tryOpenStream(ctx, e, until, st)
 	if err != nil {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		if !e.ready { // a connection that was dialed meanwhile is not needed
+		if !e.ready { // connections that were dialed in the meantime are not needed
 			u.retireMuxes(e)
 		}
 	}
 	return s, c, err
 }
 
-// tryOpenStream is openStream, but may leave a connection to a server that is not ready any more.
+// tryOpenStream is openStream without the cleanup: if it fails, a connection to a server that is not ready any more may remain.
 func (u *upstream) tryOpenStream(ctx context.Context, e *endpoint, until time.Time, st *streamRequest) (*h2.Stream, *conn, error) {
 	for {
 		u.mu.Lock()
@@ -76,7 +76,7 @@
 		case <-ctx.Done():
 			return nil, nil, context.Cause(ctx)
 		}
-		if d.err != nil && !errors.Is(d.err, context.Canceled) { // the other call was canceled, which does not concern this one
+		if d.err != nil && !errors.Is(d.err, context.Canceled) { // a dial that another call canceled does not fail this call
 			return nil, nil, d.err
 		}
 	}
@@ -91,9 +91,9 @@
 	defer u.mu.Unlock()
 	if d.err == nil {
 		if s, err = u.openStreamOn(c, st); errors.Is(err, h2.ErrNoCapacity) {
-			d.err = errNoStream // although it is the first
+			d.err = errNoStream // not even the first stream of a connection
 		}
-		if c.idleSince = time.Now(); c.counted { // otherwise it has ended already
+		if c.idleSince = time.Now(); c.counted { // otherwise the connection has been closed already
 			e.muxes = append(e.muxes, c)
 			u.scheduleSweep()
 		}
@@ -108,10 +108,10 @@
 	return s, c, err
 }
 
-// openStreamOn opens a stream on a connection, if the attempt may still be sent. The mutex is held.
+// openStreamOn opens a stream on a connection, if the attempt may still be sent. The caller holds the mutex.
 func (u *upstream) openStreamOn(c *conn, st *streamRequest) (*h2.Stream, error) {
 	if c.mux.AvailableStreams() == 0 {
-		return nil, h2.ErrNoCapacity // checked before the claim, which holds for one connection
+		return nil, h2.ErrNoCapacity // checked before the claim, which is valid for one connection only
 	}
 	if !st.claim() {
 		return nil, errAttemptCanceled
@@ -124,14 +124,14 @@
 }
 
 var (
-	errAttemptCanceled = errors.New("the attempt was called off")
-	errNoStream        = errors.New("the server allows no stream")
+	errAttemptCanceled = errors.New("the attempt was canceled before its stream was opened")
+	errNoStream        = errors.New("the server allows no streams (SETTINGS_MAX_CONCURRENT_STREAMS is 0)")
 )
 
-// dialMux dials a connection and waits for the settings of the server, which say how many streams it allows. A server that does
-// not speak HTTP/2 is one that cannot be reached.
+// dialMux dials a connection and waits for the settings of the server, which limit the number of streams. A server that does not
+// speak HTTP/2 is treated as unreachable.
 func (u *upstream) dialMux(ctx context.Context, e *endpoint, until time.Time) (*conn, error) {
-	deadline := time.Now().Add(u.dialTimeout) // of both together
+	deadline := time.Now().Add(u.dialTimeout) // for the dial and the settings together
 	if until.Before(deadline) {
 		deadline = until
 	}
@@ -162,7 +162,7 @@
 	return c, nil
 }
 
-// dialError returns context.Canceled for a dial that was canceled, so that calls that wait for it do not fail with it.
+// dialError returns context.Canceled if the dial was canceled, so that other calls that wait for it are not failed.
 func dialError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Canceled
@@ -170,14 +170,14 @@
 	return err
 }
 
-// dropMux removes a connection from the open ones.
+// dropMux removes a connection from the list and the count of open connections.
 func (u *upstream) dropMux(c *conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.dropMuxLocked(c)
 }
 
-// dropMuxLocked is dropMux under the mutex.
+// dropMuxLocked is dropMux for a caller that holds the mutex.
 func (u *upstream) dropMuxLocked(c *conn) {
 	if !c.counted {
 		return
@@ -189,7 +189,7 @@
 	u.releaseConn()
 }
 
-// streamEnded records the end of a stream that openStream has returned.
+// streamEnded records the end of a stream that openStream returned.
 func (u *upstream) streamEnded(c *conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -204,7 +204,7 @@
 	u.scheduleSweep()
 }
 
-// scheduleSweep schedules closeExpired, if it is not. The mutex is held.
+// scheduleSweep schedules closeExpired unless it is scheduled already. The caller holds the mutex.
 func (u *upstream) scheduleSweep() {
 	if !u.sweepScheduled {
 		u.sweepScheduled = true
@@ -212,8 +212,8 @@
 	}
 }
 
-// retireMuxes ends the connections to an endpoint: no new call is sent on them, and each closes after its last one. The mutex is
-// held.
+// retireMuxes drains the connections to an endpoint: no new call is sent on them, and each is closed after its last call. The
+// caller holds the mutex.
 func (u *upstream) retireMuxes(e *endpoint) {
 	for _, c := range slices.Clone(e.muxes) {
 		if c.inUse == 0 {
@@ -225,7 +225,7 @@
 	}
 }
 
-// idleMux returns the connection that was idle longest; nil for none. The mutex is held.
+// idleMux returns the connection that has been idle longest; nil if none is idle. The caller holds the mutex.
 func (u *upstream) idleMux() *conn {
 	var oldest *conn
 	for _, e := range u.endpoints {
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -12,7 +12,7 @@
 	"milletmast/internal/override"
 )
 
-// withOverride returns a server of the list with the overrides of operators applied.
+// withOverride returns a listed server with the operators' overrides applied.
 func (l *eventLoop) withOverride(t Target) Target {
 	t.BootMS = l.overrides.StartTime(t.UID, t.BootMS)
 	if l.overrides.IsHeld(t.UID) && serverStates[t.State] == balancer.Ready {
@@ -21,7 +21,7 @@
 	return t
 }
 
-// setOverrides replaces the overrides, and applies them to the servers that they change.
+// setOverrides replaces the overrides and updates the servers that are affected.
 func (l *eventLoop) setOverrides(set override.Set) {
 	changed := override.ChangedServers(l.overrides, set)
 	l.overrides = set
@@ -38,23 +38,23 @@
 	}
 }
 
-// isKnown reports whether a server is listed, or held out.
+// isKnown reports whether a server is listed or held out of service.
 func (l *eventLoop) isKnown(uid string) bool {
 	_, listed := l.targets[uid]
 	return listed || l.overrides.IsHeld(uid)
 }
 
-// Hold holds an endpoint out until Release, whatever discovery says of it. It is in effect once Hold returns.
+// Hold takes an endpoint out of service until Release, whatever state discovery reports. It is in effect when Hold returns.
 func (s *Sidecar) Hold(ctx context.Context, id string) error {
 	return s.setHeld(ctx, id, func(set override.Set, now float64) (override.Set, error) { return set.Hold(id, now) })
 }
 
-// Release returns an endpoint that was held out to service, as one that has just started.
+// Release returns a held endpoint to service, as if it had just started.
 func (s *Sidecar) Release(ctx context.Context, id string) error {
 	return s.setHeld(ctx, id, func(set override.Set, now float64) (override.Set, error) { return set.Release(id, now), nil })
 }
 
-// setHeld changes the overrides, here and in the shared state.
+// setHeld changes the overrides of this process and in the shared state.
 func (s *Sidecar) setHeld(ctx context.Context, id string, change func(override.Set, float64) (override.Set, error)) error {
 	known := false
 	if err := s.loop.doContext(ctx, func() { known = s.loop.isKnown(id) }); err != nil {
@@ -78,7 +78,7 @@
 	if err := s.loop.doContext(ctx, func() { s.loop.setOverrides(state.Held) }); err != nil {
 		return err
 	}
-	if err != nil { // in effect, but not for the process that replaces this one
+	if err != nil { // in effect here, but not saved for the process that replaces this one
 		return fmt.Errorf("not kept for an upgrade: %w", err)
 	}
 	return nil
--- a/internal/sidecar/persistence.go
+++ b/internal/sidecar/persistence.go
@@ -14,36 +14,36 @@
 	"milletmast/internal/warmstart"
 )
 
-// Persistence is where an instance keeps its state over restarts. The instance closes the store when it ends.
+// Persistence configures where an instance keeps its state across restarts. The instance closes the store when it ends.
 type Persistence struct {
 	Store    *state.Store
-	Loaded   *state.Contents // what the store held at the start; nil for nothing
+	Loaded   *state.Contents // contents of the store at the start; nil if it was empty
 	Interval time.Duration   // between two snapshots
 }
 
-// How an instance has started.
+// Values of Status.StartKind.
 const (
 	StartCold = "cold"
-	StartWarm = "warm" // with what an earlier process had learned
+	StartWarm = "warm" // with the learned state of an earlier process
 )
 
-// settingsHash returns a hash of the settings that measurements depend on: latencies are relative to the aims of the classes,
-// loads to the number of replicas. It is "" if they cannot be encoded.
+// settingsHash returns a hash of the settings that measurements depend on: latencies are relative to the latency targets of the
+// classes, loads to the number of replicas. It is "" if the settings cannot be encoded.
 func settingsHash(set *balancer.Settings) string {
 	r := settingsRecord{Replicas: max(set.Replicas, 1)}
 	for _, c := range set.Classes {
 		r.Classes = append(r.Classes, classRecord(c))
 	}
 	text, err := json.Marshal(r)
-	if err != nil { // an infinite number
+	if err != nil { // JSON has no infinite numbers
 		return ""
 	}
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:settingsHashBytes])
 }
 
-// settingsRecord is what is hashed. The names and the order of its encoded fields, and of those of classRecord, keep their form: with
-// another hash, what an earlier version of the program has learned would not be used.
+// settingsRecord is the input of the hash. The names and the order of its encoded fields and of those of classRecord must not change:
+// with another hash, the learned state of an earlier version of the program would be discarded.
 type settingsRecord struct {
 	Replicas int `json:"Copies"`
 	Classes  []classRecord
@@ -65,7 +65,8 @@
 // settingsHashBytes is the length of a settings hash, in bytes.
 const settingsHashBytes = 8
 
-// exportLearned returns what the module of a pool has learned, with the uids of its servers; nothing once the pool has ended.
+// exportLearned returns the learned state of the decision module of a pool, with the uids of its servers. It is empty once the
+// pool has ended.
 func (p *pool) exportLearned() (s state.PoolState) {
 	p.loop.do(func() {
 		l := p.loop
@@ -77,8 +78,8 @@
 	return s
 }
 
-// importLearned gives a pool that has not started what was learned before, decayed by its age. It returns the age, and whether
-// anything of it is used.
+// importLearned imports learned state, decayed by its age, into a pool that has not started. It returns the age, and whether any of
+// the state is used.
 func (p *pool) importLearned(s state.PoolState) (age time.Duration, used bool) {
 	if s.ModuleSettings != settingsHash(&p.settings) || len(s.Servers) != len(s.Learned.Servers) {
 		return 0, false
@@ -92,7 +93,7 @@
 	return age, len(m.Servers) > 0 || m.ConcurrencyPerServer > 0
 }
 
-// restoreLearned gives a pool that has not started what the pool that it replaces has learned, or an earlier process.
+// restoreLearned imports the learned state of the pool that p replaces, or else of an earlier process. The pool p has not started.
 func (i *Instance) restoreLearned(p, replaced *pool) {
 	if replaced != nil {
 		p.importLearned(replaced.exportLearned())
@@ -106,7 +107,7 @@
 		return
 	}
 	if age, used := p.importLearned(s); used {
-		i.learnedAge.Store(max(i.learnedAge.Load(), int64(age))) // under the reload mutex
+		i.learnedAge.Store(max(i.learnedAge.Load(), int64(age))) // the reload mutex is held: no other goroutine stores
 		i.startedWarm.Store(true)
 		slog.Info("restore learned state", "pool", p.name, "age", age.Round(time.Millisecond), "servers", len(s.Servers))
 	}
@@ -146,14 +147,14 @@
 	})
 }
 
-// saveFinalSnapshot has a last snapshot written.
+// saveFinalSnapshot enqueues a last snapshot to be written.
 func (i *Instance) saveFinalSnapshot() {
 	if i.stateWriter != nil {
 		i.stateWriter.Enqueue(i.snapshot())
 	}
 }
 
-// snapshot returns what the pools of the current generation have learned, by name.
+// snapshot returns the learned state of the pools of the current generation, by name.
 func (i *Instance) snapshot() map[string]state.PoolState {
 	i.mu.Lock()
 	var pools []*pool
@@ -170,7 +171,7 @@
 	return out
 }
 
-// saveLastGood saves a file that has been loaded, for a restart with a file that is not valid.
+// saveLastGood saves a configuration that has been loaded. It is used if the file is invalid at a restart.
 func (i *Instance) saveLastGood(cfg *operator.Config) error {
 	if i.persistence == nil {
 		return nil
@@ -182,7 +183,7 @@
 	return nil
 }
 
-// savePin saves a pin; nil for none.
+// savePin saves the pin of a pool, or removes it if p is nil.
 func (i *Instance) savePin(pool string, p *state.DegradationPin) error {
 	if i.persistence == nil {
 		return nil
--- a/internal/sidecar/platform.go
+++ b/internal/sidecar/platform.go
@@ -9,7 +9,7 @@
 	"milletmast/balancer"
 )
 
-// intakePlatform is the intake of the platform's protocol: there is one pool, and each request names its class.
+// intakePlatform is the intake function of the platform's protocol, which has one pool and requests that name their class.
 func (f *frontend) intakePlatform(_ *clientConn, m *message) intakeResult {
 	k, status, reason := f.parsePlatform(*m)
 	if k != nil {
@@ -20,16 +20,17 @@
 	return intakeResult{call: k, loop: f.loop, status: status, reason: reason, streamBounds: &f.uploadBounds}
 }
 
-// maxPlatformBody is the longest body of the platform's protocol, either way. A message that announces a longer one is corrupt.
+// maxPlatformBody is the longest body of a request or a response of the platform's protocol. A message that announces a longer one
+// is corrupt.
 const maxPlatformBody = 33 << 20
 
-// platformResponseBounds are the limits of a response that is streamed: its endpoint and its client may take seconds between parts.
+// platformResponseBounds are the limits of a streamed response. Its endpoint and its client may take seconds between two parts.
 var platformResponseBounds = streamLimits{maxBytes: maxPlatformBody, idleTimeout: 8 * time.Second, totalTime: 5 * time.Minute}
 
 // platformSingleHeaders are the headers that must not be repeated, as the request would be ambiguous.
 var platformSingleHeaders = []string{"Host", "X-Request-Id", "X-Class", "X-Tenant", "X-Deadline", "Idempotency-Key", "Expect"}
 
-// parsePlatform makes a call of the head of a request, or returns the status and the reason of a rejection.
+// parsePlatform creates a call from the head of a request, or returns the status and the reason of a rejection.
 func (f *frontend) parsePlatform(m message) (k *call, status int, reason string) {
 	method, rest, _ := strings.Cut(m.startLine, " ")
 	uri, version, _ := strings.Cut(rest, " ")
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -13,7 +13,7 @@
 	"milletmast/internal/wire"
 )
 
-// pool is one pool of an operator file: a decision module with a loop, connections and a source of servers of its own, so that
+// pool is one pool of an operator file. It has its own decision module, event loop, connections and source of servers, so that
 // pools do not affect each other.
 type pool struct {
 	name     string
@@ -23,12 +23,12 @@
 	classes  map[string]uint16
 	tenants  map[string]uint16
 	settings balancer.Settings
-	bounds   streamLimits // of streamed bodies; that of a request's length is its listener's
+	bounds   streamLimits // of streamed bodies; maxBytes of a request is set by its listener
 	source   *serverSource
-	holders  int // generations that use it; guarded by Instance.mu
+	holders  int // number of generations that use the pool; guarded by Instance.mu
 }
 
-// newPool returns a pool with at most maxConns connections, which conns counts. It does nothing before start.
+// newPool returns a pool with at most maxConns connections, which count against the budget conns. The pool is idle until start.
 func newPool(spec *operator.Pool, maxConns int, conns *connBudget) (*pool, error) {
 	p := &pool{
 		name: spec.Name, spec: *spec, settings: spec.Settings(),
@@ -49,11 +49,11 @@
 	return p, nil
 }
 
-// start starts the loop and the source. Servers are those that the file lists. Levels is the controller of the levels of the pool
-// that this one replaces; nil for none.
+// start starts the loop and the source. Servers are the servers that the file lists. Levels is the degradation controller of the
+// pool that this pool replaces; nil for none.
 func (p *pool) start(servers []operator.Server, levels *degradation.Controller) {
 	go p.loop.run()
-	spec := p.spec // a reload may change that of the pool
+	spec := p.spec // copied, because a reload may change p.spec
 	p.loop.post(func() {
 		p.loop.setLevels(&spec, levels)
 		if p.loop.subset != nil {
@@ -64,7 +64,7 @@
 	p.source = newServerSource(p, &p.spec)
 }
 
-// setReplicas sets the number of replicas and the rank of this one, if the pool goes by members.
+// setReplicas sets the number of replicas and the rank of this replica, if the pool takes them from the membership.
 func (p *pool) setReplicas(replicas, rank int) {
 	if p.spec.ByMembers {
 		p.loop.post(func() { p.loop.setReplicas(replicas, rank) })
@@ -77,7 +77,7 @@
 	p.loop.post(func() { p.loop.applyList(list, balancer.ListFull) })
 }
 
-// update applies the spec of a new file, in which only servers, their source and levels may differ.
+// update applies the spec of a new file, which may differ in the servers, their source and the levels only.
 func (p *pool) update(spec *operator.Pool, servers []operator.Server) {
 	old := p.spec
 	p.spec = *spec
@@ -93,7 +93,7 @@
 	}
 }
 
-// setMaxConns changes the limit of connections.
+// setMaxConns changes the limit of connections and notifies the decision module of the resulting limit of open requests.
 func (p *pool) setMaxConns(maxConns int) {
 	open := p.upstream.setMaxConns(maxConns)
 	p.loop.post(func() { p.loop.handle(&balancer.Event{Kind: balancer.EvMaxRequests, MaxRequests: open}) })
@@ -106,7 +106,7 @@
 	return n
 }
 
-// stop ends a pool that has no request left, and returns once its goroutines have ended.
+// stop ends a pool that has no open requests, and returns once its goroutines have ended.
 func (p *pool) stop() {
 	p.source.stop()
 	p.loop.do(func() {
--- a/internal/sidecar/port.go
+++ b/internal/sidecar/port.go
@@ -10,44 +10,44 @@
 	"time"
 )
 
-// bodyServer answers a request whose body was received in full. Its context ends when the caller closes the connection.
+// bodyServer responds to a request whose body was received in full. Its context ends when the client closes the connection.
 type bodyServer func(ctx context.Context, body []byte) response
 
-// serveBuffered receives the body of a request and has it responded. It reports whether the connection is kept.
+// serveBuffered receives the body of a request, runs its handler and writes the response. It reports whether the response was written.
 func (f *frontend) serveBuffered(c *clientConn, m *message, t *intakeResult, expectsContinue bool, keep *bool) bool {
 	if expectsContinue {
-		_ = c.writeContinue() // an error shows when the body is read
+		_ = c.writeContinue() // a failed connection also fails the read of the body
 	}
 	c.startBody(f.idleTimeout, m.length)
-	body, err := readWhole(c.reader, m.length, t.maxBody)
+	body, err := readBodyUpTo(c.reader, m.length, t.maxBody)
 	c.endBody()
 	if err != nil {
 		f.rejectUnreadable(c, err)
 		return false
 	}
-	ctx, leave := context.WithCancel(context.Background())
-	defer leave()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	responded := make(chan response, 1)
 	c.setReadDeadline(time.Time{})
 	f.clients.requestStarted(c)
 	f.conns.Go(func() {
-		a := t.serve(ctx, body)
-		c.setReadDeadline(interruptedAt) // ends Peek; before the response is written, or it would end the next read
-		responded <- a
+		r := t.serve(ctx, body)
+		c.setReadDeadline(interruptedAt) // ends Peek; set before the response is written, or it could end the read of the next request
+		responded <- r
 	})
-	_, err = c.reader.Peek(1) // the caller closes the connection, or sends the next request already
-	a, ok := pollResponse(responded)
+	_, err = c.reader.Peek(1) // returns when the client closes the connection or sends the next request, or the handler is done
+	r, ok := pollResponse(responded)
 	if !ok && err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		leave()
+		cancel()
 		<-responded
 		f.clients.requestEnded(c)
 		return false
 	}
 	if !ok {
-		a = <-responded
+		r = <-responded
 	}
 	*keep = *keep && !f.closing.Load()
-	err = c.writeResponse(&a, !*keep)
+	err = c.writeResponse(&r, !*keep)
 	f.clients.requestEnded(c)
 	return err == nil
 }
@@ -58,39 +58,39 @@
 	Header            http.Header // end-to-end headers, without Host
 	Length            int64       // of the body; -1 if it is chunked
 	Body              []byte
-	ReceivedAt        time.Time // when its head had been received
+	ReceivedAt        time.Time // when its head was complete
 	ClientAddr        string    // without the port
 	Admitted          any       // set by Open for Serve
-	Release           func()    // called once the request has been responded; nil for nothing
+	Release           func()    // called once the response has been sent; may be nil
 }
 
-// Reply is a response: to an IncomingRequest, or of a server to an Exchange.
+// Reply is the response to an IncomingRequest, or the response of a server to an Exchange.
 type Reply struct {
 	Status     int
 	Header     http.Header
 	Body       []byte
 	RetryAfter time.Duration // 0 for none
 
-	// AfterOtherResponse says that responses to other requests were received before this one, so that its claim that the request
-	// was not executed proves nothing.
+	// AfterOtherResponse is set if responses to other requests were received before this one. Then a header that says that the
+	// request was not executed cannot be trusted.
 	AfterOtherResponse bool
-	// BodyUnread says of a response of Open that the client waits for a 100 Continue and sends no body now: the connection is kept.
+	// BodyUnread is set in a response of Open if the client waits for a 100 Continue and so sends no body: the connection is kept.
 	BodyUnread bool
 }
 
-// RequestHandler handles the requests of a Port. Open gets the head and returns how many bytes of body are accepted, or a
-// response. Serve gets the complete request and returns the response. Its context ends when the client closes the connection;
-// it must return soon then.
+// RequestHandler handles the requests of a Port. Open receives the head and returns either the limit of the body in bytes or a
+// response. Serve receives the complete request and returns the response. Its context ends when the client closes the connection;
+// then it must return soon.
 type RequestHandler interface {
 	Open(e *IncomingRequest) (maxBody int64, reply *Reply)
 	Serve(ctx context.Context, e *IncomingRequest) Reply
 }
 
-// Port serves HTTP/1.1 at an address by a RequestHandler.
+// Port serves HTTP/1.1 at an address and passes the requests to a RequestHandler.
 type Port struct {
 	listener net.Listener
 	frontend *frontend
-	done     chan struct{} // closed once nothing is accepted any more
+	done     chan struct{} // closed once no more connections are accepted
 }
 
 // PortLimits are the limits of the connections of a Port.
@@ -117,7 +117,7 @@
 	return p, nil
 }
 
-// readIncoming has the handler decide on the head of a request.
+// readIncoming checks the head of a request and passes it to the handler.
 func readIncoming(handler RequestHandler, c *clientConn, m *message) intakeResult {
 	method, rest, _ := strings.Cut(m.startLine, " ")
 	uri, version, _ := strings.Cut(rest, " ")
@@ -136,38 +136,38 @@
 	req.Header.Del("Host")
 	maxBody, reply := handler.Open(req)
 	if reply != nil {
-		return intakeResult{response: reply.answer(), bodyUnread: reply.BodyUnread}
+		return intakeResult{response: reply.toResponse(), bodyUnread: reply.BodyUnread}
 	}
 	return intakeResult{maxBody: maxBody, release: req.Release, serve: func(ctx context.Context, body []byte) response {
 		req.Body = body
 		reply := handler.Serve(ctx, req)
-		return *reply.answer()
+		return *reply.toResponse()
 	}}
 }
 
-// answer returns the reply as an answer of the front.
-func (r *Reply) answer() *response {
-	a := &response{status: r.Status, header: r.Header, body: r.Body, retryAfter: r.RetryAfter}
+// toResponse converts the reply to a response of the frontend.
+func (r *Reply) toResponse() *response {
+	resp := &response{status: r.Status, header: r.Header, body: r.Body, retryAfter: r.RetryAfter}
 	if hasNoBody(r.Status) {
-		a.noBody, a.length, a.body = true, lengthUnknown, nil
+		resp.noBody, resp.length, resp.body = true, lengthUnknown, nil
 	}
-	return a
+	return resp
 }
 
 // Addr returns the address of the port.
 func (p *Port) Addr() net.Addr { return p.listener.Addr() }
 
-// Drain ends the port in order. For a time new connections are accepted as before; then each connection is closed after its next
-// response, and those without an open request at once. What is left at the last time is closed. Both times count from the
-// call. It returns once no connection is open.
-func (p *Port) Drain(accept, last time.Duration) {
-	begun := time.Now()
+// Drain shuts the port down gracefully. For the time accept, connections and requests are accepted as before. Then each connection
+// is closed after its next response, and connections without an open request are closed at once. Connections that are left after
+// timeout are closed. Both times count from the call. Drain returns once no connection is open.
+func (p *Port) Drain(accept, timeout time.Duration) {
+	start := time.Now()
 	p.frontend.draining.Store(true)
 	time.Sleep(accept)
 	p.frontend.closing.Store(true)
 	p.listener.Close()
 	<-p.done
-	p.frontend.clients.drain(begun.Add(last))
+	p.frontend.clients.drain(start.Add(timeout))
 	p.frontend.clients.closeAll()
 	p.frontend.conns.Wait()
 }
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -10,7 +10,7 @@
 	"milletmast/internal/grpcfront"
 )
 
-// response is the response for a client, complete but for a body that is streamed.
+// response is a response for a client. It is complete unless its body is streamed.
 type response struct {
 	status          int
 	header          http.Header
@@ -18,36 +18,36 @@
 	retryAfter      time.Duration
 	stream          *responseStream     // the rest of a streamed body; nil for none
 	length          int64               // of a streamed body, or in the head of a response without one; or lengthChunked or lengthUnknown
-	noBody          bool                // there is no body, whatever the length is
+	noBody          bool                // no body is sent, whatever length says
 	isServerFailure bool                // a failure response of a server, used if no later attempt succeeds
 	callOutcome     string              // see outcomeHeader
 	notExecuted     bool                // reports to the previous tier that nothing was executed
-	timedOut        bool                // it failed by its deadline
+	timedOut        bool                // the request failed because its deadline passed
 	isLocal         bool                // the sidecar's own rejection or failure
-	mayHaveExecuted bool                // an attempt may have been executed, or was open, at that time
-	attempts        int                 // until then
+	mayHaveExecuted bool                // an attempt may have been executed, or was open, when the response was created
+	attempts        int                 // made before the response was created
 	grpc            *grpcfront.Response // response of a server to a gRPC call
 }
 
 // readPlatformResponse reads a response of the platform's protocol. A 200 with a long body is streamed. If the response is
-// unreadable, the request may have been executed whatever the head says.
-func readPlatformResponse(a *attempt, c *conn, out *httpRequest) (balancer.Outcome, *response, bool) {
+// unreadable, the request may have been executed, even if the head says that it was not.
+func readPlatformResponse(a *attempt, c *conn, request *httpRequest) (balancer.Outcome, *response, bool) {
 	status, m, body, rest, err := readResponse(c.reader)
 	if err != nil {
 		return c.fail(a, err)
 	}
 	c.apply(exchange.ResponseStarted)
-	if m.length == lengthUnknown && rest != nil { // it ends with the connection
+	if m.length == lengthUnknown && rest != nil { // the body ends with the connection
 		c.apply(exchange.PeerClosing)
 	}
 	if rest != nil {
 		c.noteConnectionClose(&m)
-		got := &response{status: status, length: m.length, body: body, header: endToEnd(m.header)}
+		r := &response{status: status, length: m.length, body: body, header: endToEnd(m.header)}
 		if m.length == lengthUnknown {
-			got.length = lengthChunked
+			r.length = lengthChunked
 		}
-		got.stream = newResponseStream(rest, a, c, out)
-		return balancer.OK, got, false
+		r.stream = newResponseStream(rest, a, c, request)
+		return balancer.OK, r, false
 	}
 	keep := c.completeResponse(&m)
 	switch {
@@ -55,7 +55,7 @@
 		return balancer.OK, &response{status: status, header: endToEnd(m.header), body: body}, keep
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) && m.header.Get("X-Not-Run") == "1":
 		return balancer.NotExecuted, nil, keep
-	case status/100 == 4: // an error of the client: every endpoint would give it
+	case status/100 == 4: // a client error, which every endpoint would return
 		return balancer.Canceled, &response{status: status}, keep
 	}
 	return balancer.Error, nil, keep
@@ -94,7 +94,7 @@
 	switch {
 	case notExecuted && (isRejection(status) || status == http.StatusGatewayTimeout):
 		return balancer.NotExecuted, nil, reusable
-	case status >= 500 || status == http.StatusTooManyRequests: // it may have been executed, whatever the status says
+	case status >= 500 || status == http.StatusTooManyRequests: // the request may have been executed, whatever the status
 		if rest != nil || isRejection(status) {
 			return balancer.Error, nil, reusable
 		}
@@ -110,11 +110,11 @@
 	return balancer.OK, r, reusable
 }
 
-// readListenerBody reads the body of a response, or its first part and returns the rest.
+// readListenerBody reads the body of a response. If the body is long, it reads the first part and returns a reader of the rest.
 func readListenerBody(c *conn, m *message, r *response) (rest io.Reader, err error) {
 	switch {
 	case r.noBody:
-	case m.length == lengthUnknown: // its end could not be told from a connection that broke
+	case m.length == lengthUnknown: // its end could not be distinguished from a broken connection
 		return nil, errBadLength
 	case m.length == lengthChunked:
 		r.body, rest, err = readFirst(newTrailerReader(c.reader), time.Time{})
@@ -126,10 +126,10 @@
 	return rest, err
 }
 
-// outcomeOf returns the outcome of an attempt without a response for the decision module.
+// outcomeOf converts the outcome of an exchange without a response to the outcome for the decision module.
 func outcomeOf(f exchange.Outcome) balancer.Outcome {
 	switch f {
-	case exchange.NotWritten: // for whatever reason
+	case exchange.NotWritten: // nothing was sent, whatever the reason
 		return balancer.ConnectFailed
 	case exchange.Canceled:
 		return balancer.Canceled
--- a/internal/sidecar/responsestream.go
+++ b/internal/sidecar/responsestream.go
@@ -17,11 +17,11 @@
 	attempt     *attempt
 	idleTimeout time.Duration
 	deadline    time.Time
-	done        chan error // how it ended: nil, an error of the server, or errClientGone
+	done        chan error // receives the result: nil, an error of the server, or errClientGone
 }
 
-// errClientGone is a client that does not read a streamed response.
-var errClientGone = errors.New("the caller does not take it")
+// errClientGone is the error of a streamed response that cannot be written to its client.
+var errClientGone = errors.New("the client does not read the response")
 
 func newResponseStream(rest io.Reader, a *attempt, c *conn, request *httpRequest) *responseStream {
 	limits := request.streamBounds
@@ -48,8 +48,8 @@
 	return s.source.Read(p)
 }
 
-// streamResponse hands a response whose body is streamed to the loop, and waits until the client has read it, or will not. It
-// reports whether the connection can be reused.
+// streamResponse passes a response with a streamed body to the event loop, and waits until the body has been forwarded, forwarding
+// has failed or the attempt is canceled. It returns the outcome and whether the connection can be reused.
 func (u *upstream) streamResponse(a *attempt, c *conn, r *response) (balancer.Outcome, bool) {
 	a.onStreaming(r)
 	select {
--- a/internal/sidecar/responsewriter.go
+++ b/internal/sidecar/responsewriter.go
@@ -12,19 +12,19 @@
 
 const (
 	responseWriteTimeout = 3 * time.Second        // for a buffered response
-	lingerTime           = 500 * time.Millisecond // for a client that still sends
-	lingerBytes          = 256 << 10              // likewise; read and dropped
-	responseHeadSize     = 512                    // bytes; usually enough
+	lingerTime           = 500 * time.Millisecond // how long input of a client is discarded before its connection is closed
+	lingerBytes          = 256 << 10              // how much input is discarded then
+	responseHeadSize     = 512                    // initial buffer size in bytes, enough for most heads
 )
 
-// writeContinue tells a client that asked first to send its body.
+// writeContinue writes the interim response 100 Continue, which the client waits for before it sends its body.
 func (c *clientConn) writeContinue() error {
-	c.setWriteDeadline(time.Now().Add(responseWriteTimeout)) // that of the response before may have passed
+	c.setWriteDeadline(time.Now().Add(responseWriteTimeout)) // the deadline of the previous response may have passed
 	_, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
 	return err
 }
 
-// writeResponse writes a final response. Last says that the connection ends behind it.
+// writeResponse writes a final response. If last is set, it announces that the connection is closed after the response.
 func (c *clientConn) writeResponse(r *response, last bool) error {
 	length := int64(len(r.body))
 	if r.noBody {
@@ -36,8 +36,8 @@
 	return err
 }
 
-// encodeHead returns the head of a response with a body of a length. The length may be lengthChunked, or lengthUnknown for a
-// response that has no body by its status.
+// encodeHead returns the head of a response. The length is that of its body, lengthChunked, or lengthUnknown for a response whose
+// status allows no body.
 func (r *response) encodeHead(length int64, last bool) *bytes.Buffer {
 	head := &bytes.Buffer{}
 	head.Grow(responseHeadSize)
@@ -69,13 +69,13 @@
 	return head
 }
 
-// reject responds to what cannot be accepted and closes the connection, as no request behind it could be found.
+// reject responds to a message that cannot be accepted and closes the connection, because the start of the next request is unknown.
 func (c *clientConn) reject(status int, reason string) {
 	c.respondAndClose(&response{status: status, body: []byte(reason + "\n")})
 }
 
-// respondAndClose writes a response to a client that may still send, and closes the connection. What the client sends is
-// dropped for a while: a close with unread bytes resets the connection, which could destroy the response on its way.
+// respondAndClose writes a response to a client that may still be sending, and closes the connection. Input is discarded for a
+// limited time first: a close with unread input resets the connection, and the client could lose the response.
 func (c *clientConn) respondAndClose(r *response) {
 	if c.writeResponse(r, true) != nil {
 		return
@@ -84,11 +84,11 @@
 		return
 	}
 	c.setReadDeadline(time.Now().Add(lingerTime))
-	_, _ = io.CopyN(io.Discard, c.reader, lingerBytes) // its end or its error: the connection is closed
+	_, _ = io.CopyN(io.Discard, c.reader, lingerBytes) // the connection is closed in any case
 }
 
-// streamResponse writes a response whose body is streamed. After an error the client can tell that the body is incomplete. A
-// client of HTTP/1.0 takes the end of the connection for that of a body of unknown length, so that its connection is reset.
+// streamResponse writes a response with a streamed body. After an error the client can detect that the body is incomplete: an
+// HTTP/1.0 client takes the end of the connection as the end of the body, so its connection is reset instead.
 func (c *clientConn) streamResponse(r *response, last, http10 bool) error {
 	if http10 && r.length == lengthChunked {
 		r.length = lengthUnknown
@@ -115,7 +115,7 @@
 	return c.forwardBody(r, body)
 }
 
-// forwardBody forwards the rest of a streamed body, and reports to its stream how that ended.
+// forwardBody forwards the rest of a streamed body and sends the result to the stream's done channel.
 func (c *clientConn) forwardBody(r *response, body io.Writer) error {
 	buffer := make([]byte, streamBufferSize)
 	for {
--- a/internal/sidecar/roundtrip.go
+++ b/internal/sidecar/roundtrip.go
@@ -12,28 +12,28 @@
 	"milletmast/internal/exchange"
 )
 
-// Exchange is one request to a server of the mesh and what is accepted as its response.
+// Exchange describes one request to a server of the mesh and the response that is accepted.
 type Exchange struct {
-	Head          func(left time.Duration) []byte // lines of the head, without a length and the empty line
+	Head          func(left time.Duration) []byte // returns the head for the time left, without Content-Length and the empty line
 	Body          []byte
 	OmitLength    bool   // an empty body is sent without Content-Length
-	ID            string // which the response has to name in X-Attempt-Id; see exchange.ResponseMatches
-	PeerIsOurs    bool   // the server is a program of our own: it responds in order, and may leave the id out
-	MaxReplyBytes int64  // of the response's body
+	ID            string // required in X-Attempt-Id of the response; see exchange.ResponseMatches
+	PeerIsOurs    bool   // the server is a proxy of the mesh: it responds in order and may omit the id
+	MaxReplyBytes int64  // limit of the response body
 
-	// AskTimeout is how long to wait for a 100 Continue, before which the body is not sent and nothing can have run. 0, or an
-	// empty body, sends head and body at once.
+	// AskTimeout is how long to wait for a 100 Continue. Until it arrives, the body is not sent and the request cannot have been
+	// executed. With 0 or an empty body, the request is sent at once.
 	AskTimeout time.Duration
 }
 
-// asksFirst reports whether the body is sent only after a 100 Continue.
-func (ex *Exchange) asksFirst() bool { return ex.AskTimeout > 0 && len(ex.Body) > 0 }
+// awaitsContinue reports whether the body is sent only after a 100 Continue.
+func (ex *Exchange) awaitsContinue() bool { return ex.AskTimeout > 0 && len(ex.Body) > 0 }
 
-// interruptedAt is a deadline in the past: it ends reading and writing at once.
+// interruptedAt is a deadline in the past, which interrupts reads and writes at once.
 var interruptedAt = time.Unix(1, 0)
 
-// roundTrip sends a request to a server over an idle or a new connection. It returns what is certain of it, and the response if
-// the exchange was completed.
+// roundTrip sends a request to a server over an idle or a new connection. It returns the outcome, and the response if the exchange
+// was completed.
 func (u *upstream) roundTrip(a *attempt, e *endpoint, ex *Exchange, deadline time.Time) (exchange.Outcome, *Reply) {
 	defer a.cancel()
 	c, err := u.connect(a.ctx, e, deadline)
@@ -60,10 +60,10 @@
 	return outcome, reply
 }
 
-// sendAndReceive sends a request over a connection and returns the response of a completed exchange. What is certain is the
-// state of the connection's exchange then.
+// sendAndReceive sends a request over a connection and returns the response of a completed exchange; nil otherwise. The outcome is
+// in the connection's exchange.
 func (u *upstream) sendAndReceive(a *attempt, c *conn, ex *Exchange, deadline time.Time) *Reply {
-	_ = c.SetDeadline(deadline) // fails on a closed connection only, which the write reports
+	_ = c.SetDeadline(deadline) // fails only on a closed connection, and then the write fails too
 	head := ex.encodeHead(deadline)
 	if !a.mayWrite() {
 		c.apply(exchange.RequestCanceled)
@@ -71,14 +71,14 @@
 	}
 	c.apply(exchange.WriteStarted)
 	c.recordID(ex.ID)
-	if ex.asksFirst() {
+	if ex.awaitsContinue() {
 		if _, err := c.Write(head.Bytes()); err != nil {
 			c.applyError(a, err)
 			return nil
 		}
 		c.apply(exchange.ContinueRequested)
-		if by := time.Now().Add(ex.AskTimeout); by.Before(deadline) {
-			c.setReadDeadline(a, by)
+		if continueBy := time.Now().Add(ex.AskTimeout); continueBy.Before(deadline) {
+			c.setReadDeadline(a, continueBy)
 		}
 	} else if err := writeHeadAndBody(c, head, ex.Body); err == nil {
 		u.recordWritten(c)
@@ -101,7 +101,7 @@
 	if len(ex.Body) > 0 || !ex.OmitLength {
 		writeContentLength(&head, int64(len(ex.Body)))
 	}
-	if ex.asksFirst() {
+	if ex.awaitsContinue() {
 		head.WriteString("Expect: 100-continue\r\n")
 	}
 	head.WriteString("\r\n")
@@ -110,7 +110,7 @@
 
 // setReadDeadline sets the deadline for reading, unless the attempt was canceled.
 func (c *conn) setReadDeadline(a *attempt, deadline time.Time) {
-	_ = c.SetReadDeadline(deadline) // fails on a closed connection only, which the read reports
+	_ = c.SetReadDeadline(deadline) // fails only on a closed connection, and then the read fails too
 	if a.ctx.Err() != nil {
 		_ = c.SetReadDeadline(interruptedAt)
 	}
@@ -122,13 +122,13 @@
 	u.written.Add(1)
 }
 
-// mayHaveResponded reports whether a server may have responded before a write failed: its response is to be read then.
+// mayHaveResponded reports whether a server may have responded before a write failed. Then its response is read.
 func mayHaveResponded(a *attempt, err error) bool {
 	return a.ctx.Err() == nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// receive reads up to the request's own final response. If the body waits for a 100 Continue, it is written meanwhile. There
-// is no response if the exchange ends before.
+// receive reads responses up to the request's own final one. A body that waits for a 100 Continue is written when it arrives. The
+// response is nil if the exchange ends before.
 func (u *upstream) receive(a *attempt, c *conn, ex *Exchange, deadline time.Time) (*Reply, error) {
 	for interim := 0; c.exchange.State != exchange.Done; {
 		if _, err := c.reader.Peek(1); err != nil {
@@ -142,7 +142,7 @@
 			return nil, err
 		case err != nil || reply != nil && reply.Status >= http.StatusOK:
 			return reply, err
-		case reply == nil: // another request's response
+		case reply == nil: // the response belongs to another request
 			continue
 		}
 		if interim++; interim > maxInterim {
@@ -179,10 +179,10 @@
 	}
 	var body []byte
 	if !hasNoBody(status) {
-		if m.length == lengthUnknown { // its end could not be told from that of the connection
+		if m.length == lengthUnknown { // its end could not be distinguished from a broken connection
 			return nil, errBadLength
 		}
-		if body, err = readWhole(c.reader, m.length, ex.MaxReplyBytes); err != nil {
+		if body, err = readBodyUpTo(c.reader, m.length, ex.MaxReplyBytes); err != nil {
 			return nil, err
 		}
 	}
@@ -208,7 +208,7 @@
 	return err
 }
 
-// WriteLine writes a header line. Line breaks in the value are replaced by spaces.
+// WriteLine writes one header line. Line breaks in the value are replaced by spaces.
 func WriteLine(b *bytes.Buffer, name, value string) {
 	writeHeader(b, http.Header{name: {value}}, "")
 }
@@ -216,18 +216,18 @@
 // WriteLines writes headers, in any order.
 func WriteLines(b *bytes.Buffer, h http.Header) { writeHeader(b, h, "") }
 
-// maxDeadlineMS bounds a remaining time in a header, in ms.
+// maxDeadlineMS is the largest remaining time that a header may give, in ms.
 const maxDeadlineMS = 1e9
 
-// Deadline returns the remaining time that a header gives in milliseconds. It returns given = false if there is no such
-// header, and ok = false if its value is invalid.
+// Deadline parses the remaining time that a header gives in milliseconds. It returns given = false if the header is missing, and
+// ok = false if its value is invalid.
 func Deadline(h http.Header, name string) (left time.Duration, given, ok bool) {
 	text := h.Get(name)
 	if text == "" {
 		return 0, false, true
 	}
 	ms, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(ms > 0) || ms > maxDeadlineMS { // also if it is NaN
+	if err != nil || !(ms > 0) || ms > maxDeadlineMS { // !(ms > 0) also rejects NaN
 		return 0, true, false
 	}
 	return millis(ms), true, true
--- a/internal/sidecar/routing.go
+++ b/internal/sidecar/routing.go
@@ -11,7 +11,7 @@
 	"milletmast/internal/vhost"
 )
 
-// listenerRouter decides on the requests of a listener of an operator file, in one generation.
+// listenerRouter routes the requests of a listener of an operator file, for one generation of the configuration.
 type listenerRouter struct {
 	front      string           // see operator.Listener
 	tls        *tls.Certificate // nil for none
@@ -19,14 +19,14 @@
 	grpcRoutes *route.Table     // of gRPC calls
 	sites      *vhost.Table     // of requests that no route matches; nil for none
 	pools      map[string]*pool
-	maxBody    int64 // in bytes, of a request, or of a message of gRPC
+	maxBody    int64 // limit of the body of a request or of a gRPC message, in bytes
 
 	callTrees      *callTrees // nil if calls carry no context
-	trustsContexts bool       // of incoming calls
-	maxWorth       float64    // up to this worth
+	trustsContexts bool       // the contexts of incoming calls are used
+	maxWorth       float64    // largest priority weight that an incoming context may set
 }
 
-// route makes a call of the head of a request, by the routes, or else by the sites.
+// route creates a call from the head of a request, by the first matching route or else by the sites.
 func (d *listenerRouter) route(c *clientConn, m *message) intakeResult {
 	req, target, status, reason := readTarget(m)
 	if status != 0 {
@@ -51,7 +51,7 @@
 	})
 }
 
-// fixedResponse returns a response that the file gives, to a request with a method. Location is "" unless it redirects.
+// fixedResponse returns a response that is configured in the file, for a request with a method. Location is "" unless it redirects.
 func fixedResponse(status int, body, location, method string) *response {
 	a := &response{status: status, body: []byte(body), header: http.Header{}}
 	if location != "" {
@@ -60,7 +60,7 @@
 	return a.withoutBodyFor(method)
 }
 
-// withoutBodyFor removes the body if a response to the method, or of its status, has none.
+// withoutBodyFor removes the body if the request's method or the response's status allows none.
 func (a *response) withoutBodyFor(method string) *response {
 	if a.noBody = method == http.MethodHead || hasNoBody(a.status); a.noBody {
 		a.length = int64(len(a.body))
@@ -71,8 +71,8 @@
 	return a
 }
 
-// dispatch makes a call of the class and pool of a rule. MaxBody is in bytes. Start completes the headers of the call and returns
-// its first lines.
+// dispatch creates a call of the class and pool of a rule. MaxBody is in bytes. Start completes the headers of the call and returns
+// the request line and the Host header.
 func (d *listenerRouter) dispatch(
 	c *clientConn, m *message, rule *route.Rule, maxBody int64, method string, start func(*call) string,
 ) intakeResult {
@@ -103,8 +103,8 @@
 	return intakeResult{call: k, loop: p.loop, streamBounds: &limits}
 }
 
-// newHTTPCall makes a call of a class, or returns the status and the reason of a rejection. It sets the time in which a response may
-// be streamed.
+// newHTTPCall creates a call of a class, or returns the status and the reason of a rejection. It sets the total time of a streamed
+// response in limits.
 func (p *pool) newHTTPCall(class uint16, m *message, limits *streamLimits) (k *call, status int, reason string) {
 	h := m.header
 	if reason = p.keyError(class, h, "requests"); reason != "" {
@@ -129,21 +129,22 @@
 	return k, 0, ""
 }
 
-// maxSeconds bounds a duration, in s.
+// maxSeconds is the longest duration that seconds returns, in s; it prevents an overflow of time.Duration.
 const maxSeconds = 1e6
 
+// seconds converts a number of seconds to a duration of at most maxSeconds.
 func seconds(s float64) time.Duration {
 	return time.Duration(min(s, maxSeconds) * float64(time.Second))
 }
 
-// requestTarget is the target of a request, as it is forwarded to a server.
+// requestTarget is the target of a request in the form that is forwarded to a server.
 type requestTarget struct{ host, uri, query string }
 
 // singleHeaders are the headers that must not be repeated on a listener of an operator file, as the request would be ambiguous.
 var singleHeaders = []string{"Host", "X-Request-Id", "X-Tenant", "X-Deadline", "Idempotency-Key", "Expect"}
 
-// readTarget reads the request line and the header Host (RFC 9112, section 3). It returns the status and the reason of a rejection if
-// the request is invalid.
+// readTarget parses the request line and the Host header (RFC 9112, section 3). If the request is invalid, it returns the status and
+// the reason of the rejection.
 func readTarget(m *message) (req *route.Request, target requestTarget, status int, reason string) {
 	reject := func(reason string) (*route.Request, requestTarget, int, string) {
 		return nil, requestTarget{}, http.StatusBadRequest, reason
@@ -179,7 +180,7 @@
 	return req, target, 0, ""
 }
 
-// splitAbsolute splits a target in absolute form, which names the host itself (RFC 9112, section 3.2.2).
+// splitAbsolute splits a target in absolute form, which contains the host (RFC 9112, section 3.2.2).
 func splitAbsolute(scheme, after string) (host, uri, reason string) {
 	if !strings.EqualFold(scheme, "http") && !strings.EqualFold(scheme, "https") {
 		return "", "", "the target is of another scheme"
@@ -198,7 +199,7 @@
 	return host, uri, ""
 }
 
-// routeRequest returns a request for a table of routes, or the reason why it is invalid.
+// routeRequest returns a request for a route table, or the reason why it is invalid.
 func routeRequest(method, uri, host string, header http.Header) (req *route.Request, reason string) {
 	if strings.IndexByte(uri, '#') >= 0 {
 		return nil, "the target holds a fragment"
@@ -214,7 +215,7 @@
 	return &route.Request{Method: method, Host: host, Path: &path, Query: query, Header: header}, ""
 }
 
-// isToken reports whether a method is one in capital letters, as all registered ones are.
+// isToken reports whether s is a method name in capital letters, as all registered methods are.
 func isToken(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool { return (r < 'A' || r > 'Z') && r != '-' && r != '_' })
 }
--- a/internal/sidecar/servers.go
+++ b/internal/sidecar/servers.go
@@ -4,7 +4,7 @@
 	"milletmast/balancer"
 )
 
-// applyList applies a list of servers, or changes of it.
+// applyList applies a full list of servers, or changes to it.
 func (l *eventLoop) applyList(list List, kind balancer.ListKind) {
 	ev := balancer.Event{Kind: balancer.EvServerList, List: kind}
 	full := kind != balancer.ListDelta
@@ -54,8 +54,8 @@
 	l.handle(&ev)
 }
 
-// setReplicas changes the number of replicas that send to the servers, and the rank of this one. Its subset, the servers of its
-// own, its initial capacity and its share of cold servers follow.
+// setReplicas changes the number of replicas that send to the servers, and the rank of this replica. The subset, the servers that
+// are assigned to this replica, its initial capacity and its share of cold servers are recomputed.
 func (l *eventLoop) setReplicas(replicas, rank int) {
 	l.replicas, l.rank = replicas, rank
 	if l.subset != nil {
@@ -64,7 +64,7 @@
 	l.applyList(List{}, balancer.ListDelta)
 }
 
-// listFailed handles a call to discovery that failed, or a watch that broke.
+// listFailed handles a failed call to discovery or a broken watch.
 func (l *eventLoop) listFailed() {
 	l.handle(&balancer.Event{Kind: balancer.EvServerList, List: balancer.ListFailed})
 }
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -19,7 +19,7 @@
 	Final         bool             // the request must not be retried
 }
 
-// ServiceRequest is a request for a service. The service decides which server it is sent to, and when.
+// ServiceRequest is a request to a service. The service decides to which server the request is sent, and when.
 type ServiceRequest struct {
 	Class            uint16
 	Deadline         time.Time // of the final response
@@ -36,22 +36,22 @@
 	Ctx      context.Context
 	Server   string // name of the server
 	Addr     string
-	Number   int // of attempts before
+	Number   int // number of attempts before this one
 	Deadline time.Time
 	upstream *upstream
 	attempt  *attempt
 	endpoint *endpoint
 }
 
-// RoundTrip sends a request to the server and returns what is certain of it, and the response of a completed exchange.
+// RoundTrip sends a request to the server and returns the outcome, and the response of a completed exchange.
 func (s *ServiceAttempt) RoundTrip(ex *Exchange) (exchange.Outcome, *Reply) {
 	return s.upstream.roundTrip(s.attempt, s.endpoint, ex, s.Deadline)
 }
 
-// forwardedRequest is a ServiceRequest as a sender of the loop.
+// forwardedRequest adapts a ServiceRequest to the loop, which sends its attempts.
 type forwardedRequest struct {
 	request  *ServiceRequest
-	attempts int  // made
+	attempts int  // number of attempts made
 	final    bool // the request must not be retried
 }
 
@@ -69,7 +69,7 @@
 	if result.Reply == nil {
 		return result.Outcome, nil
 	}
-	reply := result.Reply.answer()
+	reply := result.Reply.toResponse()
 	reply.isServerFailure = result.ServerFailure
 	return result.Outcome, reply
 }
@@ -80,7 +80,8 @@
 
 func (p *forwardedRequest) isUnbounded() bool { return false }
 
-// Service is a decision module with its event loop and the connections to the servers of one service.
+// Service distributes the requests of one service. It consists of a decision module, its event loop and the connections to the
+// servers.
 type Service struct {
 	loop     *eventLoop
 	upstream *upstream
@@ -90,13 +91,13 @@
 type ServiceEndpoint struct {
 	Name, Addr, Zone string
 	Draining         bool
-	Backup           bool // it gets only requests that no other server can take
+	Backup           bool // used only for requests that no other server can take
 	Weight           float64
 	Started          time.Time // start of its process; zero for long ago
 }
 
-// NewService returns a running service with at most maxConns connections. The zones are those that settings number; learned is
-// what an earlier module has learned, or nil. The error says which setting is invalid.
+// NewService returns a running service with at most maxConns connections. Zones are the names of the zones that the settings refer
+// to by number; learned is the learned state of an earlier module, or nil. The error says which setting is invalid.
 func NewService(settings balancer.Settings, zones []string, seed uint64, maxConns int, learned *balancer.LearnedState) (*Service, error) {
 	s := &Service{upstream: newUpstream(settings.Limits, 0, maxConns)}
 	var err error
@@ -110,8 +111,8 @@
 	return s, nil
 }
 
-// SetEndpoints replaces the list of servers. Copies is how many senders share them, rank the number of this one, from 0.
-func (s *Service) SetEndpoints(endpoints []ServiceEndpoint, copies, rank int) {
+// SetEndpoints replaces the list of servers. Replicas is the number of senders that share them, rank the number of this one, from 0.
+func (s *Service) SetEndpoints(endpoints []ServiceEndpoint, replicas, rank int) {
 	list := List{Full: true}
 	for _, endpoint := range endpoints {
 		target := Target{
@@ -131,15 +132,15 @@
 		list.Targets = append(list.Targets, target)
 	}
 	s.loop.post(func() {
-		s.loop.replicas, s.loop.rank = copies, rank
+		s.loop.replicas, s.loop.rank = replicas, rank
 		s.loop.applyList(list, balancer.ListFull)
 	})
 }
 
-// Do has a request served and returns the final response; ok is false if ctx ended before, or the service did.
+// Do sends a request and returns the final response; ok is false if ctx or the service ended before there was one.
 func (s *Service) Do(ctx context.Context, request *ServiceRequest) (r Reply, ok bool) {
 	responded := make(chan response, 1)
-	c := &call{forwarded: &forwardedRequest{request: request}, respond: func(a response) { responded <- a }}
+	c := &call{forwarded: &forwardedRequest{request: request}, respond: func(r response) { responded <- r }}
 	c.http.fromListener = true
 	now := time.Now()
 	c.timeout = inMillis(request.Deadline.Sub(now))
@@ -152,33 +153,33 @@
 		s.loop.startCall(c)
 	})
 	select {
-	case a := <-responded:
-		return *replyOf(&a), true
+	case final := <-responded:
+		return *replyOf(&final), true
 	case <-ctx.Done():
 		s.loop.post(func() { s.loop.clientLeft(c) })
 		return Reply{}, false
 	case <-s.loop.stopped:
-		a, ok := pollResponse(responded)
-		return *replyOf(&a), ok
+		final, ok := pollResponse(responded)
+		return *replyOf(&final), ok
 	}
 }
 
-// replyOf returns an answer of the loop as a Reply.
-func replyOf(a *response) *Reply {
-	return &Reply{Status: a.status, Header: a.header, Body: a.body, RetryAfter: a.retryAfter}
+// replyOf converts a response of the loop to a Reply.
+func replyOf(r *response) *Reply {
+	return &Reply{Status: r.status, Header: r.header, Body: r.body, RetryAfter: r.retryAfter}
 }
 
-// LearnedState returns what the decision module has learned of its servers.
-func (s *Service) LearnedState() (m balancer.LearnedState) {
-	s.loop.do(func() { m = s.loop.balancer.Export() })
-	return m
+// LearnedState returns the state that the decision module has learned about its servers.
+func (s *Service) LearnedState() (learned balancer.LearnedState) {
+	s.loop.do(func() { learned = s.loop.balancer.Export() })
+	return learned
 }
 
-// AnswerAll gives every open request a final response at once. Requests that did not run, and never will, are rejected.
+// AnswerAll sends a final response to every open request at once. Requests that were not executed and never will be are rejected.
 func (s *Service) AnswerAll() { s.loop.do(s.loop.answerAll) }
 
-// Shutdown ends the service once it has no request left, at the deadline, or when ctx ends. Requests that are left get a final
-// response. It returns once all goroutines of the service have ended.
+// Shutdown ends the service once it has no open requests, at the deadline, or when ctx ends. Requests that are still open get a
+// final response. It returns once all goroutines of the service have ended.
 func (s *Service) Shutdown(ctx context.Context, deadline time.Time) {
 	done := make(chan struct{})
 	var check func()
@@ -199,5 +200,5 @@
 	slog.Debug("close service")
 }
 
-// shutdownPollInterval is the time between two checks whether a request is left.
+// shutdownPollInterval is the time between two checks of Shutdown for open requests.
 const shutdownPollInterval = 50 * time.Millisecond
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,16 +1,16 @@
 // Package sidecar runs the decision module (package balancer) on real sockets.
 //
-// The way of a request: a frontend (frontend.go, clientconns.go) or the gRPC server of package grpcfront accepts it, an intake
-// (platform.go for the platform's protocol, routing.go and siterouting.go for an operator file, port.go for the mesh) makes it a
-// call, the event loop (loop.go, calls.go) owns the call and gives its events to the decision module, and for each attempt that
-// the module decides on, upstream (upstream.go, connpool.go, mux.go) sends it to a server. Discovery and the sources of pools
+// The path of a request: a frontend (frontend.go, clientconns.go) or the gRPC server of package grpcfront accepts it, an intake
+// (platform.go for the platform's protocol, routing.go and siterouting.go for an operator file, port.go for the mesh) turns it into
+// a call, the event loop (loop.go, calls.go) owns the call and passes its events to the decision module, and upstream (upstream.go,
+// connpool.go, mux.go) sends each attempt that the module decides on to a server. Discovery and the sources of pools
 // pass the list of servers to the loop.
 //
-// There are three kinds of owners: Sidecar has one pool under the platform's protocol, Instance (instance.go, generation.go) has
-// the listeners and pools of an operator file, and Service and Port are the parts that the mesh's proxy is made of.
+// There are three entry points: Sidecar has one pool and serves the platform's protocol, Instance (instance.go, generation.go) has
+// the listeners and pools of an operator file, and Service and Port are the parts of the proxy of the mesh.
 //
-// Invariants: a call gets exactly one final response; only the goroutine of the loop reads or writes a call, its attempts' list
-// and the module; the loop never waits for a socket.
+// Invariants: a call gets exactly one final response; only the goroutine of the loop reads or writes a call, its list of
+// attempts and the module; the loop never waits for a socket.
 package sidecar
 
 import (
@@ -37,19 +37,19 @@
 	Site                    wire.Site
 	InitialList             List
 
-	// Of an installation with an admin API and upgrades; without an address there is neither.
+	// For the admin API and upgrades. Without an address there is neither.
 	AdminAddr     string
-	SharedFolder  string             // shared with the process that this one replaces, or that replaces it; "" for none
-	OnMemoryShare func(part float64) // called with the share of the memory that this process may use; may be nil
+	SharedFolder  string              // shared by the old and the new process of an upgrade; "" for none
+	OnMemoryShare func(share float64) // called with the share of the memory that this process may use; may be nil
 }
 
-// MinSockets is the smallest limit of descriptors that leaves some for clients and for endpoints.
+// MinSockets is the smallest descriptor limit that leaves descriptors for both clients and endpoints.
 const MinSockets = operator.MinSockets
 
 const (
-	killDelay    = 0.7  // seconds from the longest deadline to SIGKILL
-	maxKillDelay = 3.0  // seconds; the longest deadline that SIGKILL waits for
-	exitMargin   = 0.35 // seconds before SIGKILL at which open requests are given up
+	killDelay    = 0.7  // seconds between the longest deadline and SIGKILL
+	maxKillDelay = 3.0  // seconds; a longer deadline does not delay SIGKILL further
+	exitMargin   = 0.35 // seconds before SIGKILL at which open requests are aborted
 )
 
 // Sidecar is a sidecar of the platform's protocol.
@@ -58,32 +58,32 @@
 	loop      *eventLoop
 	frontend  *frontend
 	discovery *discovery
-	listener  net.Listener // of the clients; nil until it takes over from the process that it replaces
-	admin     net.Listener // nil for none
+	listener  net.Listener // for clients; nil until this process takes over from the one that it replaces
+	admin     net.Listener // for the admin API; nil for none
 	shared    *hotrestart.SharedState
 	running   sync.WaitGroup // goroutines that Run waits for
-	serving   atomic.Bool    // it has taken over, if there was another process
+	serving   atomic.Bool    // this process has taken over, or there was no other
 	replaced  atomic.Bool    // another process has taken over from this one
 
 	sharedMu         sync.Mutex
-	localState       hotrestart.State // if there is no shared folder
-	share            limitShare       // of the limits
+	localState       hotrestart.State // used if there is no shared folder
+	share            limitShare       // share of this process in the limits
 	discoveryTimeout time.Duration    // see defaultDiscoveryTimeout
 
 	reloads, reloadErrors atomic.Uint64
 }
 
-// New checks the configuration and opens the listener. Connections wait there until Run.
+// New checks the configuration and opens the listener. Connections are queued there until Run.
 func New(cfg Config) (*Sidecar, error) {
 	s := &Sidecar{cfg: cfg, share: fullShare, discoveryTimeout: defaultDiscoveryTimeout}
 	set := &s.cfg.Site.Settings
-	callers, endpoints := s.descriptors(fullShare)
+	clients, endpoints := s.descriptors(fullShare)
 	var err error
 	if s.loop, err = newEventLoop(&s.cfg, newUpstream(set.Limits, set.Safety.DrainGrace, endpoints)); err != nil {
 		return nil, err
 	}
 	s.discovery = newDiscovery(s.loop, cfg.Discovery, cfg.InitialList.Rev)
-	s.frontend = newPlatformFrontend(s.loop, set, callers)
+	s.frontend = newPlatformFrontend(s.loop, set, clients)
 	if cfg.AdminAddr != "" {
 		if err := s.openAdmin(); err != nil {
 			s.closeAdmin()
@@ -98,7 +98,7 @@
 	return s, nil
 }
 
-// Run serves until ctx ends, and then finishes the requests that were accepted.
+// Run serves until ctx ends, and then completes the requests that were accepted.
 func (s *Sidecar) Run(ctx context.Context) error {
 	watching, stop := context.WithCancel(context.Background()) // the list is watched until the last request has ended
 	ctx, end := context.WithCancel(ctx)
@@ -123,7 +123,7 @@
 			})
 		}
 		if err := s.takeOver(ctx, watching); err != nil {
-			if ctx.Err() != nil { // before it served
+			if ctx.Err() != nil { // ended before it served
 				return nil
 			}
 			return err
@@ -139,7 +139,7 @@
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
-	s.refreshShared() // the other process may just have taken over
+	s.refreshShared() // another process may have taken over since the last poll
 	if s.replaced.Load() {
 		s.frontend.handOver(s.listener, s.drainTime())
 	} else {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// CountReload counts a configuration that was reloaded, or could not be.
+// CountReload counts a reload of the configuration, or a failed one if err is set.
 func (s *Sidecar) CountReload(err error) {
 	if err != nil {
 		s.reloadErrors.Add(1)
@@ -157,7 +157,7 @@
 	s.reloads.Add(1)
 }
 
-// SetDiscoveryAddr has discovery watched at another address from now on. The latest list stays in use.
+// SetDiscoveryAddr changes the address at which discovery is watched. The latest list stays in use.
 func (s *Sidecar) SetDiscoveryAddr(addr string) {
 	s.loop.post(func() {
 		if s.discovery.setAddr(addr) {
@@ -167,7 +167,7 @@
 	})
 }
 
-// drainTime returns the time from SIGTERM after which open requests are given up, so that they are answered before SIGKILL.
+// drainTime returns the time from SIGTERM after which open requests are aborted, so that clients get a response before SIGKILL.
 func (s *Sidecar) drainTime() time.Duration {
 	longest := 0.0
 	for _, c := range s.cfg.Site.Settings.Classes {
--- a/internal/sidecar/siterouting.go
+++ b/internal/sidecar/siterouting.go
@@ -10,8 +10,8 @@
 	"milletmast/internal/vhost"
 )
 
-// siteRequest returns a request for the sites of a listener, or the reason why it is invalid. Its path keeps its parameters, which
-// sites match too.
+// siteRequest returns a request for the sites of a listener, or the reason why it is invalid. Its path keeps the path parameters,
+// because sites match them too.
 func siteRequest(req *route.Request, t requestTarget, caller, scheme string) (*vhost.Request, string) {
 	raw, _, _ := strings.Cut(t.uri, "?")
 	path, err := route.NormalizeWhole(raw)
@@ -24,15 +24,15 @@
 	}, ""
 }
 
-// routeBySite makes a call of the head of a request that no route matches, by the sites.
+// routeBySite creates a call from the head of a request that no route matches, as the sites decide.
 func (d *listenerRouter) routeBySite(c *clientConn, m *message, req *route.Request, t requestTarget) intakeResult {
 	scheme := "http"
 	if d.tls != nil {
 		scheme = "https"
 	}
-	v, why := siteRequest(req, t, c.host(), scheme)
-	if why != "" {
-		return intakeResult{status: http.StatusBadRequest, reason: why}
+	v, reason := siteRequest(req, t, c.host(), scheme)
+	if reason != "" {
+		return intakeResult{status: http.StatusBadRequest, reason: reason}
 	}
 	out := d.sites.Decide(v)
 	if a := out.Answer; a != nil {
@@ -51,7 +51,7 @@
 		return d.callForSite(c, m, &out, t.host, maxBody)
 	}
 	r := &errorPageHandler{router: d, client: c, arrivedAt: time.Now(), head: *m, host: t.host, maxBody: maxBody, outcome: out}
-	r.head.header = m.header.Clone() // the call changes it
+	r.head.header = m.header.Clone() // the call modifies the original
 	first := d.callForSite(c, m, &out, t.host, maxBody)
 	if first.call != nil {
 		r.effect, r.firstCall = d.effectOf(&out), first.call
@@ -60,7 +60,7 @@
 	return first
 }
 
-// callForSite makes the call that a site has decided on.
+// callForSite creates the call that a site has decided on.
 func (d *listenerRouter) callForSite(c *clientConn, m *message, out *vhost.Outcome, host string, maxBody int64) intakeResult {
 	rule := &route.Rule{Name: out.Location, Pool: out.Do.Pool, Class: out.Class}
 	t := d.dispatch(c, m, rule, maxBody, out.Method, func(k *call) string {
@@ -85,10 +85,10 @@
 	return t
 }
 
-// explainSite is explain for a request that sites decide on.
-func explainSite(t *vhost.Table, req *route.Request, own requestTarget) string {
-	v, why := siteRequest(req, own, "127.0.0.1", "http")
-	if why != "" {
+// explainSite describes how the sites handle a request that no route matches.
+func explainSite(t *vhost.Table, req *route.Request, target requestTarget) string {
+	v, reason := siteRequest(req, target, "127.0.0.1", "http")
+	if reason != "" {
 		return fmt.Sprintf("status=%d", http.StatusBadRequest)
 	}
 	out := t.Decide(v)
--- a/internal/sidecar/source.go
+++ b/internal/sidecar/source.go
@@ -16,7 +16,7 @@
 	running sync.WaitGroup
 }
 
-// newServerSource starts to follow the source of a pool. Lists go to the loop of the pool.
+// newServerSource starts to follow the source of a pool and passes the lists to the loop of the pool.
 func newServerSource(p *pool, spec *operator.Pool) *serverSource {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &serverSource{cancel: cancel}
@@ -31,7 +31,7 @@
 	return s
 }
 
-// stop ends the source, and returns once no more lists come from it.
+// stop ends the source, and returns once it passes on no more lists.
 func (s *serverSource) stop() {
 	s.cancel()
 	s.running.Wait()
@@ -66,8 +66,8 @@
 	return os.SameFile(a, b) && a.ModTime().Equal(b.ModTime()) && a.Size() == b.Size()
 }
 
-// poll reads the file if it has changed. A file that is written in place may be read while it is incomplete: it is read again until
-// it has not changed for an interval.
+// poll reads the file if it has changed. A file that is written in place may be read while it is incomplete, so it is read again
+// until it has not changed for an interval.
 func (w *fileWatch) poll() {
 	info, err := os.Stat(w.path)
 	if err == nil && w.lastInfo != nil && isUnchanged(info, w.lastInfo) {
--- a/internal/sidecar/stats.go
+++ b/internal/sidecar/stats.go
@@ -17,7 +17,7 @@
 	resultCount
 )
 
-// resultOf returns the result of a request by the status of its response.
+// resultOf returns the result of a request whose response has the given status.
 func resultOf(status int) result {
 	if isRejection(status) {
 		return rejected
@@ -28,8 +28,8 @@
 	return failed
 }
 
-// loopCounters are the counters of a loop. The loop writes them; they can be read without waiting for it, so that operators see
-// them under any load.
+// loopCounters are the counters of a loop. The loop writes them; they can be read without waiting for the loop, so that operators
+// get them under any load.
 type loopCounters struct {
 	ended                         [][resultCount]atomic.Uint64 // by class
 	pending                       atomic.Int64
@@ -40,7 +40,7 @@
 	return &loopCounters{ended: make([][resultCount]atomic.Uint64, classes)}
 }
 
-// countResult counts the end of a request that was counted as pending.
+// countResult moves a request from the pending ones to those that ended with a result.
 func (n *loopCounters) countResult(class uint16, r result) {
 	n.pending.Add(-1)
 	n.ended[class][r].Add(1)
--- a/internal/sidecar/status.go
+++ b/internal/sidecar/status.go
@@ -12,7 +12,7 @@
 // PoolStatus is the status of a pool.
 type PoolStatus struct {
 	Name                              string
-	Ending                            bool // it only finishes its requests
+	Ending                            bool // the pool takes no new requests
 	Servers, Usable                   int
 	Open, Connections, MaxConnections int
 	Served, Refused, Failed           uint64
@@ -31,10 +31,10 @@
 	Served, Refused, Failed uint64        // since the start, of all pools
 	P99                     float64       // ms, of the latest requests that were served
 	StartKind               string        // StartCold or StartWarm
-	LearnedAge              time.Duration // of what it started with, if warm
+	LearnedAge              time.Duration // age of the learned state at the start, if warm
 }
 
-// Status asks all pools.
+// Status returns the status of the instance and of all its pools.
 func (i *Instance) Status() Status {
 	i.mu.Lock()
 	g := i.current
@@ -69,8 +69,8 @@
 	return s
 }
 
-// poolsInOrder returns the pools of the current generation in the order of the file, and then those that are ending. The mutex
-// is held.
+// poolsInOrder returns the pools of the current generation in the order of the file, followed by the pools that are ending. The
+// caller holds the mutex.
 func (i *Instance) poolsInOrder() (pools []*pool) {
 	g := i.current
 	for _, spec := range g.cfg.Pools {
@@ -102,7 +102,7 @@
 		latencies = append(latencies, l.recentLatencies...)
 	}
 	if !p.loop.do(read) {
-		read() // the loop has stopped: nobody writes any more
+		read() // the loop has stopped, so nothing writes these fields any more
 	}
 	p.upstream.mu.Lock()
 	defer p.upstream.mu.Unlock()
--- a/internal/sidecar/subset.go
+++ b/internal/sidecar/subset.go
@@ -11,7 +11,7 @@
 	"milletmast/internal/subset"
 )
 
-// subsetInterval is the time between two checks whether enough of a subset is usable.
+// subsetInterval is the time between two checks whether enough servers of a subset are usable.
 const subsetInterval = time.Second
 
 // serverSubset is the subset of a large number of servers that a pool sends to (package subset). The loop owns it.
@@ -20,10 +20,10 @@
 	zones        []string
 	ring         subset.Ring       // of the servers that are ready
 	targets      map[string]Target // the list as it was received, by uid
-	knownServers map[string]bool   // servers that the decision module knows
+	knownServers map[string]bool   // uids of the servers that the decision module has
 }
 
-// newServerSubset returns the subset of a pool; nil if it sends to all its servers.
+// newServerSubset returns the subset of a pool; nil if the pool sends to all its servers.
 func newServerSubset(p *operator.Pool) *serverSubset {
 	if p.Subset == 0 {
 		return nil
@@ -41,8 +41,8 @@
 	}
 }
 
-// selectTargets converts a list of all servers, or changes of it, to one for the decision module: the servers of the subset, those
-// that have left it as gone, and of servers that the module knows whether they drain or are gone.
+// selectTargets converts a list of all servers, or changes to it, to a list for the decision module. It contains the servers of the
+// subset, servers that have left the subset as gone, and servers that the module has and that drain or are gone.
 func (p *serverSubset) selectTargets(list List, full bool) List {
 	p.updateTargets(list, full)
 	chosen := p.ring.Select(p.sizer.Current(p.ring.Len()))
@@ -62,7 +62,7 @@
 		case out.sent[uid]:
 		case chosen[uid], listed && serverStates[t.State] != balancer.Ready:
 			out.known[uid] = true
-		case !full: // it has left the subset
+		case !full: // the server has left the subset
 			out.add(Target{UID: uid, State: stateGone})
 		}
 	}
@@ -70,7 +70,7 @@
 	return List{Rev: list.Rev, Full: list.Full, Targets: out.targets}
 }
 
-// selection is a list for the decision module, and the servers that the module knows after it.
+// selection is a list for the decision module, and the servers that the module has after applying it.
 type selection struct {
 	targets     []Target
 	sent, known map[string]bool // by uid
@@ -113,13 +113,13 @@
 	}
 }
 
-// sendersPerServer returns how many replicas send to a server of the subset: the decision module takes the servers that it knows to
-// be shared among so many.
+// sendersPerServer returns how many replicas send to a server of the subset. The decision module uses it as the number of replicas
+// that share its servers.
 func (p *serverSubset) sendersPerServer() int {
 	return max(1, (p.sizer.Replicas*len(p.knownServers)+p.ring.Len()/2)/max(p.ring.Len(), 1))
 }
 
-// updateSubset has the subset grow while too few of its servers are usable, and schedules itself.
+// updateSubset grows the subset while too few of its servers are usable, and schedules its next run.
 func (l *eventLoop) updateSubset() {
 	p := l.subset
 	usable := max(l.usable-l.balancer.EjectedServers(), 0)
--- a/internal/sidecar/timers.go
+++ b/internal/sidecar/timers.go
@@ -6,17 +6,17 @@
 	"milletmast/balancer"
 )
 
-// timedTask is a task of the loop at a time: a timer of the decision module, the backstop of a call, or a function.
+// timedTask is a task that the loop runs at a given time: a timer of the decision module, the backstop of a call, or a function.
 type timedTask struct {
 	at      float64 // ms, of the loop's clock
 	token   uint64  // of a timer of the decision module
-	call    *call   // of a backstop
+	call    *call   // for a backstop: the call that gets a response if it is still open
 	run     func()
-	onlyFor *levelState // run is called only while these levels are in force; nil for always
-	index   int         // in the heap; -1 once it is out
+	onlyFor *levelState // run is called only while these levels are in effect; nil for always
+	index   int         // in the heap; -1 once the task has been removed
 }
 
-// timerHeap is a heap of tasks (container/heap), the next one first.
+// timerHeap is a heap of tasks (container/heap), ordered by time.
 type timerHeap []*timedTask
 
 func (h timerHeap) Len() int           { return len(h) }
--- a/internal/sidecar/upgrade.go
+++ b/internal/sidecar/upgrade.go
@@ -13,14 +13,14 @@
 	"milletmast/internal/operator"
 )
 
-// An upgrade starts a second process beside the first. Both count as one sidecar: they share its descriptors, its memory, the
-// servers that operators hold out, and the address where clients connect. Once the new process can serve, it gets all new
-// connections; the old one serves those that it has until it receives a signal to end.
+// An upgrade starts a second process next to the first. Both count as one sidecar: they share its descriptors, its memory, the
+// servers that operators hold out of service, and the address where clients connect. Once the new process can serve, it receives
+// all new connections; the old one serves its open connections until it receives a signal to end.
 
 const (
 	sharedPollInterval      = 100 * time.Millisecond // between two reads of the state that both processes share
 	readyPollInterval       = 10 * time.Millisecond
-	defaultDiscoveryTimeout = 2500 * time.Millisecond // of a new process, for discovery, before it takes over with its initial list
+	defaultDiscoveryTimeout = 2500 * time.Millisecond // how long a new process waits for discovery before it takes over with its initial list
 )
 
 // limitShare is the share of a process in the limits of its sidecar.
@@ -28,9 +28,9 @@
 
 const (
 	fullShare    limitShare = 1
-	servingShare limitShare = 0.7 // of the process that serves, while there are two
-	standbyShare limitShare = 0.3
-	memoryShare  limitShare = 0.5 // of the memory, while there are two
+	servingShare limitShare = 0.7 // of the descriptors, for the process that serves while there are two
+	standbyShare limitShare = 0.3 // of the descriptors, for the other process
+	memoryShare  limitShare = 0.5 // of the memory, for each of two processes
 )
 
 // descriptors divides the descriptors of a share of the limit among clients and endpoints.
@@ -43,10 +43,11 @@
 	return int(float64(share) * float64(clients)), int(float64(share) * float64(endpoints))
 }
 
-// adminDescriptors are the listener of the admin API, the mark of the process in the shared folder, and two files for a moment.
+// adminDescriptors counts the listener of the admin API, the file that marks the process as alive in the shared folder, and two
+// files that are open for a short time.
 const adminDescriptors = 4
 
-// openAdmin opens the listener of the admin API, and that of the clients unless another process has it.
+// openAdmin opens the listener of the admin API, and the listener for clients unless another process serves them.
 func (s *Sidecar) openAdmin() (err error) {
 	if s.cfg.SharedFolder != "" {
 		if s.shared, err = hotrestart.Open(s.cfg.SharedFolder, newID()); err != nil {
@@ -74,7 +75,7 @@
 	}
 }
 
-// updateShare applies the share of this process in the limits: all, or its share beside another process.
+// updateShare applies the share of this process in the limits: all of them, or a part if there is another process.
 func (s *Sidecar) updateShare(isAnotherAlive bool) {
 	share, memory := fullShare, fullShare
 	if isAnotherAlive {
@@ -97,11 +98,11 @@
 	slog.Info("set connection limits", "share", float64(share), "clients", clients, "endpoints", endpoints)
 }
 
-// applySharedState applies the shared state, and whether another process is alive.
+// applySharedState applies the shared state. The argument says whether another process is alive.
 func (s *Sidecar) applySharedState(isAnotherAlive bool) {
 	s.sharedMu.Lock()
 	defer s.sharedMu.Unlock()
-	state, err := s.shared.Read() // again, as this process may have changed it meanwhile
+	state, err := s.shared.Read() // read again, as this process may have changed it in the meantime
 	if err != nil {
 		slog.Error("keep last shared state", "err", err)
 	}
@@ -109,11 +110,11 @@
 	s.replaced.Store(isAnotherAlive && s.serving.Load() && state.Serving != s.shared.ID())
 	s.updateShare(isAnotherAlive)
 	if !isAnotherAlive && s.listener != nil {
-		s.directConnections(hotrestart.FirstSlot) // the next process must not get connections before it can serve
+		s.directConnections(hotrestart.FirstSlot) // so that a process that starts gets no connections before it can serve
 	}
 }
 
-// updateShared changes the shared state, or the local one if nothing is shared. The mutex is held.
+// updateShared changes the shared state, or the local one if there is no shared folder. The caller holds the mutex.
 func (s *Sidecar) updateShared(change func(hotrestart.State) hotrestart.State) (hotrestart.State, error) {
 	if s.shared != nil {
 		return s.shared.Update(change)
@@ -122,14 +123,14 @@
 	return s.localState, nil
 }
 
-// takeOver waits until requests can be served, and directs new connections to this process, unless ctx ends before. A process
-// that replaces another waits for discovery first, if that responds, as its initial list may be old.
+// takeOver waits until requests can be served, and directs new connections to this process, unless ctx ends before. A process that
+// replaces another first waits for a list of discovery, up to a timeout, as its initial list may be outdated.
 func (s *Sidecar) takeOver(ctx, watching context.Context) error {
 	replaces := s.listener == nil
 	if replaces && s.cfg.Site.Settings.PollsList {
 		go s.discovery.watchOnce(watching)
 	}
-	if !replaces { // requests are accepted before it is ready
+	if !replaces { // requests are accepted before this process is ready
 		s.running.Go(func() {
 			if s.waitUsable(ctx, func() bool { return true }) == nil {
 				s.startServing()
@@ -137,11 +138,11 @@
 		})
 		return nil
 	}
-	giveUpAt := time.Now().Add(s.discoveryTimeout)
+	listDeadline := time.Now().Add(s.discoveryTimeout)
 	_, initial := s.discovery.current()
 	hasList := func() bool {
 		_, rev := s.discovery.current()
-		return rev != initial || time.Now().After(giveUpAt)
+		return rev != initial || time.Now().After(listDeadline)
 	}
 	if err := s.waitUsable(ctx, hasList); err != nil {
 		return err
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// startServing records that this process is the one that serves from now on.
+// startServing records that this process serves from now on.
 func (s *Sidecar) startServing() {
 	if s.shared != nil {
 		if _, err := s.shared.Update(func(st hotrestart.State) hotrestart.State {
@@ -193,7 +194,7 @@
 	}
 }
 
-// directConnections has the kernel direct new connections to the listener in a slot.
+// directConnections makes the kernel direct new connections to the listener in a slot.
 func (s *Sidecar) directConnections(slot uint32) {
 	if err := hotrestart.DirectConnections(s.listener, slot); err != nil {
 		slog.Warn("direct new connections", "err", err)
--- a/internal/sidecar/upload.go
+++ b/internal/sidecar/upload.go
@@ -15,19 +15,19 @@
 	source   io.Reader
 	length   int64 // or lengthChunked
 	deadline time.Time
-	done     chan struct{} // closed once nothing reads from the client any more
+	done     chan struct{} // closed once the body is no longer read from the client
 	// Written before done is closed:
-	err        error // the client did not send the body as it should
-	isComplete bool  // the body was read and written as a whole
+	err        error // of reading the body from the client
+	isComplete bool  // the body was read and written to its end
 	endedAt    time.Time
 
 	mu      sync.Mutex
 	read    int64 // bytes
 	claimed bool
-	stopped bool // the rest is not needed any more
+	stopped bool // the rest of the body is not needed any more
 }
 
-// errCallEnded is why an upload stops: its call has its response.
+// errCallEnded stops an upload because its call has its final response.
 var errCallEnded = errors.New("the call has ended")
 
 // Read reads from the client within the limits.
@@ -42,7 +42,7 @@
 	return n, err
 }
 
-// extendDeadline sets the deadline of the next read; false if the upload was stopped.
+// extendDeadline sets the deadline of the next read. It returns false if the upload was stopped.
 func (up *uploadStream) extendDeadline() bool {
 	up.mu.Lock()
 	defer up.mu.Unlock()
@@ -57,7 +57,7 @@
 	return true
 }
 
-// claim gives the body to an attempt; false if another has it, or the upload was stopped.
+// claim reserves the body for an attempt. It returns false if another attempt has claimed it, or the upload was stopped.
 func (up *uploadStream) claim() bool {
 	up.mu.Lock()
 	defer up.mu.Unlock()
@@ -74,7 +74,7 @@
 	return up.claimed
 }
 
-// stop ends reading from the client: the call has its response.
+// stop ends reading from the client, because the call has its final response.
 func (up *uploadStream) stop() {
 	up.mu.Lock()
 	defer up.mu.Unlock()
@@ -91,7 +91,7 @@
 	}
 }
 
-// wait waits until nothing reads from the client any more.
+// wait waits until the body is no longer read from the client.
 func (up *uploadStream) wait() {
 	if up.isClaimed() {
 		<-up.done
@@ -108,7 +108,8 @@
 	}
 }
 
-// send writes a head and the body to a server. The error is that of the server; the client's is in up.err.
+// send writes a head and the body to a server. It returns an error if the body was not forwarded to its end; an error of reading
+// from the client is also stored in up.err.
 func (up *uploadStream) send(head []byte, first []byte, server io.Writer) (err error) {
 	defer func() {
 		up.isComplete, up.endedAt = err == nil && up.err == nil, time.Now()
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -8,8 +8,8 @@
 	"milletmast/balancer"
 )
 
-// http.Transport retries a GET, or a POST with an Idempotency-Key, by itself when a reused connection breaks: an attempt that the
-// decision module did not decide on. So the connection pool is our own.
+// This package has its own connection pool because http.Transport retries a GET, or a POST with an Idempotency-Key, by itself when a
+// reused connection breaks. The decision module has to decide on every attempt.
 
 const (
 	idleLimitFraction  = 0.8 // of the idle limit of the settings, after which an idle connection is closed
@@ -24,8 +24,8 @@
 	uid     string // name in the list
 	started float64
 	ready   bool
-	idle    []*conn // last used at the end
-	// Of a gRPC pool:
+	idle    []*conn // the most recently used one is last
+	// Used in a gRPC pool:
 	muxes    []*conn      // each with a mux
 	dialling *pendingDial // nil for none
 }
@@ -33,11 +33,11 @@
 // upstream owns all connections to endpoints.
 type upstream struct {
 	dialTimeout, idleLimit time.Duration
-	maxIdleLimit           time.Duration  // that the learned idle limit grows to, for exchanges of the mesh; 0 until known
+	maxIdleLimit           time.Duration  // upper bound of the learned idle limit, for exchanges of the mesh; 0 until it is known
 	maxConns               int            // open at once
 	sendGrace              time.Duration  // from the decision on an attempt to its first byte; 0 for any time
-	budget                 *connBudget    // over all pools; nil if there is one pool
-	muxes                  muxConfig      // of a gRPC pool; without streams for HTTP/1.1
+	budget                 *connBudget    // shared by all pools; nil if there is one pool
+	muxes                  muxConfig      // of a gRPC pool; zero for HTTP/1.1
 	goroutines             sync.WaitGroup // connections with a mux
 	written                atomic.Uint64  // requests written in full over HTTP/1.1
 
@@ -47,7 +47,7 @@
 	sweepScheduled bool // closeExpired is scheduled
 }
 
-// newUpstream returns a pool of at most maxConns connections. The drain grace is in ms.
+// newUpstream returns an upstream with at most maxConns connections. The drain grace is in ms.
 func newUpstream(limits balancer.Limits, drainGrace float64, maxConns int) *upstream {
 	u := &upstream{
 		dialTimeout: defaultDialTimeout,
@@ -97,7 +97,7 @@
 	}
 }
 
-// capacity returns the number of requests that the connections can carry at once.
+// capacity returns the maximum number of concurrent requests.
 func (u *upstream) capacity() int { return u.maxConns * max(u.muxes.maxStreams, 1) }
 
 // endpointOf returns the endpoint of a server; nil if it is not listed.
