--- a/internal/sidecar/mux.go
+++ b/internal/sidecar/mux.go
@@ -125,7 +125,7 @@
 
 var (
 	errAttemptCanceled = errors.New("the attempt was canceled before its stream was opened")
-	errNoStream        = errors.New("the server allows no streams (SETTINGS_MAX_CONCURRENT_STREAMS is 0)")
+	errNoStream        = errors.New("the server allows no stream on a new connection")
 )
 
 // dialMux dials a connection and waits for the settings of the server, which limit the number of streams. A server that does not
--- a/internal/sidecar/mux_test.go
+++ b/internal/sidecar/mux_test.go
@@ -14,8 +14,8 @@
 	"milletmast/internal/h2"
 )
 
-// TestMuxBurst opens many streams at once: they share connections within what the server allows, and no more are dialled
-// than needed. Idle ones close in their time.
+// TestMuxBurst opens many streams at once. They share connections within the limits of the server and of the pool, no more
+// connections are dialed than needed, and idle connections are closed after the idle limit.
 func TestMuxBurst(t *testing.T) {
 	for _, c := range []struct{ allowed, streams, most int }{{100, 50, 1}, {3, 50, 40}, {100, 2, 30}, {0, 50, 60}} {
 		s := newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {}, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(c.allowed)})
@@ -25,11 +25,11 @@
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		var mu sync.Mutex
 		var open []*h2.Stream
-		var homes []*conn
+		var conns []*conn
 		var all sync.WaitGroup
 		for range 30 {
 			all.Go(func() {
-				st, home, err := u.openStream(ctx, u.endpointOf(1), time.Now().Add(patience), &streamRequest{header: []h2.Field{
+				st, streamConn, err := u.openStream(ctx, u.endpointOf(1), time.Now().Add(patience), &streamRequest{header: []h2.Field{
 					{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/a.B/C"},
 				}, end: true, claim: func() bool { return true }})
 				if c.allowed == 0 {
@@ -44,20 +44,20 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				open, homes = append(open, st), append(homes, home)
+				open, conns = append(open, st), append(conns, streamConn)
 			})
 		}
 		all.Wait()
 		u.mu.Lock()
-		conns, counted := len(u.endpoints[1].muxes), u.openConns
+		muxes, counted := len(u.endpoints[1].muxes), u.openConns
 		u.mu.Unlock()
-		per := min(c.allowed, c.streams)
-		if conns > c.most || conns != counted || conns*per < len(open) {
-			t.Errorf("%+v: %d connections, %d counted, for %d streams", c, conns, counted, len(open))
+		perConn := min(c.allowed, c.streams)
+		if muxes > c.most || muxes != counted || muxes*perConn < len(open) {
+			t.Errorf("%+v: %d connections, %d counted, for %d streams", c, muxes, counted, len(open))
 		}
 		for n, st := range open {
 			st.Reset(http2.ErrCodeCancel)
-			u.streamEnded(homes[n])
+			u.streamEnded(conns[n])
 		}
 		for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 			u.mu.Lock()
@@ -67,7 +67,7 @@
 				break
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%d connections stay", left)
+				t.Fatalf("%d idle connections are still open", left)
 			}
 		}
 		u.close()
@@ -75,8 +75,9 @@
 	}
 }
 
-// TestMuxGivesWay has one server's idle connection make room for another's, and a server that goes close its own.
-func TestMuxGivesWay(t *testing.T) {
+// TestIdleMuxMakesRoom checks that at the connection limit an idle connection to one server is closed for a connection to another,
+// and that a connection to a removed server opens no new streams but completes those that are open.
+func TestIdleMuxMakesRoom(t *testing.T) {
 	a := newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {})
 	b := newScript(t, true, a.play)
 	u := newUpstream(balancer.Limits{}, 500, 1)
@@ -85,40 +86,40 @@
 	u.setEndpoint(2, b.ln.Addr().String(), 0, balancer.Ready)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	begin := func(server uint32) (*h2.Stream, *conn, error) {
+	open := func(server uint32) (*h2.Stream, *conn, error) {
 		return u.openStream(ctx, u.endpointOf(server), time.Now().Add(patience), &streamRequest{header: []h2.Field{
 			{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/a.B/C"},
 		}, end: true, claim: func() bool { return true }})
 	}
-	one, home, err := begin(1)
+	one, c, err := open(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := begin(2); !errors.Is(err, errNoDescriptor) {
-		t.Errorf("%v with the only connection in use", err)
+	if _, _, err := open(2); !errors.Is(err, errNoDescriptor) {
+		t.Errorf("error %v with the only connection in use, want %v", err, errNoDescriptor)
 	}
 	one.Reset(http2.ErrCodeCancel)
-	u.streamEnded(home)
-	two, home, err := begin(2)
+	u.streamEnded(c)
+	two, c, err := open(2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	u.setEndpoint(2, "", 0, balancer.Removed)
-	if home.mux.AvailableStreams() != 0 || two.Err() != nil {
-		t.Error("a server that has gone: its stream must go on, and no other begin", two.Err())
+	if c.mux.AvailableStreams() != 0 || two.Err() != nil {
+		t.Error("after the removal of the server its open stream must go on, and no other may be opened:", two.Err())
 	}
 	two.Reset(http2.ErrCodeCancel)
-	u.streamEnded(home)
+	u.streamEnded(c)
 	u.close()
 	if u.openConns != 0 {
-		t.Errorf("%d connections are counted", u.openConns)
+		t.Errorf("%d connections are counted after close", u.openConns)
 	}
 }
 
-// TestCalledOffAnswerIsNotBegun has an answer begin just when its attempt was called off: what its caller would get breaks
-// off, so it must not be the final answer.
-func TestCalledOffAnswerIsNotBegun(t *testing.T) {
-	c := &call{attempts: []*attempt{newAttempt(time.Time{})}, respond: func(response) { t.Error("it was given to the caller") }}
+// TestCanceledAttemptDoesNotRespond covers a streamed response that starts just after its attempt was canceled. The client would get
+// a truncated body, so it must not become the final response.
+func TestCanceledAttemptDoesNotRespond(t *testing.T) {
+	c := &call{attempts: []*attempt{newAttempt(time.Time{})}, respond: func(response) { t.Error("the client got the response") }}
 	c.attempts[0].abort()
 	(&eventLoop{}).responseStarted(c, 0, 1, &response{status: 200}, 0)
 	if c.ended {
--- a/internal/sidecar/persistence_test.go
+++ b/internal/sidecar/persistence_test.go
@@ -14,8 +14,8 @@
 	"milletmast/internal/state"
 )
 
-// cuts is how many servers of the pool p the module has cut.
-func cuts(i *Instance) (n int) {
+// ejectedServers returns the number of servers of the pool p that the decision module has ejected.
+func ejectedServers(i *Instance) (n int) {
 	i.mu.Lock()
 	p := i.current.pools["p"]
 	i.mu.Unlock()
@@ -23,54 +23,55 @@
 	return n
 }
 
-// teach asks until the pool has cut the server that fails.
-func teach(t *testing.T, i *Instance) {
+// awaitEjection sends requests until the pool has ejected the failing server.
+func awaitEjection(t *testing.T, i *Instance) {
 	t.Helper()
 	c := connect(t, i.Addresses()["in"])
-	until(t, "the failing server is cut", func() bool {
+	until(t, "the failing server is ejected", func() bool {
 		_, _, _ = c.ask("GET", "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-		return cuts(i) == 1
+		return ejectedServers(i) == 1
 	})
 }
 
-// withFailing are servers of which the first resets each connection.
-func withFailing(t *testing.T) []*fakeserver.Server {
+// serversWithOneFailing starts four servers, of which the first resets each connection.
+func serversWithOneFailing(t *testing.T) []*fakeserver.Server {
 	s := servers(t, "a", "b", "c", "d")
 	s[0].SetFault(fakeserver.ResetConnection)
 	return s
 }
 
-func reading(more string, s []*fakeserver.Server) string {
+// readConfig returns the text of a file with one listener and the pool p, to which all requests are routed in the class read.
+func readConfig(more string, s []*fakeserver.Server) string {
 	return inText + poolText("p", more, s...) + routeText("r", "/", "p", "read", "")
 }
 
-// A pool that a reload makes anew begins with what the one before it has learned, unless that was of other classes.
-func TestReloadKeepsWhatWasLearned(t *testing.T) {
-	s := withFailing(t)
-	i, _ := run(t, parse(t, reading("", s)))
-	teach(t, i)
-	if _, err := i.Reload(parse(t, reading("attempts = 2", s))); err != nil {
+// A pool that a reload replaces passes its learned state on, unless the settings that the state depends on differ.
+func TestReloadKeepsLearnedState(t *testing.T) {
+	s := serversWithOneFailing(t)
+	i, _ := run(t, parse(t, readConfig("", s)))
+	awaitEjection(t, i)
+	if _, err := i.Reload(parse(t, readConfig("attempts = 2", s))); err != nil {
 		t.Fatal(err)
 	}
-	if n := cuts(i); n != 1 {
-		t.Errorf("%d servers are cut after a reload", n)
+	if n := ejectedServers(i); n != 1 {
+		t.Errorf("%d servers are ejected after a reload, want 1", n)
 	}
-	if _, err := i.Reload(parse(t, reading("copies = 3", s))); err != nil {
+	if _, err := i.Reload(parse(t, readConfig("copies = 3", s))); err != nil {
 		t.Fatal(err)
 	}
-	if n := cuts(i); n != 0 {
-		t.Errorf("%d servers are cut for one of three copies, by what one alone has seen", n)
+	if n := ejectedServers(i); n != 0 {
+		t.Errorf("%d servers are ejected after a change of the number of replicas, want 0", n)
 	}
 }
 
-// keeping starts an instance that keeps its state in a folder, until stop.
-func keeping(t *testing.T, dir string, cfg *operator.Config) (i *Instance, stop func()) {
+// runPersistent starts an instance that keeps its state in a folder, until stop.
+func runPersistent(t *testing.T, dir string, cfg *operator.Config) (i *Instance, stop func()) {
 	t.Helper()
-	store, had, aside, err := state.Open(dir, "one")
-	if err != nil || aside != nil {
-		t.Fatal(err, aside)
+	store, loaded, setAside, err := state.Open(dir, "one")
+	if err != nil || setAside != nil {
+		t.Fatal(err, setAside)
 	}
-	if i, err = NewPersistentInstance(cfg, nil, &Persistence{Store: store, Loaded: had, Interval: time.Hour}); err != nil {
+	if i, err = NewPersistentInstance(cfg, nil, &Persistence{Store: store, Loaded: loaded, Interval: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -81,89 +82,90 @@
 	return i, stop
 }
 
-// An instance that starts again knows the server that it had cut, its pins and the file that was in force; once its servers have started
-// anew it knows nothing of them.
-func TestRestartKeepsWhatWasLearned(t *testing.T) {
-	s := withFailing(t)
+// A restarted instance restores the ejected server, its pins and the last good file. The state of servers that have restarted
+// themselves is not restored.
+func TestRestartKeepsLearnedState(t *testing.T) {
+	s := serversWithOneFailing(t)
 	dir := filepath.Join(t.TempDir(), "state")
-	leveled := reading("", s)[:len(inText)] + poolText("p", "", s...) + levelText("") + routeText("r", "/", "p", "read", "")
-	i, stop := keeping(t, dir, parse(t, leveled))
+	leveled := readConfig("", s)[:len(inText)] + poolText("p", "", s...) + levelText("") + routeText("r", "/", "p", "read", "")
+	i, stop := runPersistent(t, dir, parse(t, leveled))
 	if st := i.Status(); st.StartKind != StartCold {
-		t.Errorf("the first start is %s", st.StartKind)
+		t.Errorf("the first start is %s, want %s", st.StartKind, StartCold)
 	}
-	teach(t, i)
+	awaitEjection(t, i)
 	if err := i.Pin("p", "lean", time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	if c, _, err := state.Inspect(dir); err != nil || c.Pins["p"].Level != "lean" || c.LastGood == nil || string(c.LastGood.Text) != leveled {
-		t.Errorf("kept while it runs: %+v, %v", c, err)
+		t.Errorf("stored while the instance runs: %+v, %v", c, err)
 	}
 	stop()
 
-	i, stop = keeping(t, dir, parse(t, leveled))
+	i, stop = runPersistent(t, dir, parse(t, leveled))
 	if st := i.Status(); st.StartKind != StartWarm || st.LearnedAge <= 0 || st.LearnedAge > time.Minute {
-		t.Errorf("started %s, age %v", st.StartKind, st.LearnedAge)
+		t.Errorf("started %s with state of age %v, want %s and under a minute", st.StartKind, st.LearnedAge, StartWarm)
 	}
-	if n := cuts(i); n != 1 {
-		t.Errorf("%d servers are cut after a restart", n)
+	if n := ejectedServers(i); n != 1 {
+		t.Errorf("%d servers are ejected after a restart, want 1", n)
 	}
 	if st := i.Status().Pools[0].Level; st == nil || st.Level != "lean" {
-		t.Errorf("level %+v", st)
+		t.Errorf("level %+v, want the pinned level lean", st)
 	}
 	if err := i.Unpin("p"); err != nil {
 		t.Fatal(err)
 	}
 	stop()
 
-	began := fmt.Sprintf("started = %q\n", time.Now().UTC().Format(time.RFC3339))
+	started := fmt.Sprintf("started = %q\n", time.Now().UTC().Format(time.RFC3339))
 	text := inText + poolText("p", "ramp = \"1ms\"")
 	for _, v := range s {
-		text += fmt.Sprintf("[[pool.server]]\naddress = %q\n%s", v.Addr(), began)
+		text += fmt.Sprintf("[[pool.server]]\naddress = %q\n%s", v.Addr(), started)
 	}
-	i, _ = keeping(t, dir, parse(t, text+routeText("r", "/", "p", "read", "")))
-	if n := cuts(i); n != 0 {
-		t.Errorf("%d servers are cut that have started anew", n)
+	i, _ = runPersistent(t, dir, parse(t, text+routeText("r", "/", "p", "read", "")))
+	if n := ejectedServers(i); n != 0 {
+		t.Errorf("%d restarted servers are ejected, want 0", n)
 	}
 }
 
-// A reload may add a pool of which an earlier process had learned something, while a status is asked for.
+// A reload may add a pool with learned state of an earlier process while another goroutine reads the status: both use the start kind.
 func TestReloadAddsAWarmPool(t *testing.T) {
-	s := withFailing(t)
+	s := serversWithOneFailing(t)
 	dir := filepath.Join(t.TempDir(), "state")
 	other := poolText("q", "", s[1])
-	i, stop := keeping(t, dir, parse(t, reading("", s), other))
-	teach(t, i)
+	i, stop := runPersistent(t, dir, parse(t, readConfig("", s), other))
+	awaitEjection(t, i)
 	stop()
-	store, had, _, err := state.Open(dir, "one")
+	store, loaded, _, err := state.Open(dir, "one")
 	if err != nil {
 		t.Fatal(err)
 	}
-	had.Pools["q"] = had.Pools["p"] // of the same classes
-	delete(had.Pools, "p")
-	if i, err = NewPersistentInstance(parse(t, reading("", s)), nil, &Persistence{Store: store, Loaded: had, Interval: time.Hour}); err != nil {
+	loaded.Pools["q"] = loaded.Pools["p"] // its classes are the same
+	delete(loaded.Pools, "p")
+	if i, err = NewPersistentInstance(parse(t, readConfig("", s)), nil, &Persistence{Store: store, Loaded: loaded, Interval: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended, asked := make(chan struct{}), make(chan struct{})
+	ended, polled := make(chan struct{}), make(chan struct{})
 	go func() { defer close(ended); _ = i.Run(ctx) }()
 	go func() {
-		defer close(asked)
+		defer close(polled)
 		for i.Status().StartKind == StartCold && ctx.Err() == nil {
 		}
 	}()
-	if _, err := i.Reload(parse(t, reading("", s), other)); err != nil {
+	if _, err := i.Reload(parse(t, readConfig("", s), other)); err != nil {
 		t.Error(err)
 	}
-	<-asked
+	<-polled
 	if st := i.Status(); st.StartKind != StartWarm || st.LearnedAge <= 0 {
-		t.Errorf("started %s, age %v", st.StartKind, st.LearnedAge)
+		t.Errorf("started %s with state of age %v, want %s and a positive age", st.StartKind, st.LearnedAge, StartWarm)
 	}
 	cancel()
 	<-ended
 }
 
-// The hash of a pool's settings is on disk beside what the pool has learned. These were computed before the fields were renamed.
-func TestSettingsHashKeepsItsForm(t *testing.T) {
+// The hash of a pool's settings is stored with the learned state. The expected values predate a change of the field names: renaming a
+// field must not change the hash.
+func TestSettingsHashIsStable(t *testing.T) {
 	for _, c := range []struct {
 		settings balancer.Settings
 		want     string
--- a/internal/sidecar/port_test.go
+++ b/internal/sidecar/port_test.go
@@ -15,56 +15,57 @@
 	"time"
 )
 
-// parrot is a desk that answers each request with its path.
-type parrot struct{}
+// echoPathHandler responds to each request with its URI.
+type echoPathHandler struct{}
 
-func (parrot) Open(*IncomingRequest) (int64, *Reply) { return 1 << 20, nil }
-func (parrot) Serve(_ context.Context, e *IncomingRequest) Reply {
+func (echoPathHandler) Open(*IncomingRequest) (int64, *Reply) { return 1 << 20, nil }
+func (echoPathHandler) Serve(_ context.Context, e *IncomingRequest) Reply {
 	return Reply{Status: http.StatusOK, Body: []byte(e.URI)}
 }
 
-// ordered is a connection that notes a read that is ended once the answer to it goes out: it would end the next one.
-type ordered struct {
+// orderCheckConn counts in late the reads that are interrupted only after the response was written: the interruption could hit the
+// read of the next request.
+type orderCheckConn struct {
 	net.Conn
-	answered, late *atomic.Int64
+	writes, late *atomic.Int64
 }
 
-func (o *ordered) SetReadDeadline(at time.Time) error {
+func (o *orderCheckConn) SetReadDeadline(at time.Time) error {
 	if at.Before(time.Now()) {
-		before := o.answered.Load()
+		before := o.writes.Load()
 		for range 20 {
 			runtime.Gosched()
 		}
-		if o.answered.Load() > before {
+		if o.writes.Load() > before {
 			o.late.Add(1)
 		}
 	}
 	return o.Conn.SetReadDeadline(at)
 }
 
-func (o *ordered) Write(p []byte) (int, error) {
-	o.answered.Add(1)
+func (o *orderCheckConn) Write(p []byte) (int, error) {
+	o.writes.Add(1)
 	return o.Conn.Write(p)
 }
 
-// orderedConns are what a listener accepts.
-type orderedConns struct {
+// orderCheckListener wraps each accepted connection in an orderCheckConn.
+type orderCheckListener struct {
 	net.Listener
 	late *atomic.Int64
 }
 
-func (l orderedConns) Accept() (net.Conn, error) {
+func (l orderCheckListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &ordered{c, new(atomic.Int64), l.late}, nil
+	return &orderCheckConn{c, new(atomic.Int64), l.late}, nil
 }
 
-// Requests that a caller sends one behind the other are each answered, in their order, and the end of the look for its leaving never
-// falls into the next request.
-func TestRequestsBehindEachOther(t *testing.T) {
-	port, err := NewPort("127.0.0.1:0", PortLimits{MaxConns: 9, IdleTimeout: time.Minute, HeadTimeout: time.Minute}, parrot{})
+// Pipelined requests are responded to in order. While a request is handled, the port reads ahead to notice that the client closes the
+// connection; the interruption of that read must never hit the read of the next request.
+func TestPipelinedRequests(t *testing.T) {
+	port, err := NewPort("127.0.0.1:0", PortLimits{MaxConns: 9, IdleTimeout: time.Minute, HeadTimeout: time.Minute}, echoPathHandler{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +76,7 @@
 	}
 	var late atomic.Int64
 	var served sync.WaitGroup
-	served.Go(func() { port.frontend.serve(orderedConns{ln, &late}) })
+	served.Go(func() { port.frontend.serve(orderCheckListener{ln, &late}) })
 	defer served.Wait()
 	defer ln.Close()
 	const many = 200
@@ -102,13 +103,14 @@
 		}
 	}
 	if n := late.Load(); n > 0 {
-		t.Errorf("%d of %d reads were ended after the answer", n, 20*many)
+		t.Errorf("%d of %d reads were interrupted after the response", n, 20*many)
 	}
 }
 
-// A port answers nothing by itself: what asks a sidecar whether it is ready is a request like any other there.
-func TestAPortIsNoSidecar(t *testing.T) {
-	port, err := NewPort("127.0.0.1:0", PortLimits{MaxConns: 9, IdleTimeout: time.Minute, HeadTimeout: time.Minute}, parrot{})
+// A port passes every request to its handler, also /-/ready, to which the frontend of a sidecar responds itself. The body of that
+// request must not be parsed as another request.
+func TestPortHandlesReadyPathLikeOthers(t *testing.T) {
+	port, err := NewPort("127.0.0.1:0", PortLimits{MaxConns: 9, IdleTimeout: time.Minute, HeadTimeout: time.Minute}, echoPathHandler{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,6 +124,6 @@
 	fmt.Fprintf(conn, "GET /-/ready HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%sGET /last HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", len(hidden), hidden)
 	got, err := io.ReadAll(conn)
 	if err != nil || strings.Contains(string(got), "/hidden") || !strings.Contains(string(got), "\r\n\r\n/-/readyHTTP/1.1 200") || !strings.HasSuffix(string(got), "/last") {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("responses %q, error %v, want those to /-/ready and /last", got, err)
 	}
 }
--- a/internal/sidecar/replay_test.go
+++ b/internal/sidecar/replay_test.go
@@ -13,10 +13,11 @@
 	"milletmast/internal/operator"
 )
 
-// The reference reads a configuration's tree and tells, as the documentation of server_name, location and proxy_pass does and
-// with no thought of speed, which server a request reaches and with which path. It knows nothing of the translation.
+// The reference implementation evaluates the parsed configuration as the documentation of server_name, location and proxy_pass
+// describes it: which server a request reaches, with which path. It is independent of the import and not optimized.
 
-func named(list []*nginx.Directive, name string) (out []*nginx.Directive) {
+// directivesNamed returns the directives of a list that have a name.
+func directivesNamed(list []*nginx.Directive, name string) (out []*nginx.Directive) {
 	for _, d := range list {
 		if d.Name == name {
 			out = append(out, d)
@@ -25,10 +26,11 @@
 	return out
 }
 
+// referenceServer returns the server block that serves a host.
 func referenceServer(f []*nginx.Directive, host string) *nginx.Directive {
-	servers := named(f, "server")
+	servers := directivesNamed(f, "server")
 	names := func(s *nginx.Directive) (out []string) {
-		for _, d := range named(s.Body, "server_name") {
+		for _, d := range directivesNamed(s.Body, "server_name") {
 			for _, a := range d.Args {
 				out = append(out, a.Text)
 			}
@@ -65,7 +67,7 @@
 		}
 	}
 	for _, s := range servers {
-		for _, l := range named(s.Body, "listen") {
+		for _, l := range directivesNamed(s.Body, "listen") {
 			if len(l.Args) > 1 && l.Args[1].Text == "default_server" {
 				return s
 			}
@@ -74,9 +76,9 @@
 	return servers[0]
 }
 
-// referenceLocation finds the location of a path; ends tells that no expression outside is looked at.
-func referenceLocation(block *nginx.Directive, path string) (found *nginx.Directive, ends bool) {
-	var remembered *nginx.Directive
+// referenceLocation finds the location of a path; final means that the expressions of the enclosing block are not tried.
+func referenceLocation(block *nginx.Directive, path string) (found *nginx.Directive, final bool) {
+	var longestPrefix *nginx.Directive
 	modifier := func(d *nginx.Directive) string {
 		if len(d.Args) == 1 {
 			return ""
@@ -84,34 +86,34 @@
 		return d.Args[0].Text
 	}
 	text := func(d *nginx.Directive) string { return d.Args[len(d.Args)-1].Text }
-	list := named(block.Body, "location")
+	list := directivesNamed(block.Body, "location")
 	for _, d := range list {
 		if modifier(d) == "=" && text(d) == path {
 			return d, true
 		}
 	}
-	own := false
+	hasExact := false // a prefix location is the path itself
 	for _, d := range list {
-		own = own || (modifier(d) == "" || modifier(d) == "^~") && text(d) == path
+		hasExact = hasExact || (modifier(d) == "" || modifier(d) == "^~") && text(d) == path
 	}
-	for _, d := range list { // a prefix that ends in a slash and sends to servers answers for the path without it
-		if m := modifier(d); !own && (m == "" || m == "^~") && text(d) == path+"/" && len(named(d.Body, "proxy_pass")) > 0 {
+	for _, d := range list { // a proxied prefix that ends in a slash redirects the path without the slash
+		if m := modifier(d); !hasExact && (m == "" || m == "^~") && text(d) == path+"/" && len(directivesNamed(d.Body, "proxy_pass")) > 0 {
 			return &nginx.Directive{Name: "location", Body: []*nginx.Directive{{Name: "return", Args: []nginx.Arg{{Text: "301"}}}}}, true
 		}
 	}
 	for _, d := range list {
-		if m := modifier(d); (m == "" || m == "^~") && strings.HasPrefix(path, text(d)) && (remembered == nil || len(text(d)) > len(text(remembered))) {
-			remembered = d
+		if m := modifier(d); (m == "" || m == "^~") && strings.HasPrefix(path, text(d)) && (longestPrefix == nil || len(text(d)) > len(text(longestPrefix))) {
+			longestPrefix = d
 		}
 	}
-	found = remembered
-	if remembered != nil {
-		if inner, ends := referenceLocation(remembered, path); inner != nil {
-			if found = inner; ends {
+	found = longestPrefix
+	if longestPrefix != nil {
+		if inner, final := referenceLocation(longestPrefix, path); inner != nil {
+			if found = inner; final {
 				return found, true
 			}
 		}
-		if modifier(remembered) == "^~" {
+		if modifier(longestPrefix) == "^~" {
 			return found, false
 		}
 	}
@@ -134,24 +136,24 @@
 	return found, false
 }
 
-// reference gives "ADDRESS TARGET" of a request, or a status.
-func reference(f []*nginx.Directive, host, path, raw, query string) string {
+// referenceRoute returns "ADDRESS TARGET" for a request that is proxied, or else the status.
+func referenceRoute(f []*nginx.Directive, host, path, raw, query string) string {
 	d, _ := referenceLocation(referenceServer(f, host), path)
 	if d == nil {
 		return "404"
 	}
-	if r := named(d.Body, "return"); len(r) > 0 {
+	if r := directivesNamed(d.Body, "return"); len(r) > 0 {
 		return r[0].Args[0].Text
 	}
-	url := strings.TrimPrefix(named(d.Body, "proxy_pass")[0].Args[0].Text, "http://")
-	address, uri, has := strings.Cut(url, "/")
-	if !has {
+	url := strings.TrimPrefix(directivesNamed(d.Body, "proxy_pass")[0].Args[0].Text, "http://")
+	address, uri, hasURI := strings.Cut(url, "/")
+	if !hasURI {
 		return address + " " + raw
 	}
 	if query != "" {
 		query = "?" + query
 	}
-	if d.Args[0].Text == "~" { // the generator writes $1 and $is_args$args there
+	if d.Args[0].Text == "~" { // randomConfig uses $1 and $is_args$args only there
 		first := ""
 		if m := regexp.MustCompile(d.Args[1].Text).FindStringSubmatch(path); len(m) > 1 {
 			first = m[1]
@@ -163,8 +165,8 @@
 
 var replayPieces = []string{"/", "a", "b", "/a", "/b", "ab", "/a/", ".gif", ".GIF", "-1"}
 
-// drawConfig writes a configuration that sends to the servers given.
-func drawConfig(r *rand.Rand, addrs []string) string {
+// randomConfig returns a random configuration that proxies to the given servers.
+func randomConfig(r *rand.Rand, addrs []string) string {
 	var b strings.Builder
 	pick := func(list ...string) string { return list[r.IntN(len(list))] }
 	path := func() string {
@@ -185,7 +187,7 @@
 			if modifier[:min(1, len(modifier))] == "~" {
 				text = pick(`\.gif$`, `^/a`, `b`, `^/(a|b)/`, `/a/b$`, `-(\d)`)
 			}
-			text = strings.NewReplacer("///", "/", "//", "/").Replace(text) // what has empty segments is never asked for
+			text = strings.NewReplacer("///", "/", "//", "/").Replace(text) // no request has empty path segments
 			kind := map[string]string{"": "prefix", "^~": "prefix", "=": "="}[modifier] + text
 			if modifier[:min(1, len(modifier))] != "~" && seen[kind] {
 				continue
@@ -214,10 +216,10 @@
 	}
 	hosts := []string{"one.example", "*.example", "mail.*", `~^(?<x>[a-c]+)\.org$`, `~two`, "two.example", "*.two.example", "www.two.*"}
 	r.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
-	standard := r.IntN(4)
+	defaultServer := r.IntN(4)
 	for i := range 1 + r.IntN(4) {
 		listen := "8080"
-		if i == standard {
+		if i == defaultServer {
 			listen += " default_server"
 		}
 		fmt.Fprintf(&b, "server {\nlisten %s;\nserver_name %s %s;\n", listen, hosts[2*i], hosts[2*i+1])
@@ -227,7 +229,7 @@
 	return b.String()
 }
 
-// The configuration of the documentation of location, with what the hard cases add.
+// documentedConfig returns the example of the documentation of location, extended by nested locations and captures.
 func documentedConfig(addrs []string) string {
 	return strings.NewReplacer("ONE", addrs[0], "TWO", addrs[1], "THREE", addrs[2]).Replace(`
 server { listen 8080 default_server; server_name one.example;
@@ -238,9 +240,9 @@
 location ~* \.gif$ { proxy_pass http://THREE; location ~ ^/ab { return 410; } } }`)
 }
 
-// Requests reach the same server with the same path by the reference and through the imported sidecar, over sockets: over 40
-// configurations and 500 requests.
-func TestReplayOfImports(t *testing.T) {
+// Over sockets, requests to a sidecar with an imported configuration reach the server and the path that the reference implementation
+// gives, for more than 40 configurations and 500 requests.
+func TestImportedConfigsMatchReference(t *testing.T) {
 	list := servers(t, "a", "b", "c")
 	var addrs []string
 	byAddr := map[string]*fakeserver.Server{}
@@ -253,7 +255,7 @@
 	for n := range 41 {
 		text := documentedConfig(addrs)
 		if n > 0 {
-			text = drawConfig(r, addrs)
+			text = randomConfig(r, addrs)
 		}
 		tree, err := nginx.Parse("f", text)
 		if err != nil {
@@ -263,13 +265,13 @@
 		if report.Totals[nginx.Dropped] > 0 {
 			var table strings.Builder
 			_ = report.Table(&table)
-			t.Fatalf("%s of\n%s", table.String(), text)
+			t.Fatalf("the import dropped directives:\n%s\nof\n%s", table.String(), text)
 		}
 		out = strings.Replace(out, `address = ":8080"`, `address = "127.0.0.1:0"`, 1)
 		out = strings.ReplaceAll(out, `connect_timeout = "1m0s"`, `connect_timeout = "1s"`)
 		cfg, err := operator.Parse("out.toml", []byte("[limits]\ndrain = \"100ms\"\n"+out))
 		if err != nil {
-			t.Fatalf("%v\n%s\nfrom\n%s", err, out, text)
+			t.Fatalf("the imported configuration is invalid: %v\n%s\nfrom\n%s", err, out, text)
 		}
 		i, stop := launch(t, cfg)
 		c := connect(t, i.Addresses()["listen-8080"])
@@ -278,7 +280,7 @@
 			for range r.IntN(5) {
 				path += replayPieces[r.IntN(len(replayPieces))]
 			}
-			for strings.Contains(path, "//") { // merged before locations are looked at
+			for strings.Contains(path, "//") { // nginx merges slashes before it matches locations
 				path = strings.ReplaceAll(path, "//", "/")
 			}
 			raw, query := strings.Replace(path, "a", "%61", r.IntN(2)), []string{"", "q=1&r=%20"}[r.IntN(2)]
@@ -286,7 +288,7 @@
 				raw += "?" + query
 			}
 			host := []string{"one.example", "two.example", "x.example", "a.two.example", "mail.org", "abc.org", "www.two.org", "none"}[r.IntN(8)]
-			want := reference(tree, host, path, raw, query)
+			want := referenceRoute(tree, host, path, raw, query)
 			before := map[string]int{}
 			for addr, s := range byAddr {
 				before[addr] = len(s.Records())
@@ -318,12 +320,12 @@
 		stop()
 	}
 	if requests < 500 || reached < requests/4 {
-		t.Errorf("%d requests, %d of them reached a server", requests, reached)
+		t.Errorf("%d requests, %d of them served, want 500 requests and a quarter of them served", requests, reached)
 	}
 }
 
-// Errors of an imported configuration lead where the documentation of error_page says, over sockets.
-func TestReplayOfErrorPages(t *testing.T) {
+// Over sockets, errors of an imported configuration get the pages that the documentation of error_page describes.
+func TestImportedErrorPages(t *testing.T) {
 	list := servers(t, "up", "spare", "down")
 	up, spare, down := list[0], list[1], list[2]
 	down.Close()
@@ -346,18 +348,18 @@
 	}
 	out, report := nginx.Import(&nginx.File{Directives: tree})
 	if report.Totals[nginx.Dropped] > 0 {
-		t.Fatalf("%v dropped", report.Totals)
+		t.Fatalf("the import dropped directives: %v", report.Totals)
 	}
 	cfg, err := operator.Parse("out.toml", []byte("[limits]\ndrain = \"100ms\"\n"+strings.Replace(out, `address = ":8080"`, `address = "127.0.0.1:0"`, 1)))
 	if err != nil {
-		t.Fatalf("%v\n%s", err, out)
+		t.Fatalf("the imported configuration is invalid: %v\n%s", err, out)
 	}
 	i, _ := launch(t, cfg)
 	c := connect(t, i.Addresses()["listen-8080"])
 	for _, k := range []struct {
 		method, path string
 		status       int
-		body         string // begins with
+		body         string // prefix of the body
 	}{
 		{"GET", "/x", 200, "server=up method=GET uri=/x "},
 		{"GET", "/sorry.html", 404, ""},
@@ -372,12 +374,12 @@
 	} {
 		res, body, err := c.ask(k.method, k.method+" "+k.path+" HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
 		if err != nil || res.StatusCode != k.status || !strings.HasPrefix(body, k.body) {
-			t.Fatalf("%s %s: %v, %v, %q", k.method, k.path, err, res.Status, body)
+			t.Fatalf("%s %s: error %v, status %v, body %q", k.method, k.path, err, res.Status, body)
 		}
 		if to := res.Header.Get("Location"); k.status == 302 && to != "https://other.example"+k.path {
 			t.Errorf("%s: redirected to %q", k.path, to)
 		}
-		if res.StatusCode == 404 { // some answers end the connection
+		if res.StatusCode == 404 { // some of these responses close the connection
 			c = connect(t, i.Addresses()["listen-8080"])
 		}
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -27,7 +27,7 @@
 		{"name": "pay", "aim": 1000, "giveUp": 2500, "effect": "non_idempotent"},
 		{"name": "add", "aim": 1000, "giveUp": 2500, "effect": "idempotency_key", "group": "cell", "dedupWindow": 10000}]}`
 
-// config is one of a sidecar whose list holds the given addresses; its discovery answers nothing.
+// config returns the configuration of a sidecar whose initial list has the given addresses; its discovery never responds.
 func config(t *testing.T, addrs ...string) Config {
 	t.Helper()
 	site, err := wire.ParseSite([]byte(settings))
@@ -55,7 +55,7 @@
 	return s
 }
 
-// dial opens a caller's connection to the sidecar.
+// dial opens a client connection to the sidecar.
 func dial(t *testing.T, s *Sidecar) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", s.listener.Addr().String())
@@ -66,10 +66,11 @@
 	return &client{c, bufio.NewReader(c), "id"}
 }
 
+// client is a raw client connection.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
-	id     string // of the requests it sends
+	id     string // X-Request-Id of its requests
 }
 
 // send writes one request.
@@ -78,10 +79,10 @@
 	for _, h := range append([]string{"X-Request-Id: " + c.id}, headers...) {
 		text += h + "\r\n"
 	}
-	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", text, len(body), body) // the answer tells how that went
+	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", text, len(body), body) // an error shows when the response is read
 }
 
-// answer reads one answer whole.
+// answer reads one response with its body.
 func (c *client) answer(t *testing.T) (*http.Response, string) {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(long))
@@ -96,7 +97,7 @@
 	return res, string(body)
 }
 
-// echo serves every request with what came.
+// echo responds to every request with its method, URI, id and key.
 func echo(_ int, c net.Conn, r *http.Request) bool {
 	body := fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Header.Get("X-Request-Id"), " ", r.Header.Get("Idempotency-Key"))
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -106,20 +107,20 @@
 func TestServes(t *testing.T) {
 	s := start(t, config(t, script(t, echo).Addr().String()))
 	c := dial(t, s)
-	for range 3 { // on one kept connection
+	for range 3 { // on one keep-alive connection
 		c.send("GET", "read", "", "X-Deadline: 2.000")
 		if res, body := c.answer(t); res.StatusCode != 200 || body != "GET /read/x?a=%2F id " {
-			t.Fatalf("status %d, body %q", res.StatusCode, body)
+			t.Fatalf("GET: status %d, body %q", res.StatusCode, body)
 		}
 	}
 	c.send("POST", "add", "box", "X-Deadline: 2.000", "Idempotency-Key: k1")
 	if res, body := c.answer(t); res.StatusCode != 200 || body != "POST /add/x?a=%2F id k1" {
-		t.Errorf("status %d, body %q", res.StatusCode, body)
+		t.Errorf("POST: status %d, body %q", res.StatusCode, body)
 	}
 }
 
-// What is malformed gets a plain 4xx and goes nowhere.
-func TestMalformedRequestsGoNowhere(t *testing.T) {
+// Malformed requests get a 4xx and are not forwarded.
+func TestMalformedRequestsAreNotForwarded(t *testing.T) {
 	requests := make(chan struct{}, 100)
 	s := start(t, config(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
 		requests <- struct{}{}
@@ -137,11 +138,11 @@
 		{"no time left", "GET", "read", "", []string{"X-Deadline: 0"}, 400},
 		{"negative length", "POST", "pay", "", []string{"Content-Length: -1"}, 400},
 		{"two lengths", "POST", "pay", "x", []string{"Content-Length: 3"}, 400},
-		{"method", "POST", "read", "", nil, 405},
+		{"wrong method", "POST", "read", "", nil, 405},
 		{"no key", "POST", "add", "", nil, 400},
-		{"deadline", "GET", "read", "", []string{"X-Deadline: soon"}, 400},
+		{"deadline that is no number", "GET", "read", "", []string{"X-Deadline: soon"}, 400},
 		{"negative deadline", "GET", "read", "", []string{"X-Deadline: -1"}, 400},
-		{"deadline that is no number", "GET", "read", "", []string{"X-Deadline: NaN"}, 400},
+		{"deadline that is NaN", "GET", "read", "", []string{"X-Deadline: NaN"}, 400},
 	} {
 		caller := dial(t, s)
 		caller.send(c.method, c.class, c.body, c.headers...)
@@ -155,12 +156,13 @@
 		t.Errorf("long body: status %d, want 413", res.StatusCode)
 	}
 	if n := len(requests); n != 1 {
-		t.Errorf("%d requests went on, want the one that is well formed", n)
+		t.Errorf("%d requests were forwarded, want only the one that is well formed", n)
 	}
 }
 
-// The module must be told a due time that leaves room for the way back, and never one after the class's own.
-func TestDueTimes(t *testing.T) {
+// The timeout that the decision module gets leaves a margin for the response to reach the client, and never exceeds that of the
+// class.
+func TestRequestTimeouts(t *testing.T) {
 	cfg := config(t)
 	l, err := newEventLoop(&cfg, newUpstream(balancer.Limits{}, 0, 4))
 	if err != nil {
@@ -171,20 +173,20 @@
 		header string
 		want   float64 // ms from the arrival
 	}{{"2.000", 1950}, {"0.100", 90}, {"", 2450}, {"60", 2450}} {
-		got, _, complaint := f.parsePlatform(message{
+		got, _, reason := f.parsePlatform(message{
 			startLine: "GET /read/x HTTP/1.1",
 			header:    http.Header{"X-Class": {"read"}, "X-Request-Id": {"1"}, "X-Deadline": {c.header}},
 		})
 		if got == nil {
-			t.Fatalf("%q: %s", c.header, complaint)
+			t.Fatalf("X-Deadline %q is rejected: %s", c.header, reason)
 		}
 		if math.Abs(got.timeout-c.want) > 0.01 {
-			t.Errorf("%q: due after %v ms, want %v", c.header, got.timeout, c.want)
+			t.Errorf("X-Deadline %q: timeout %v ms, want %v", c.header, got.timeout, c.want)
 		}
 	}
 }
 
-// An unsafe request whose connection broke may have run: it is neither sent again nor refused.
+// An unsafe request whose connection broke may have been executed: it is neither retried nor rejected.
 func TestUnsafeIsSentOnce(t *testing.T) {
 	requests := make(chan struct{}, 10)
 	broken := func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false }
@@ -192,12 +194,12 @@
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
 	if res, _ := c.answer(t); res.StatusCode != statusFailed || len(requests) != 1 {
-		t.Errorf("status %d after %d sends, want a failure after one", res.StatusCode, len(requests))
+		t.Errorf("status %d after %d attempts, want a failure after one", res.StatusCode, len(requests))
 	}
 }
 
-// One that was turned away never ran: it goes to another endpoint, here one that serves it.
-func TestTurnedAwayGoesElsewhere(t *testing.T) {
+// A request that an endpoint rejected without executing it is retried at another endpoint, even if it is unsafe.
+func TestNotExecutedIsRetriedElsewhere(t *testing.T) {
 	full := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
@@ -207,13 +209,13 @@
 	for range 4 {
 		c.send("POST", "pay", "1")
 		if res, _ := c.answer(t); res.StatusCode != 200 {
-			t.Errorf("status %d", res.StatusCode)
+			t.Errorf("status %d, want 200", res.StatusCode)
 		}
 	}
 }
 
-// A refusal says when to come back, and comes long before the deadline.
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+// A rejection has a Retry-After header, and is sent long before the deadline.
+func TestRejectionHasRetryAfter(t *testing.T) {
 	full := func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
@@ -224,34 +226,34 @@
 	res, _ := c.answer(t)
 	after, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
 	if res.StatusCode != statusRefused || err != nil || after <= 0 {
-		t.Errorf("status %d, Retry-After %q", res.StatusCode, res.Header.Get("Retry-After"))
+		t.Errorf("status %d, Retry-After %q, want a rejection with a positive number", res.StatusCode, res.Header.Get("Retry-After"))
 	}
 }
 
-// A client that leaves ends the attempt: its endpoint must not work for nobody.
-func TestClientGone(t *testing.T) {
-	came, left := make(chan struct{}), make(chan struct{})
+// When a client disconnects, its attempt is canceled, so that the endpoint does not work in vain, and its call is removed.
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
+	received, left := make(chan struct{}), make(chan struct{})
 	s := start(t, config(t, script(t, func(_ int, c net.Conn, _ *http.Request) bool {
-		close(came)
+		close(received)
 		_, _ = c.Read(make([]byte, 1))
 		close(left)
 		return false
 	}).Addr().String()))
 	c := dial(t, s)
 	c.send("GET", "read", "")
-	<-came
+	<-received
 	c.Close()
 	select {
 	case <-left:
 	case <-time.After(long):
-		t.Fatal("the attempt stayed out")
+		t.Fatal("the attempt is still open")
 	}
-	for calls := 1; calls != 0; { // and nothing of the request is kept
+	for calls := 1; calls != 0; { // until the call has been removed
 		s.loop.do(func() { calls = len(s.loop.calls) })
 	}
 }
 
-// An endpoint that never answers: the caller still gets its one answer in time, and as a failure.
+// When an endpoint never responds, the client still gets one response in time, and it is a failure.
 func TestSilentEndpoint(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -263,8 +265,8 @@
 	}
 }
 
-// The backstop refuses only what cannot have run, and answers once.
-func TestBackstopIsHonest(t *testing.T) {
+// The backstop rejects only requests that cannot have been executed, and responds once.
+func TestBackstopStatus(t *testing.T) {
 	cfg := config(t)
 	l, err := newEventLoop(&cfg, newUpstream(balancer.Limits{}, 0, 4))
 	if err != nil {
@@ -276,24 +278,24 @@
 	}{
 		"nothing sent": {&call{}, statusRefused},
 		"may have run": {&call{mayHaveExecuted: true}, statusFailed},
-		"still out":    {&call{openAttempts: 1, attempts: []*attempt{newAttempt(time.Time{})}}, statusFailed},
+		"still open":   {&call{openAttempts: 1, attempts: []*attempt{newAttempt(time.Time{})}}, statusFailed},
 	} {
 		var got []response
 		c.call.respond = func(a response) { got = append(got, a) }
 		l.answerOverdue(c.call)
 		l.answerOverdue(c.call)
 		if len(got) != 1 || got[0].status != c.want {
-			t.Errorf("%s: answers %v, want one of status %d", name, got, c.want)
+			t.Errorf("%s: responses %v, want one of status %d", name, got, c.want)
 		}
 		for _, a := range c.call.attempts {
 			if a.mayWrite() {
-				t.Errorf("%s: an attempt could still go out", name)
+				t.Errorf("%s: an attempt could still be sent", name)
 			}
 		}
 	}
 }
 
-// Ready is told only once there is an endpoint to send to.
+// The sidecar reports that it is ready only when there is an endpoint to send to.
 func TestReady(t *testing.T) {
 	for want, addrs := range map[int][]string{503: nil, 200: {"127.0.0.1:1"}} {
 		s := start(t, config(t, addrs...))
@@ -304,13 +306,13 @@
 	}
 }
 
-// At SIGTERM new connections go on being served, and those that callers hold as long as there is time; then they
-// end, what was taken is finished, and only then does the program end.
+// After SIGTERM new connections and requests on open ones are served for the accept time. Then connections are closed, accepted
+// requests are completed, and only then does Run return.
 func TestDrain(t *testing.T) {
-	came, release := make(chan struct{}), make(chan struct{})
+	received, release := make(chan struct{}), make(chan struct{})
 	s, err := New(config(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Hold") != "" {
-			close(came)
+			close(received)
 			<-release
 		}
 		return echo(n, c, r)
@@ -318,41 +320,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.frontend.acceptTime = 2 * time.Second // for a test on a busy machine
+	s.frontend.acceptTime = 2 * time.Second // long enough on a busy machine
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- s.Run(ctx) }()
 	slow := dial(t, s)
 	slow.send("GET", "read", "", "X-Hold: 1")
-	<-came
+	<-received
 	cancel()
 	for !s.frontend.draining.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	late := dial(t, s)
 	late.id = "late"
-	for range 2 { // on a connection that is kept, as its caller may have no other sidecar meanwhile
+	for range 2 { // on a keep-alive connection, as its client may have no other sidecar in the meantime
 		late.send("GET", "read", "")
 		if res, _ := late.answer(t); res.StatusCode != 200 || res.Close {
-			t.Errorf("status %d, close %v: a late caller must be served", res.StatusCode, res.Close)
+			t.Errorf("status %d, close %v: a client that connects late must be served", res.StatusCode, res.Close)
 		}
 	}
 	late.ends(t)
 	close(release)
 	if res, _ := slow.answer(t); res.StatusCode != 200 {
-		t.Errorf("status %d for what was taken before", res.StatusCode)
+		t.Errorf("status %d for a request that was accepted before SIGTERM", res.StatusCode)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// What an endpoint holds too long is answered before SIGKILL comes.
-func TestDrainGivesUpInTime(t *testing.T) {
-	came, release := make(chan struct{}), make(chan struct{})
+// When an endpoint does not respond during a drain, the client gets a response before SIGKILL.
+func TestDrainRespondsBeforeKill(t *testing.T) {
+	received, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
-	cfg := config(t, script(t, func(int, net.Conn, *http.Request) bool { close(came); <-release; return false }).Addr().String())
-	cfg.Site.Settings.Classes[1].Timeout = 60000 // its own time would not end the wait
+	cfg := config(t, script(t, func(int, net.Conn, *http.Request) bool { close(received); <-release; return false }).Addr().String())
+	cfg.Site.Settings.Classes[1].Timeout = 60000 // so that the request does not end by its own timeout
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -362,7 +364,7 @@
 	go s.frontend.serve(s.listener)
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
-	<-came
+	<-received
 	ended := make(chan struct{})
 	go func() { s.frontend.drain(s.listener, acceptTime); close(ended) }()
 	if res, _ := c.answer(t); res.StatusCode != statusFailed {
@@ -371,15 +373,15 @@
 	<-ended
 }
 
-// Callers that hold connections for nothing must not keep others out.
-func TestQuietCallersGiveWay(t *testing.T) {
+// At the connection limit, idle client connections are closed so that new clients are served.
+func TestIdleClientsMakeRoom(t *testing.T) {
 	cfg := config(t, script(t, echo).Addr().String())
 	cfg.Sockets = MinSockets
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.frontend.idleTimeout = time.Hour // which would end them too, but late
+	s.frontend.idleTimeout = time.Hour // which would close them too, but too late
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = s.Run(ctx) }()
@@ -393,24 +395,25 @@
 	}
 }
 
-// A client that ends its sending has gone; what it can still read must be no answer, least of all the empty 200
-// that net/http gives for a handler that returns.
-func TestGoneClientIsNotServed(t *testing.T) {
-	came, release := make(chan struct{}), make(chan struct{})
+// A client that closes its sending side counts as disconnected and must not get a response, in particular not an empty 200, which
+// net/http would send for a handler that returns.
+func TestHalfClosedClientGetsNoResponse(t *testing.T) {
+	received, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
-	s := start(t, config(t, script(t, func(int, net.Conn, *http.Request) bool { close(came); <-release; return false }).Addr().String()))
+	s := start(t, config(t, script(t, func(int, net.Conn, *http.Request) bool { close(received); <-release; return false }).Addr().String()))
 	c := dial(t, s)
 	c.send("GET", "read", "")
-	<-came
+	<-received
 	_ = c.Conn.(*net.TCPConn).CloseWrite()
 	_ = c.SetReadDeadline(time.Now().Add(long))
 	if text, err := io.ReadAll(c); len(text) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("answer %q, error %v", text, err)
+		t.Errorf("response %q, error %v, want a closed connection", text, err)
 	}
 }
 
-// discover serves watches; each gets what f writes until it returns.
-func discover(t *testing.T, f func(since string, tell func(List), beat func())) string {
+// discover starts a discovery server. It calls f for each watch, which may send lists and heartbeats, and ends the watch when f
+// returns.
+func discover(t *testing.T, f func(since string, send func(List), heartbeat func())) string {
 	t.Helper()
 	return script(t, func(_ int, c net.Conn, r *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -426,19 +429,19 @@
 	}).Addr().String()
 }
 
-// A watch brings an endpoint in, and a drain that it tells reaches the module before anything else is sent.
+// An endpoint that a watch reports is used, and once a watch has reported that it drains, no request is sent to it.
 func TestWatch(t *testing.T) {
 	next, done := make(chan string), make(chan struct{})
 	defer close(done)
 	addr := script(t, echo).Addr().String()
 	cfg := config(t)
 	cfg.InitialList.Rev = 7
-	cfg.Discovery = discover(t, func(since string, tell func(List), beat func()) {
-		beat()
+	cfg.Discovery = discover(t, func(since string, send func(List), heartbeat func()) {
+		heartbeat()
 		for rev := int64(8); ; rev++ {
 			select {
 			case state := <-next:
-				tell(List{Rev: rev, Targets: []Target{{UID: "s-" + since, Endpoint: addr, Zone: "z", State: state}}})
+				send(List{Rev: rev, Targets: []Target{{UID: "s-" + since, Endpoint: addr, Zone: "z", State: state}}})
 			case <-done:
 				return
 			}
@@ -449,14 +452,14 @@
 		t.Helper()
 		for got, end := -1, time.Now().Add(long); got != want; {
 			if s.loop.do(func() { got = s.loop.usable }); time.Now().After(end) {
-				t.Fatalf("%d usable, want %d", got, want)
+				t.Fatalf("%d servers usable, want %d", got, want)
 			}
 		}
 	}
 	next <- "Ready"
 	usable(1)
 	if id := newServerIDs(nil, nil).id("s-7"); s.loop.upstream.endpointOf(id) == nil {
-		t.Error("the watch did not begin at the version that was known")
+		t.Error("the watch did not begin at the revision of the initial list")
 	}
 	c := dial(t, s)
 	c.send("GET", "read", "")
@@ -467,7 +470,7 @@
 	usable(0)
 	c.send("GET", "read", "", "X-Deadline: 0.200")
 	if res, _ := c.answer(t); res.StatusCode != statusRefused {
-		t.Errorf("status %d with every endpoint draining, want a refusal", res.StatusCode)
+		t.Errorf("status %d with every endpoint draining, want a rejection", res.StatusCode)
 	}
 	next <- "Gone"
 	for gone := false; !gone; {
@@ -475,10 +478,10 @@
 	}
 }
 
-// A release replaces the endpoints one by one. A sidecar that gave up a part of what may be out with each that
-// goes, and got nothing for each that comes, would refuse what the new ones could serve.
-func TestReleaseKeepsTheRoom(t *testing.T) {
-	const most = 20 // calls out at once with four endpoints, till they are measured
+// A rolling replacement of the endpoints keeps the concurrency limit. If the limit dropped with each endpoint that drains and did not
+// rise with each new one, requests would be rejected that the new endpoints could serve.
+func TestRollingReplacementKeepsCapacity(t *testing.T) {
+	const most = 20 // concurrent attempts with four endpoints, until their latency is measured
 	var held atomic.Int32
 	full, done := make(chan struct{}), make(chan struct{})
 	defer close(done)
@@ -494,12 +497,12 @@
 		addr := script(t, hold).Addr().String()
 		cfg.InitialList.Targets = append(cfg.InitialList.Targets, Target{UID: fmt.Sprint("s-", i), Endpoint: addr, Zone: "z", State: "Ready"})
 	}
-	cfg.Discovery = discover(t, func(_ string, tell func(List), _ func()) {
+	cfg.Discovery = discover(t, func(_ string, send func(List), _ func()) {
 		for i, old := range cfg.InitialList.Targets {
 			old.State = "Terminating"
-			tell(List{Rev: int64(2*i + 1), Targets: []Target{old}})
+			send(List{Rev: int64(2*i + 1), Targets: []Target{old}})
 			addr := script(t, hold).Addr().String()
-			tell(List{Rev: int64(2*i + 2), Targets: []Target{{UID: fmt.Sprint("n-", i), Endpoint: addr, Zone: "z", State: "Ready"}}})
+			send(List{Rev: int64(2*i + 2), Targets: []Target{{UID: fmt.Sprint("n-", i), Endpoint: addr, Zone: "z", State: "Ready"}}})
 		}
 		<-done
 	})
@@ -508,22 +511,22 @@
 	for listed := false; !listed; {
 		s.loop.do(func() { listed = s.loop.listed[last] })
 	}
-	callers := make([]*client, most)
-	for i := range callers {
-		callers[i] = dial(t, s)
-		callers[i].id = fmt.Sprint("id-", i)
-		callers[i].send("GET", "read", "")
+	clients := make([]*client, most)
+	for i := range clients {
+		clients[i] = dial(t, s)
+		clients[i].id = fmt.Sprint("id-", i)
+		clients[i].send("GET", "read", "")
 	}
-	for _, c := range callers {
+	for _, c := range clients {
 		if res, _ := c.answer(t); res.StatusCode != 200 {
-			t.Fatalf("status %d with %d calls held, want %d", res.StatusCode, held.Load(), most)
+			t.Fatalf("status %d with %d requests held by endpoints, want %d", res.StatusCode, held.Load(), most)
 		}
 	}
 }
 
-// When one of four endpoints fails and is left, the others must not be given its part of what may be out: several
-// copies that do so drive them over, and they stay slow for long.
-func TestFailingEndpointTakesItsRoom(t *testing.T) {
+// When one of four endpoints fails and is avoided, its share of the concurrency limit must not move to the others. Otherwise several
+// replicas together overload the remaining endpoints, which then stay slow for a long time.
+func TestFailingEndpointReducesCapacity(t *testing.T) {
 	const all, before, most = 30, 12, 15
 	var held, failed atomic.Int32
 	done := make(chan struct{})
@@ -539,46 +542,46 @@
 	}
 	cfg := config(t, script(t, hold).Addr().String(), script(t, hold).Addr().String(), script(t, hold).Addr().String(),
 		script(t, fail).Addr().String())
-	cfg.Site.Settings.Classes[0].Timeout = 2 * float64(long.Milliseconds()) // what is held stays so
+	cfg.Site.Settings.Classes[0].Timeout = 2 * float64(long.Milliseconds()) // so that the held requests do not time out
 	s := start(t, cfg)
 	defer close(done)
-	var refused atomic.Int32
-	ask := func(i int) {
+	var rejected atomic.Int32
+	sendRequest := func(i int) {
 		c := dial(t, s)
 		c.id = fmt.Sprint("id-", i)
 		c.send("GET", "read", "")
 		go func() {
 			if res, err := http.ReadResponse(c.reader, nil); err == nil && res.StatusCode == statusRefused {
-				refused.Add(1)
+				rejected.Add(1)
 			}
 		}()
 	}
-	settled := func(n int) {
+	waitSettled := func(n int) {
 		t.Helper()
-		for end := time.Now().Add(long); int(held.Load()+refused.Load()) < n; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(long); int(held.Load()+rejected.Load()) < n; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%d held and %d refused of %d", held.Load(), refused.Load(), n)
+				t.Fatalf("%d held and %d rejected of %d", held.Load(), rejected.Load(), n)
 			}
 		}
 	}
 	for i := range before {
-		ask(i)
-		settled(i + 1)
+		sendRequest(i)
+		waitSettled(i + 1)
 	}
-	if failed.Load() < 3 || refused.Load() > 0 {
-		t.Fatalf("%d failed and %d refused, want the one endpoint to be left by now", failed.Load(), refused.Load())
+	if failed.Load() < 3 || rejected.Load() > 0 {
+		t.Fatalf("%d failed and %d rejected, want at least 3 and 0: the failing endpoint must be avoided by now", failed.Load(), rejected.Load())
 	}
 	for i := before; i < all; i++ {
-		ask(i)
+		sendRequest(i)
 	}
-	// With the room of all four 20 are held. On a very busy machine 16 were seen.
-	if settled(all); held.Load() > most+2 {
-		t.Errorf("%d calls held at three endpoints, want %d", held.Load(), most)
+	// With the capacity of all four endpoints 20 would be held. On a very busy machine 16 were observed.
+	if waitSettled(all); held.Load() > most+2 {
+		t.Errorf("%d requests held at three endpoints, want %d", held.Load(), most)
 	}
 }
 
-// A whole list takes away what it does not name.
-func TestWholeListReplaces(t *testing.T) {
+// A full list removes the servers that it does not contain.
+func TestFullListReplaces(t *testing.T) {
 	cfg := config(t, "127.0.0.1:1", "127.0.0.1:2")
 	l, err := newEventLoop(&cfg, newUpstream(balancer.Limits{}, 0, 4))
 	if err != nil {
@@ -588,20 +591,20 @@
 	first, second := l.serverIDs.id("s-0"), l.serverIDs.id("s-1")
 	l.applyList(List{Targets: cfg.InitialList.Targets[1:]}, balancer.ListFull)
 	if l.usable != 1 || l.upstream.endpointOf(first) != nil || l.upstream.endpointOf(second) == nil {
-		t.Errorf("%d usable of one that is listed", l.usable)
+		t.Errorf("%d servers usable, want 1; only the listed one may remain", l.usable)
 	}
 }
 
-// A watch that says nothing for several beats is dead, however open its connection: it ends, is reported,
-// and a pushed list is watched again from the version that is held.
-func TestSilentWatchIsTakenUpAgain(t *testing.T) {
+// A watch that receives neither a list nor a heartbeat for the watch timeout is closed, even if its connection is open, and the list
+// is watched again from the latest revision.
+func TestSilentWatchIsRestarted(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
 	calls := make(chan string, 10)
 	d := &discovery{watchTimeout: 30 * time.Millisecond, rev: 3, onList: func(List) {}, onFailure: func() {}}
-	d.addr = discover(t, func(since string, tell func(List), beat func()) {
+	d.addr = discover(t, func(since string, send func(List), heartbeat func()) {
 		calls <- since
-		tell(List{Rev: 4})
+		send(List{Rev: 4})
 		<-done
 	})
 	go d.run(t.Context())
@@ -610,15 +613,15 @@
 	}
 }
 
-// When discovery moves, the old watch is listened to until the new one is answered, then ends, and its end is
-// no failure that the module should hear of: the list has no gap. A further move before that overtakes the first.
-func TestMoveLeavesNoGap(t *testing.T) {
+// When the address of discovery changes, the old watch is kept until discovery responds at the new address, so that no update is
+// missed. The end of the old watch is not reported as a failure. Another change before that replaces the first.
+func TestDiscoveryMoveMissesNoUpdate(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
-	told, oldEnded := make(chan int64, 10), make(chan struct{})
+	revisions, oldEnded := make(chan int64, 10), make(chan struct{})
 	var failures atomic.Int32
 	next := make(chan int64)
-	d := &discovery{watchTimeout: long, rev: 1, onList: func(l List) { told <- l.Rev }, onFailure: func() { failures.Add(1) }}
+	d := &discovery{watchTimeout: long, rev: 1, onList: func(l List) { revisions <- l.Rev }, onFailure: func() { failures.Add(1) }}
 	old := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 		go func() {
@@ -630,50 +633,50 @@
 		close(oldEnded)
 		return false
 	}).Addr().String()
-	silent := listen(t).Addr().String() // accepts and never answers
+	silent := listen(t).Addr().String() // accepts and never responds
 	d.addr = old
-	hears := func(rev int64) {
+	wantRevision := func(rev int64) {
 		t.Helper()
-		if got := <-told; got != rev {
-			t.Fatalf("version %d, want %d", got, rev)
+		if got := <-revisions; got != rev {
+			t.Fatalf("revision %d, want %d", got, rev)
 		}
 	}
 	go d.watchOnce(t.Context())
 	next <- 2
-	hears(2)
+	wantRevision(2)
 	if d.setAddr(old) || !d.setAddr(silent) {
-		t.Error("only another address is a move")
+		t.Error("setAddr must return true only for a different address")
 	}
 	go d.watchOnce(t.Context())
-	for begun := 0; begun < 2; { // so that the watches begin in the order of the moves
+	for started := 0; started < 2; { // so that the watches start in the order of the changes
 		d.mu.Lock()
-		begun = d.latestWatch
+		started = d.latestWatch
 		d.mu.Unlock()
 	}
 	next <- 3
-	hears(3)
-	d.setAddr(discover(t, func(since string, tell func(List), beat func()) {
+	wantRevision(3)
+	d.setAddr(discover(t, func(since string, send func(List), heartbeat func()) {
 		if since != "3" {
 			t.Errorf("a watch since %s, want 3", since)
 		}
-		tell(List{Rev: 4})
+		send(List{Rev: 4})
 		<-done
 	}))
 	go d.watchOnce(t.Context())
-	hears(4)
+	wantRevision(4)
 	<-oldEnded
 	close(next)
 	if failures.Load() > 0 {
-		t.Error("a failure was reported")
+		t.Error("the end of a replaced watch was reported as a failure")
 	}
 }
 
-// Where the list is asked for, the module decides when to ask again, so it must hear of each failure.
-func TestFailedCallIsReported(t *testing.T) {
+// If the list is polled, the decision module decides when to poll again, so each failure must be reported to it.
+func TestFailedPollIsReported(t *testing.T) {
 	failed := make(chan struct{}, 1)
-	d := &discovery{watchTimeout: long, onList: func(List) { t.Error("a list came") }, onFailure: func() { failed <- struct{}{} }}
+	d := &discovery{watchTimeout: long, onList: func(List) { t.Error("a list was reported") }, onFailure: func() { failed <- struct{}{} }}
 	for name, text := range map[string]string{
-		"turned away": "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+		"rejected":    "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 		"reset":       "",
 		"no list":     "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nno!\n",
 		"bad state":   "HTTP/1.1 200 OK\r\n\r\n" + `{"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"Odd"}]}` + "\n",
@@ -684,12 +687,12 @@
 		select {
 		case <-failed:
 		default:
-			t.Errorf("%s: not reported", name)
+			t.Errorf("%s: the failure was not reported", name)
 		}
 	}
 }
 
-// Every sidecar must give a server the same id, in whatever order it hears of them: homes are dealt out by it.
+// Every sidecar must give a server the same id, in whatever order servers are listed, because servers are assigned to sidecars by id.
 func TestIDsDoNotDependOnOrder(t *testing.T) {
 	a, b := newServerIDs(nil, nil), newServerIDs(nil, nil)
 	for i := range 500 {
@@ -698,7 +701,7 @@
 	}
 	for uid, id := range a.ids {
 		if b.ids[uid] != id {
-			t.Errorf("%s is %d and %d", uid, id, b.ids[uid])
+			t.Errorf("server %s has the ids %d and %d", uid, id, b.ids[uid])
 		}
 	}
 	if len(a.uids) != 500 {
--- a/internal/sidecar/siterouting_test.go
+++ b/internal/sidecar/siterouting_test.go
@@ -39,7 +39,8 @@
 redirect = "http://{host}/kept/"
 `
 
-// Requests that no route matches go by the sites, with what their location sets, and routes go before them.
+// Requests that no route matches are handled by the sites, with the headers, target and limits of their location. Routes have
+// precedence over sites.
 func TestSitesOverSockets(t *testing.T) {
 	s := servers(t, "a")[0]
 	i, _ := launch(t, parse(t, inText, poolText("p", "", s), routeText("routed", "/kept/routed", "p", "read", ""), siteText))
@@ -51,7 +52,7 @@
 	c.must(t, "GET", "GET /raw//%7E/?q HTTP/1.1\r\n"+head+"\r\n", 200)
 	c.must(t, "GET", "GET /made/a%20b HTTP/1.1\r\n"+head+"\r\n", 200)
 	if res, _ := c.must(t, "GET", "GET /away HTTP/1.1\r\n"+head+"\r\n", 301); res.Header.Get("Location") != "http://shop.example/kept/" {
-		t.Errorf("redirected to %q", res.Header.Get("Location"))
+		t.Errorf("/away redirected to %q", res.Header.Get("Location"))
 	}
 	c.must(t, "GET", "GET /elsewhere HTTP/1.1\r\n"+head+"\r\n", 404)
 	connect(t, i.Addresses()["in"]).must(t, "POST", "POST /kept/x HTTP/1.1\r\n"+head+"Content-Length: 9\r\n\r\ntoo long.", http.StatusRequestEntityTooLarge)
@@ -68,16 +69,16 @@
 	}
 }
 
-// A backup gets requests only once every other server of its pool refuses connections, and none any more when one is back.
+// A backup server gets requests only once every other server of its pool refuses connections.
 func TestBackupServer(t *testing.T) {
 	s := servers(t, "a", "b", "spare")
 	for _, server := range s {
-		server.SetWork(5 * time.Millisecond) // an attempt is canceled after six times the mean latency: not by chance
+		server.SetWork(5 * time.Millisecond) // an attempt is canceled after six times the mean latency, which with tiny latencies happens by chance
 	}
 	text := poolText("p", "", s...) + "backup = true\n"
 	i, _ := launch(t, parse(t, inText, text, routeText("r", "/", "p", "read", "")))
 	c := connect(t, i.Addresses()["in"])
-	ask := func(n int) (spare int) {
+	backupRequests := func(n int) (count int) { // of n requests that are sent
 		before, _, _, _ := s[2].Counts()
 		for range n {
 			c.must(t, "GET", "GET / HTTP/1.1\r\nHost: h\r\n\r\n", 200)
@@ -85,16 +86,16 @@
 		after, _, _, _ := s[2].Counts()
 		return after - before
 	}
-	if n := ask(60); n != 0 {
-		t.Errorf("the backup got %d of 60 requests", n)
+	if n := backupRequests(60); n != 0 {
+		t.Errorf("with two other servers the backup got %d of 60 requests", n)
 	}
 	s[0].Close()
-	if n := ask(60); n != 0 {
-		t.Errorf("with one server left the backup got %d of 60 requests", n)
+	if n := backupRequests(60); n != 0 {
+		t.Errorf("with one other server the backup got %d of 60 requests", n)
 	}
 	s[1].Close()
-	ask(20)
-	if n := ask(60); n != 60 {
-		t.Errorf("with no other left the backup got %d of 60 requests", n)
+	backupRequests(20)
+	if n := backupRequests(60); n != 60 {
+		t.Errorf("with no other server the backup got %d of 60 requests", n)
 	}
 }
--- a/internal/sidecar/status.go
+++ b/internal/sidecar/status.go
@@ -12,7 +12,7 @@
 // PoolStatus is the status of a pool.
 type PoolStatus struct {
 	Name                              string
-	Ending                            bool // the pool takes no new requests
+	Ending                            bool // the pool only completes its open requests
 	Servers, Usable                   int
 	Open, Connections, MaxConnections int
 	Served, Refused, Failed           uint64
--- a/internal/sidecar/subset_test.go
+++ b/internal/sidecar/subset_test.go
@@ -20,7 +20,8 @@
 	"milletmast/internal/subset"
 )
 
-func fleet(t *testing.T, n int) []*fakeserver.Server {
+// slowServers starts n servers that work 5 ms on each request.
+func slowServers(t *testing.T, n int) []*fakeserver.Server {
 	t.Helper()
 	var names []string
 	for i := range n {
@@ -28,21 +29,21 @@
 	}
 	list := servers(t, names...)
 	for _, s := range list {
-		s.SetWork(5 * time.Millisecond) // so that a server with a connection is not always the idle one
+		s.SetWork(5 * time.Millisecond) // otherwise the server with an open connection would always be idle and get every request
 	}
 	return list
 }
 
-// flood asks for n pages, twelve at a time.
-func flood(t *testing.T, addr string, n int) {
+// sendConcurrently sends n requests, twelve at a time.
+func sendConcurrently(t *testing.T, addr string, n int) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	var all sync.WaitGroup
-	places := make(chan struct{}, 12)
+	slots := make(chan struct{}, 12)
 	for range n {
-		places <- struct{}{}
+		slots <- struct{}{}
 		all.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			res, err := client.Get("http://" + addr + "/")
 			if err != nil {
 				t.Error(err)
@@ -50,14 +51,15 @@
 			}
 			res.Body.Close()
 			if res.StatusCode != 200 {
-				t.Errorf("status %d", res.StatusCode)
+				t.Errorf("status %d, want 200", res.StatusCode)
 			}
 		})
 	}
 	all.Wait()
 }
 
-func reachedBy(list []*fakeserver.Server) (out map[string]int) {
+// requestCounts returns the number of requests of each server that got any, by name.
+func requestCounts(list []*fakeserver.Server) (out map[string]int) {
 	out = map[string]int{}
 	for _, s := range list {
 		if n, _, _, _ := s.Counts(); n > 0 {
@@ -67,33 +69,33 @@
 	return out
 }
 
-// Copies that know nothing of each other send to all servers together, each to its part only.
-func TestSubsetsCoverTheFleet(t *testing.T) {
-	s := fleet(t, 20)
+// The subsets of replicas that do not communicate cover all servers together, and each replica sends to its subset only.
+func TestSubsetsCoverAllServers(t *testing.T) {
+	s := slowServers(t, 20)
 	parts := 0
 	for rank := range 5 {
-		before := reachedBy(s)
+		before := requestCounts(s)
 		i, _ := launch(t, parse(t, inText, poolText("p", fmt.Sprintf("copies = 5\nrank = %d\nsubset = 4\nsubset_spare = 0", rank), s...), routeText("r", "/", "p", "read", "")))
-		flood(t, i.Addresses()["in"], 120)
+		sendConcurrently(t, i.Addresses()["in"], 120)
 		mine := 0
-		for name, n := range reachedBy(s) {
+		for name, n := range requestCounts(s) {
 			if n > before[name] {
 				mine++
 			}
 		}
 		if mine < 3 || mine > 5 {
-			t.Errorf("copy %d sends to %d servers", rank, mine)
+			t.Errorf("replica %d sends to %d servers, want 3 to 5", rank, mine)
 		}
 		parts += mine
 	}
-	if all := reachedBy(s); len(all) != 20 {
-		t.Errorf("%d of 20 servers are sent to", len(all))
+	if all := requestCounts(s); len(all) != 20 {
+		t.Errorf("%d of 20 servers got requests", len(all))
 	}
 }
 
-// A server of the subset that drains gets nothing new, and another takes its place; one that the list forgets likewise.
+// A server of the subset that drains or is removed from the list gets no more requests, and another server replaces it in the subset.
 func TestSubsetWhenServersLeave(t *testing.T) {
-	s := fleet(t, 12)
+	s := slowServers(t, 12)
 	path := filepath.Join(t.TempDir(), "servers.toml")
 	write := func(state map[string]string) {
 		t.Helper()
@@ -118,10 +120,10 @@
 		fmt.Sprintf("[pool.source]\ntype = \"file\"\npath = %q\nevery = \"10ms\"\n", path)
 	i, _ := run(t, parse(t, inText, text, routeText("r", "/", "p", "read", "")))
 	last := map[string]int{}
-	ask := func() (out []string) {
+	serversUsed := func() (out []string) {
 		t.Helper()
-		flood(t, i.Addresses()["in"], 60)
-		now := reachedBy(s)
+		sendConcurrently(t, i.Addresses()["in"], 60)
+		now := requestCounts(s)
 		for name, n := range now {
 			if n > last[name] {
 				out = append(out, name)
@@ -131,38 +133,38 @@
 		slices.Sort(out)
 		return out
 	}
-	mine := ask()
+	mine := serversUsed()
 	if len(mine) != 3 {
-		t.Fatalf("it sends to %v", mine)
+		t.Fatalf("requests went to %v, want 3 servers", mine)
 	}
 	state := map[string]string{}
-	for step, how := range []string{"draining", "gone", "draining"} {
+	for step, newState := range []string{"draining", "gone", "draining"} {
 		leaves := mine[0]
-		state[leaves] = how
+		state[leaves] = newState
 		write(state)
-		until(t, "the change is heard", func() bool {
-			known := false
+		until(t, "the change of the list is applied", func() bool {
+			applied := false
 			p := i.current.pools["p"]
-			p.loop.do(func() { known = p.loop.subset.ring.Len() == 12-len(state) })
-			return known
+			p.loop.do(func() { applied = p.loop.subset.ring.Len() == 12-len(state) })
+			return applied
 		})
-		until(t, "it has three again, or one more where its part of the ring is no whole number", func() bool {
+		until(t, "the subset has three servers, or four where its part of the ring is not an integer", func() bool {
 			n := i.Status().Pools[0].Usable
 			return n == 3 || n == 4
 		})
-		next := ask()
+		next := serversUsed()
 		if slices.Contains(next, leaves) || len(next) < 3 || len(next) > 4 {
-			t.Errorf("step %d: it sends to %v without %s", step, next, leaves)
+			t.Errorf("step %d: requests went to %v, want 3 or 4 servers without %s", step, next, leaves)
 		}
 		mine = next
 	}
 }
 
-// A subset whose servers are all dead, though listed, grows until requests are served again.
-func TestSubsetOfTheDead(t *testing.T) {
-	s := fleet(t, 12)
+// A subset whose servers are all down but still listed grows until requests are served again.
+func TestSubsetGrowsWhenServersAreDown(t *testing.T) {
+	s := slowServers(t, 12)
 	i, _ := run(t, parse(t, inText, poolText("p", "copies = 4\nrank = 1\nsubset = 3\nsubset_spare = 0\nattempts = 4", s...), routeText("r", "/", "p", "read", "")))
-	flood(t, i.Addresses()["in"], 60)
+	sendConcurrently(t, i.Addresses()["in"], 60)
 	c := connect(t, i.Addresses()["in"])
 	for _, one := range s {
 		if n, _, _, _ := one.Counts(); n > 0 {
@@ -178,20 +180,20 @@
 	})
 }
 
-// Whatever the list says, in whatever steps: the module knows just the subset of what is ready, and what drains of what it had.
-func TestNarrowedLists(t *testing.T) {
+// After any sequence of lists, the decision module has the subset of the ready servers, and of its earlier servers those that drain.
+func TestSelectTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newServerSubset(&operator.Pool{Copies: 3, Rank: 1, Subset: rapid.IntRange(1, 6).Draw(t, "size")})
 		module, list := map[string]string{}, map[string]string{} // state by uid
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			var l List
-			whole := rapid.IntRange(0, 5).Draw(t, "whole") == 0
-			if whole {
+			full := rapid.IntRange(0, 5).Draw(t, "full") == 0
+			if full {
 				clear(list)
 			}
 			for range rapid.IntRange(0, 6).Draw(t, "lines") {
 				uid, state := fmt.Sprint(rapid.IntRange(0, 15).Draw(t, "uid")), rapid.SampledFrom([]string{"Ready", "Ready", "Terminating", "Gone"}).Draw(t, "state")
-				if slices.ContainsFunc(l.Targets, func(t Target) bool { return t.UID == uid }) || whole && state == "Gone" {
+				if slices.ContainsFunc(l.Targets, func(t Target) bool { return t.UID == uid }) || full && state == "Gone" {
 					continue
 				}
 				l.Targets = append(l.Targets, Target{UID: uid, State: state})
@@ -199,11 +201,11 @@
 					delete(list, uid)
 				}
 			}
-			had := maps.Clone(module)
-			if whole {
+			before := maps.Clone(module)
+			if full {
 				clear(module)
 			}
-			for _, one := range p.selectTargets(l, whole).Targets {
+			for _, one := range p.selectTargets(l, full).Targets {
 				if module[one.UID] = one.State; serverStates[one.State] == balancer.Removed {
 					delete(module, one.UID)
 				}
@@ -219,12 +221,12 @@
 				want[uid] = "Ready"
 			}
 			for uid, state := range list {
-				if state != "Ready" && had[uid] != "" {
+				if state != "Ready" && before[uid] != "" {
 					want[uid] = state
 				}
 			}
 			if !maps.Equal(module, want) {
-				t.Fatalf("the module knows %v, want %v of %v", module, want, list)
+				t.Fatalf("the module has %v, want %v of %v", module, want, list)
 			}
 		}
 	})
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -14,34 +14,35 @@
 	"milletmast/internal/freeport"
 )
 
-// running is a sidecar whose Run can be waited for.
-type running struct {
+// sidecarProcess is a sidecar whose Run is executed in a goroutine; ended receives its result.
+type sidecarProcess struct {
 	*Sidecar
 	stop  context.CancelFunc
 	ended chan error
 }
 
-func play(t *testing.T, cfg Config) *running {
+// startProcess runs a sidecar until its stop or the end of the test.
+func startProcess(t *testing.T, cfg Config) *sidecarProcess {
 	t.Helper()
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.discoveryTimeout = 50 * time.Millisecond // its discovery answers nothing
+	s.discoveryTimeout = 50 * time.Millisecond // its discovery never responds
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{s, cancel, make(chan error, 1)}
-	go func() { r.ended <- s.Run(ctx) }()
+	p := &sidecarProcess{s, cancel, make(chan error, 1)}
+	go func() { p.ended <- s.Run(ctx) }()
 	t.Cleanup(cancel)
-	return r
+	return p
 }
 
-// asking has callers ask one request after the other, some on kept connections and some on new ones, until stop; it counts
-// those that were served and tells of each that was neither served nor refused.
-func asking(t *testing.T, addr string, callers int) (served *atomic.Int64, stop func()) {
+// runClients starts clients that send one request after the other until stop, every other client on a new connection each time. It
+// counts the requests that were served, and fails the test for each that was neither served nor rejected.
+func runClients(t *testing.T, addr string, clients int) (served *atomic.Int64, stop func()) {
 	served = &atomic.Int64{}
 	done := make(chan struct{})
 	var all sync.WaitGroup
-	for i := range callers {
+	for i := range clients {
 		all.Go(func() {
 			var c net.Conn
 			var r *bufio.Reader
@@ -68,10 +69,10 @@
 				switch {
 				case err == nil && res.StatusCode == 200:
 					served.Add(1)
-				case err == nil && res.StatusCode == 503: // a module that has measured nothing yet may refuse: that is an answer
+				case err == nil && res.StatusCode == 503: // a decision module without measurements may reject a request
 					time.Sleep(time.Millisecond)
 				default:
-					t.Errorf("request %d of caller %d: %v, %v", n, i, res, err)
+					t.Errorf("request %d of client %d: %v, %v", n, i, res, err)
 					return
 				}
 				res.Body.Close()
@@ -85,40 +86,41 @@
 	return served, func() { close(done); all.Wait() }
 }
 
-// An upgrade under load: every request has its answer, what operators held out stays out, and the old process ends by itself.
+// In an upgrade under load every request gets a response, held endpoints stay held, and the old process completes its requests and
+// ends when it is stopped.
 func TestUpgrade(t *testing.T) {
-	one, ones := echoing(t)
-	two, _ := echoing(t)
-	cfg := operated(t, one, two)
+	addr1, requests1 := echoEndpoint(t)
+	addr2, _ := echoEndpoint(t)
+	cfg := adminConfig(t, addr1, addr2)
 	cfg.Listen = freeport.AddressForTest(t)
-	old := play(t, cfg)
-	eventually(t, "ready", old.Ready)
+	old := startProcess(t, cfg)
+	eventually(t, "the process is ready", old.Ready)
 	if err := old.Hold(t.Context(), "s-0"); err != nil {
 		t.Fatal(err)
 	}
-	served, stop := asking(t, cfg.Listen, 4)
-	for range 3 { // one upgrade after the other: the places at the address change hands
-		before := ones.Load()
-		next := play(t, cfg)
+	served, stop := runClients(t, cfg.Listen, 4)
+	for range 3 { // consecutive upgrades, in which the listener slots of the address are taken over
+		before := requests1.Load()
+		next := startProcess(t, cfg)
 		eventually(t, "the new process is ready", next.Ready)
-		eventually(t, "the old process knows", old.replaced.Load)
-		eventually(t, "the new process knows what is held out", func() bool { return next.Stats().Held == 1 })
-		sofar := served.Load()
-		eventually(t, "requests go on", func() bool { return served.Load() > sofar+50 })
+		eventually(t, "the old process has been replaced", old.replaced.Load)
+		eventually(t, "the new process has read which endpoint is held", func() bool { return next.Stats().Held == 1 })
+		servedBefore := served.Load()
+		eventually(t, "requests go on", func() bool { return served.Load() > servedBefore+50 })
 		old.stop()
 		if err := <-old.ended; err != nil {
 			t.Errorf("the old process: %v", err)
 		}
-		sofar = served.Load()
-		eventually(t, "requests go on", func() bool { return served.Load() > sofar+50 })
-		if n := ones.Load(); n != before {
-			t.Errorf("%d requests went to an endpoint that is held out", n-before)
+		servedBefore = served.Load()
+		eventually(t, "requests go on", func() bool { return served.Load() > servedBefore+50 })
+		if n := requests1.Load(); n != before {
+			t.Errorf("%d requests went to the held endpoint", n-before)
 		}
-		eventually(t, "the limits are whole again", func() bool {
-			callers, _ := next.descriptors(fullShare)
+		eventually(t, "the new process has the full limits", func() bool {
+			clients, _ := next.descriptors(fullShare)
 			next.frontend.clients.mu.Lock()
 			defer next.frontend.clients.mu.Unlock()
-			return next.frontend.clients.maxConns == callers
+			return next.frontend.clients.maxConns == clients
 		})
 		old = next
 	}
@@ -130,48 +132,49 @@
 	}
 }
 
-// A call to either process counts for both.
-func TestHeldOutByEither(t *testing.T) {
-	one, _ := echoing(t)
-	two, _ := echoing(t)
-	cfg := operated(t, one, two)
+// Hold and Release at either process apply to both.
+func TestHoldAppliesToBothProcesses(t *testing.T) {
+	addr1, _ := echoEndpoint(t)
+	addr2, _ := echoEndpoint(t)
+	cfg := adminConfig(t, addr1, addr2)
 	cfg.Listen = freeport.AddressForTest(t)
-	old := play(t, cfg)
-	eventually(t, "ready", old.Ready)
-	next := play(t, cfg)
-	eventually(t, "ready", next.Ready)
-	for _, c := range []struct{ here, there *running }{{old, next}, {next, old}} {
+	old := startProcess(t, cfg)
+	eventually(t, "the process is ready", old.Ready)
+	next := startProcess(t, cfg)
+	eventually(t, "the process is ready", next.Ready)
+	for _, c := range []struct{ here, there *sidecarProcess }{{old, next}, {next, old}} {
 		if err := c.here.Hold(t.Context(), "s-1"); err != nil {
 			t.Fatal(err)
 		}
-		begun := time.Now()
-		eventually(t, "the other process holds it out", func() bool { return c.there.Stats().Unavailable == 1 })
-		if took := time.Since(begun); took > 400*time.Millisecond {
-			t.Errorf("the other process holds it out after %v", took)
+		start := time.Now()
+		eventually(t, "the other process holds the endpoint", func() bool { return c.there.Stats().Unavailable == 1 })
+		if took := time.Since(start); took > 400*time.Millisecond {
+			t.Errorf("the other process holds the endpoint after %v, want at most 400ms", took)
 		}
 		if err := c.there.Release(t.Context(), "s-1"); err != nil {
 			t.Fatal(err)
 		}
-		eventually(t, "it is back", func() bool { return c.here.Stats().Unavailable == 0 })
+		eventually(t, "the endpoint is released", func() bool { return c.here.Stats().Unavailable == 0 })
 	}
 }
 
-// A new process that has no server to send to, or ends before it is told to serve, takes nothing over.
-func TestUpgradeThatFails(t *testing.T) {
-	one, _ := echoing(t)
-	cfg := operated(t, one)
+// A new process without usable servers does not take over, and if a new process ends before the old one is stopped, the old one
+// serves all connections again.
+func TestFailedUpgrade(t *testing.T) {
+	addr1, _ := echoEndpoint(t)
+	cfg := adminConfig(t, addr1)
 	cfg.Listen = freeport.AddressForTest(t)
-	old := play(t, cfg)
-	eventually(t, "ready", old.Ready)
-	served, stop := asking(t, cfg.Listen, 2)
+	old := startProcess(t, cfg)
+	eventually(t, "the process is ready", old.Ready)
+	served, stop := runClients(t, cfg.Listen, 2)
 	empty := cfg
 	empty.InitialList = List{}
-	failing := play(t, empty)
-	eventually(t, "the old process makes room", func() bool {
-		most, _ := old.descriptors(servingShare)
+	failing := startProcess(t, empty)
+	eventually(t, "the old process reduces its limits", func() bool {
+		limit, _ := old.descriptors(servingShare)
 		old.frontend.clients.mu.Lock()
 		defer old.frontend.clients.mu.Unlock()
-		return old.frontend.clients.maxConns == most
+		return old.frontend.clients.maxConns == limit
 	})
 	if failing.Ready() || old.replaced.Load() {
 		t.Error("a process without servers serves")
@@ -180,19 +183,19 @@
 	if err := <-failing.ended; err != nil {
 		t.Error(err)
 	}
-	dies := play(t, cfg) // serves, and dies before the old one is told to end
-	eventually(t, "ready", dies.Ready)
-	eventually(t, "the old process knows", old.replaced.Load)
-	sofar := served.Load()
-	eventually(t, "requests go on", func() bool { return served.Load() > sofar+50 })
-	stop() // what is queued at a process that dies is lost, whatever the other does
-	dies.frontend.acceptTime = 0
-	dies.stop()
-	if err := <-dies.ended; err != nil {
+	shortLived := startProcess(t, cfg) // takes over, and ends before the old process is stopped
+	eventually(t, "the process is ready", shortLived.Ready)
+	eventually(t, "the old process has been replaced", old.replaced.Load)
+	servedBefore := served.Load()
+	eventually(t, "requests go on", func() bool { return served.Load() > servedBefore+50 })
+	stop() // connections that are queued at a process that ends are lost in any case
+	shortLived.frontend.acceptTime = 0
+	shortLived.stop()
+	if err := <-shortLived.ended; err != nil {
 		t.Error(err)
 	}
 	eventually(t, "the old process serves alone", func() bool { return !old.replaced.Load() && old.Ready() })
-	served, stop = asking(t, cfg.Listen, 2)
+	served, stop = runClients(t, cfg.Listen, 2)
 	eventually(t, "requests are served", func() bool { return served.Load() > 50 })
 	stop()
 }
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -13,9 +13,9 @@
 	"milletmast/balancer"
 )
 
-const long = 10 * time.Second // no test that passes waits for so long
+const long = 10 * time.Second // timeout of waits; a test that passes never reaches it
 
-// listen opens a loopback listener that ends with the test.
+// listen opens a loopback listener that is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,7 +26,8 @@
 	return ln
 }
 
-// script serves every connection with f, which gets the requests one by one; it is closed when f says so.
+// script starts a server that calls f for each request with the number of its connection, and closes the connection when f returns
+// false.
 func script(t *testing.T, f func(n int, c net.Conn, req *http.Request) (more bool)) net.Listener {
 	t.Helper()
 	ln := listen(t)
@@ -55,6 +56,7 @@
 	return ln
 }
 
+// get returns a GET request.
 func get() *httpRequest {
 	return &httpRequest{
 		start:  "GET /browse/x?q=%20 HTTP/1.1\r\nHost: backend.local\r\n",
@@ -62,77 +64,78 @@
 	}
 }
 
-// attemptOn carries out one attempt on the server 1 of u.
+// attemptOn makes one attempt at server 1 of u.
 func attemptOn(u *upstream, wait time.Duration) (balancer.Outcome, *response) {
 	a := newAttempt(time.Time{})
-	a.onStreaming = func(got *response) { // its caller takes all of what streams
+	a.onStreaming = func(r *response) { // reads a streamed body to its end
 		go func() {
-			_, err := io.Copy(io.Discard, got.stream)
-			got.stream.done <- err
+			_, err := io.Copy(io.Discard, r.stream)
+			r.stream.done <- err
 		}()
 	}
 	return get().send(u, a, u.endpointOf(1), time.Now().Add(wait))
 }
 
-func pooled(addr string, most int) *upstream {
-	u := newUpstream(balancer.Limits{}, 0, most)
+// pooled returns an upstream with the server 1 at an address.
+func pooled(addr string, maxConns int) *upstream {
+	u := newUpstream(balancer.Limits{}, 0, maxConns)
 	u.setEndpoint(1, addr, 0, balancer.Ready)
 	return u
 }
 
-// What an endpoint does must reach the module as the outcome that says truly whether the request can have run:
-// the module sends again and refuses by it.
+// Each behavior of an endpoint must be reported to the decision module as an outcome that says correctly whether the request may have
+// been executed, because the module decides on retries and rejections by it.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		does string // what is written before the connection ends
-		want balancer.Outcome
+		name     string
+		response string // written before the connection is closed
+		want     balancer.Outcome
 	}{
 		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.OK},
 		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.Error},
-		{"turned away", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.NotExecuted},
-		{"over already", "HTTP/1.1 504 G\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.NotExecuted},
-		{"503 that does not say so", "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n", balancer.Error},
-		{"500 is no turning away", "HTTP/1.1 500 E\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Error},
-		{"the request's own fault", "HTTP/1.1 400 B\r\nContent-Length: 0\r\n\r\n", balancer.Canceled},
-		{"closed unanswered", "", balancer.Reset},
-		{"cut in the header", "HTTP/1.1 200 OK\r\nContent-", balancer.Reset},
-		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi", balancer.Reset},
-		{"cut in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", balancer.Reset},
+		{"rejected without execution", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.NotExecuted},
+		{"deadline passed without execution", "HTTP/1.1 504 G\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.NotExecuted},
+		{"503 without X-Not-Run", "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n", balancer.Error},
+		{"500 with X-Not-Run", "HTTP/1.1 500 E\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Error},
+		{"client error", "HTTP/1.1 400 B\r\nContent-Length: 0\r\n\r\n", balancer.Canceled},
+		{"closed without a response", "", balancer.Reset},
+		{"truncated in the header", "HTTP/1.1 200 OK\r\nContent-", balancer.Reset},
+		{"truncated in the body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi", balancer.Reset},
+		{"truncated between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", balancer.Reset},
 		{"body over the limit", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nxyz", maxPlatformBody+1), balancer.Reset},
-		{"long body that is cut", "HTTP/1.1 200 OK\r\nContent-Length: 65538\r\n\r\n" + strings.Repeat("x", maxBufferedBody+1), balancer.Reset},
-		{"long body that does not begin", "HTTP/1.1 200 OK\r\nContent-Length: 65538\r\n\r\n", balancer.Reset},
-		{"body without end", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxyz", balancer.Reset},
-		{"long chunks that are cut", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", maxBufferedBody+1), balancer.Reset},
+		{"truncated long body", "HTTP/1.1 200 OK\r\nContent-Length: 65538\r\n\r\n" + strings.Repeat("x", maxBufferedBody+1), balancer.Reset},
+		{"long body without a first byte", "HTTP/1.1 200 OK\r\nContent-Length: 65538\r\n\r\n", balancer.Reset},
+		{"length far over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxyz", balancer.Reset},
+		{"truncated long chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", maxBufferedBody+1), balancer.Reset},
 		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX-T: 1\r\n\r\n", balancer.OK},
-		{"no length", "HTTP/1.1 200 OK\r\n\r\nhi", balancer.Reset}, // it may have been cut off
-		{"ends with its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi", balancer.OK},
-		{"ends with its connection by its version", "HTTP/1.0 200 OK\r\n\r\nhi", balancer.OK},
+		{"no length", "HTTP/1.1 200 OK\r\n\r\nhi", balancer.Reset}, // the body may be truncated
+		{"body ends with the connection", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhi", balancer.OK},
+		{"body ends with the connection in HTTP/1.0", "HTTP/1.0 200 OK\r\n\r\nhi", balancer.OK},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nhi", balancer.Reset},
 		{"length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", balancer.Reset},
 		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi", balancer.Reset},
-		{"noise", "\x16\x03\x01\x00\n\n\n\n", balancer.Reset},
+		{"binary garbage", "\x16\x03\x01\x00\n\n\n\n", balancer.Reset},
 		{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nhi", balancer.Reset},
 		{"another protocol", "ICY 200 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.Reset},
-		{"a header that is none", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nhi", balancer.Reset},
-		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: p\r\n", maxHeadBytes), balancer.Reset},
-		{"spoilt, yet said not to have run", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 9\r\n\r\nhi", balancer.Reset},
-		{"interim answers ahead", "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: </a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.OK},
-		{"interim answers without end", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxInterim+1), balancer.Reset},
-		{"another copy behind", strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 2), balancer.OK},
+		{"header line without a colon", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nhi", balancer.Reset},
+		{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: p\r\n", maxHeadBytes), balancer.Reset},
+		{"truncated with X-Not-Run", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 9\r\n\r\nhi", balancer.Reset},
+		{"interim responses first", "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: </a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.OK},
+		{"endless interim responses", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxInterim+1), balancer.Reset},
+		{"followed by a second response", strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 2), balancer.OK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ln := script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-				_, _ = io.WriteString(conn, c.does)
+				_, _ = io.WriteString(conn, c.response)
 				return false
 			})
 			got, a := attemptOn(pooled(ln.Addr().String(), 4), long)
 			final := c.want == balancer.OK || c.want == balancer.Canceled
 			if got != c.want || (a != nil) != final {
-				t.Fatalf("outcome %v with answer %v, want %v", got, a, c.want)
+				t.Fatalf("outcome %v with response %v, want outcome %v", got, a, c.want)
 			}
 			if got == balancer.OK && string(a.body) != "hi" {
-				t.Errorf("body %q", a.body)
+				t.Errorf("body %q, want \"hi\"", a.body)
 			}
 		})
 	}
@@ -153,8 +156,8 @@
 	})
 }
 
-// http.Transport would send this request again by itself: a second attempt that nobody decided on.
-func TestBrokenConnectionIsNotSentAgain(t *testing.T) {
+// A request whose reused connection breaks is not retried below the decision module, as http.Transport would do.
+func TestBrokenConnectionIsNotRetried(t *testing.T) {
 	requests := make(chan int, 10)
 	ln := script(t, func(n int, c net.Conn, _ *http.Request) bool {
 		requests <- n
@@ -166,7 +169,7 @@
 	})
 	u := pooled(ln.Addr().String(), 4)
 	if got, _ := attemptOn(u, long); got != balancer.OK {
-		t.Fatalf("first outcome %v", got)
+		t.Fatalf("first outcome %v, want %v", got, balancer.OK)
 	}
 	if got, _ := attemptOn(u, long); got != balancer.Reset {
 		t.Errorf("second outcome %v, want a reset", got)
@@ -176,7 +179,7 @@
 	}
 }
 
-// An endpoint may close an idle connection at any time; a request written to it would count as a reset.
+// An endpoint may close an idle connection at any time. It must not be used, because a request written to it would count as a reset.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	kept, closed := make(chan struct{}), make(chan struct{})
 	ln := script(t, func(n int, c net.Conn, _ *http.Request) bool {
@@ -196,7 +199,7 @@
 	if len(idle) != 1 {
 		t.Fatalf("%d idle connections, want 1", len(idle))
 	}
-	for isOpen(idle[0].Conn) { // until the end of the stream has come over the loopback
+	for isOpen(idle[0].Conn) { // until the FIN has arrived over the loopback
 		time.Sleep(time.Millisecond)
 	}
 	if got, _ := attemptOn(u, long); got != balancer.OK {
@@ -207,8 +210,8 @@
 	}
 }
 
-// Once an attempt is called off its request has a final answer, and nothing may go out for it.
-func TestCalledOffBeforeWriting(t *testing.T) {
+// A canceled attempt belongs to a request that has its final response, so nothing may be written for it.
+func TestCanceledBeforeWriting(t *testing.T) {
 	requests := make(chan struct{}, 1)
 	ln := script(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
 	u := pooled(ln.Addr().String(), 4)
@@ -219,28 +222,28 @@
 	a := newAttempt(time.Time{})
 	a.abort()
 	if got, _, _ := u.sendHTTP1(a, c, get(), time.Now().Add(long)); got != balancer.Canceled {
-		t.Errorf("outcome %v", got)
+		t.Errorf("outcome %v, want %v", got, balancer.Canceled)
 	}
 	c.Close()
 	if len(requests) != 0 {
-		t.Error("the request went out")
+		t.Error("the request was sent")
 	}
 }
 
-// Calling an attempt off closes its connection, which is how an endpoint learns of it.
-func TestCalledOffWhileWaiting(t *testing.T) {
-	came, left := make(chan struct{}), make(chan struct{})
+// Canceling an attempt closes its connection, by which the endpoint notices the cancellation.
+func TestCanceledWhileWaiting(t *testing.T) {
+	received, left := make(chan struct{}), make(chan struct{})
 	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
-		close(came)
+		close(received)
 		_, _ = c.Read(make([]byte, 1))
 		close(left)
 		return false
 	})
 	u := pooled(ln.Addr().String(), 4)
 	a := newAttempt(time.Time{})
-	go func() { <-came; a.abort() }()
+	go func() { <-received; a.abort() }()
 	if got, _ := get().send(u, a, u.endpointOf(1), time.Now().Add(long)); got != balancer.Canceled {
-		t.Errorf("outcome %v", got)
+		t.Errorf("outcome %v, want %v", got, balancer.Canceled)
 	}
 	select {
 	case <-left:
@@ -249,26 +252,25 @@
 	}
 }
 
-// Between the decision and the first byte the sidecar may be told that the endpoint drains, and a dial or a stall
-// may outlast the grace: an attempt that is late stays in, and never ran.
-func TestLateAttemptStaysIn(t *testing.T) {
+// Between the decision on an attempt and its first byte, the endpoint may start to drain, and a dial or a stall may outlast the drain
+// grace. An attempt that is too late is not sent, and counts as not executed.
+func TestLateAttemptIsNotSent(t *testing.T) {
 	requests := make(chan struct{}, 1)
 	ln := script(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
 	u := pooled(ln.Addr().String(), 4)
 	a := newAttempt(time.Now().Add(-time.Millisecond))
 	if got, _ := get().send(u, a, u.endpointOf(1), time.Now().Add(long)); got != balancer.ConnectFailed {
-		t.Errorf("outcome %v", got)
+		t.Errorf("outcome %v, want %v", got, balancer.ConnectFailed)
 	}
 	if len(u.endpointOf(1).idle) != 1 {
-		t.Error("the connection, unused, was not kept")
+		t.Error("the unused connection was not kept idle")
 	}
 	if len(requests) != 0 {
-		t.Error("the request went out")
+		t.Error("the request was sent")
 	}
 }
 
-// At the descriptor limit idle connections give way, and only with none left does an attempt fail,
-// as one that never ran.
+// At the connection limit an idle connection is closed for a new one. Only if none is idle does an attempt fail, as not executed.
 func TestConnectionLimit(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
 	serve := func(n int, c net.Conn, req *http.Request) bool {
@@ -284,7 +286,7 @@
 	u.setEndpoint(2, second.Addr().String(), 0, balancer.Ready)
 	attemptOn(u, long)
 	if len(u.endpointOf(1).idle) != 1 {
-		t.Fatal("no idle connection to begin with")
+		t.Fatal("no idle connection after the first attempt")
 	}
 	done := make(chan balancer.Outcome)
 	go func() {
@@ -295,7 +297,7 @@
 	}()
 	<-held
 	if got, _ := attemptOn(u, long); got != balancer.ConnectFailed {
-		t.Errorf("outcome %v with no descriptor left", got)
+		t.Errorf("outcome %v at the connection limit", got)
 	}
 	close(hold)
 	if got := <-done; got != balancer.OK || u.openConns != 1 {
@@ -303,7 +305,7 @@
 	}
 }
 
-// Connections to a server that drains, moved or started anew are of its former life.
+// Idle connections to a server are closed when it drains, is removed, moves or restarts.
 func TestIdleConnectionsEndWithTheServer(t *testing.T) {
 	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -320,16 +322,16 @@
 		u := pooled(addr, 4)
 		attemptOn(u, long)
 		if u.openConns != 1 {
-			t.Fatalf("%s: %d connections to begin with", name, u.openConns)
+			t.Fatalf("%s: %d connections after the first attempt, want 1", name, u.openConns)
 		}
 		if change(u); u.openConns != 0 {
-			t.Errorf("%s: %d connections left", name, u.openConns)
+			t.Errorf("%s: %d connections left, want 0", name, u.openConns)
 		}
 	}
 }
 
-// An idle connection must be gone well before the endpoint's own limit, also where no request comes by.
-func TestIdleConnectionsAreRetired(t *testing.T) {
+// An idle connection must be closed well before the endpoint's own idle limit, even if there are no further requests.
+func TestIdleConnectionsExpire(t *testing.T) {
 	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
@@ -345,19 +347,19 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d connections left", open)
+			t.Fatalf("%d connections are still open, want 0", open)
 		}
 	}
 }
 
-// The time left is told to the endpoint, and the request goes on as it came.
-func TestRequestGoesOnUnchanged(t *testing.T) {
+// The request is forwarded unchanged except for X-Deadline, which gives the time left.
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	seen := make(chan string, 1)
 	ln := script(t, func(_ int, c net.Conn, r *http.Request) bool {
 		seen <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Host, " ", r.Header["X-Request-Id"], r.Header["User-Agent"])
 		left := r.Header.Get("X-Deadline")
 		if left <= "9.0" || left >= "9.9999" {
-			t.Errorf("X-Deadline %q of ten seconds", left)
+			t.Errorf("X-Deadline %q, want just under ten seconds", left)
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return false
