--- a/internal/h2/close.go
+++ b/internal/h2/close.go
@@ -41,7 +41,7 @@
 	c.closeIfIdle()
 }
 
-// closeIfIdle closes a connection that is shutting down once no stream is open. What is queued is written before.
+// closeIfIdle closes a connection that is shutting down once no stream is open. Queued frames are written first.
 func (c *Conn) closeIfIdle() {
 	if (c.drain == goAwayFinal || c.peerGoingAway) && c.openStreams == 0 && !c.closeWhenWritten {
 		c.closeWhenWritten = true
@@ -52,7 +52,7 @@
 // Close closes the connection at once.
 func (c *Conn) Close() { c.closeWith(ErrClosed) }
 
-// closeWith closes the connection with an error; its streams fail.
+// closeWith closes the connection with an error, with which its streams fail.
 func (c *Conn) closeWith(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,14 +80,14 @@
 	close(c.done)
 }
 
-// closeWithGoAway sends the peer a connection error, if that is possible soon, and closes the connection.
+// closeWithGoAway sends a connection error to the peer, if it can be written within goAwayTimeout, and closes the connection.
 func (c *Conn) closeWithGoAway(violation *connError) {
 	var frame bytes.Buffer
 	err := http2.NewFramer(&frame, nil).WriteGoAway(c.lastPeerStreamID, violation.code, []byte(violation.reason))
 	if err == nil {
 		err = c.net.SetWriteDeadline(time.Now().Add(goAwayTimeout))
 	}
-	c.goAwayWriter.Go(func() { // another write may be in progress; the deadline ends both
+	c.goAwayWriter.Go(func() { // another write may be in progress: the deadline ends both writes
 		defer c.net.Close()
 		if err == nil {
 			_, _ = c.net.Write(frame.Bytes()) // best effort: the connection has failed
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -18,9 +18,9 @@
 	net     net.Conn
 	cfg     Config
 	reader  *bufio.Reader
-	framer  *http2.Framer  // of the reading goroutine
-	decoder *hpack.Decoder // likewise
-	updated []*Stream      // likewise: streams with new data, whose readers wake up once a batch of frames has been handled
+	framer  *http2.Framer  // used by the reading goroutine only
+	decoder *hpack.Decoder // used by the reading goroutine only
+	updated []*Stream      // used by the reading goroutine only: streams with new data; readers wake up after a batch of frames
 
 	settingsReceived chan struct{} // closed when the peer's settings have been received
 	wake             chan struct{} // signals the writer
@@ -28,29 +28,29 @@
 
 	mu                  sync.Mutex
 	streams             map[uint32]*Stream
-	waiting             []*Stream // of a client: streams whose header list has not been framed
-	openStreams         int       // including those that wait to be framed
+	waiting             []*Stream // client only: streams whose header list has not been framed
+	openStreams         int       // including those in waiting
 	lastPeerStreamID    uint32    // the highest stream that the peer has opened
-	nextID              uint32    // of a client
+	nextID              uint32    // client only: ID of the next stream
 	peerInitialWindow   int64     // flow control window of a new stream
 	peerMaxFrameSize    int
 	peerMaxStreams      uint32
-	peerHeaderTableSize uint32 // of the compression of our headers
+	peerHeaderTableSize uint32 // dynamic table size that the peer allows for our header compression
 	headerTableChanged  bool
 	sendWindow          int64 // bytes that we may send
 	recvWindow          int64 // bytes that the peer may send
 	unsentCredit        int   // bytes consumed for which no WINDOW_UPDATE has been sent
 	control             []func(*http2.Framer) error
 	writable            []*Stream
-	blocked             []*Stream // that wait for the window of the connection
+	blocked             []*Stream // streams that wait for the window of the connection
 	budget              budget
 	drain               drainState // progress of our GOAWAY
 	peerGoingAway       bool       // the peer has sent GOAWAY
-	err                 error      // why it ended
-	closeWhenWritten    bool       // the connection ends once all that is queued has been written
+	err                 error      // why the connection ended
+	closeWhenWritten    bool       // the connection ends once all queued frames have been written
 	goAwayWriter        sync.WaitGroup
 	lastReceived        time.Time
-	pingSentAt          time.Time // of the PING without a response; zero for none
+	pingSentAt          time.Time // when the PING without a response was sent; zero for none
 	keepalive           *time.Timer
 }
 
@@ -63,7 +63,8 @@
 	goAwayFinal                // a GOAWAY with the last stream ID has been sent: later streams are ignored
 )
 
-// New returns a connection on nc, from which reader may have read already; it may be nil. Run sends the settings.
+// New returns a connection on nc. If bytes of nc have been buffered already, reader holds them; otherwise it may be nil. Run sends
+// the settings.
 func New(nc net.Conn, reader *bufio.Reader, cfg Config) *Conn {
 	cfg.setDefaults()
 	if reader == nil {
@@ -83,7 +84,7 @@
 	return c
 }
 
-// ErrPreface is a peer that does not speak HTTP/2.
+// ErrPreface means that the peer does not speak HTTP/2.
 var ErrPreface = errors.New("h2: the peer does not speak HTTP/2")
 
 // Run serves the connection until it ends, and returns why; nil for a graceful end.
@@ -114,8 +115,8 @@
 }
 
 const (
-	goAwayTimeout = 10 * time.Millisecond  // for the GOAWAY of a connection error
-	lingerTime    = 500 * time.Millisecond // from our last byte until the peer has to close
+	goAwayTimeout = 10 * time.Millisecond  // to write the GOAWAY of a connection error
+	lingerTime    = 500 * time.Millisecond // for the peer to close the connection after our last byte
 )
 
 var errDrained = errors.New("h2: all streams have ended")
@@ -176,8 +177,8 @@
 	return c.openStreams
 }
 
-// OpenStream opens a stream of a client with a header list and first bytes of DATA, which are not modified. End says that
-// nothing follows. The header list is not sent after startBy (zero for any time): then the stream fails with ErrStartTimeout.
+// OpenStream opens a stream of a client with a header list and first bytes of DATA, which are not modified. If end is
+// set, nothing follows. If the header list cannot be sent by startBy (zero for no limit), the stream fails with ErrStartTimeout.
 func (c *Conn) OpenStream(head []Field, body [][]byte, end bool, startBy time.Time) (*Stream, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,7 +196,7 @@
 			s.outBytes += len(chunk)
 		}
 	}
-	s.outHeaders = []headerBlock{{head, false}} // the end is sent in DATA even if there is none, as gRPC asks (its "EOS")
+	s.outHeaders = []headerBlock{{head, false}} // the end is sent in DATA even if there is none, as gRPC requires (its "EOS")
 	s.endQueued = end
 	c.openStreams++
 	c.waiting = append(c.waiting, s)
--- a/internal/h2/fields.go
+++ b/internal/h2/fields.go
@@ -7,7 +7,7 @@
 	"golang.org/x/net/http2"
 )
 
-// areFieldsValid checks a header list as RFC 9113, sections 8.2 and 8.3, ask: names in lower case, pseudo-header fields first
+// areFieldsValid checks a header list by RFC 9113, sections 8.2 and 8.3: names in lower case, pseudo-header fields first
 // and known, and no connection-specific field. A list that fails makes its message malformed.
 func areFieldsValid(fields []Field, request, trailers bool) bool {
 	regular := false
@@ -105,8 +105,8 @@
 	return ""
 }
 
-// readHeaderBlock reads a header block to its end (RFC 9113, section 4.3) and decodes it. The list is nil if it is malformed or
-// too long, which is an error of its stream only. The state of the compression is updated in any case.
+// readHeaderBlock reads a header block to its end (RFC 9113, section 4.3) and decodes it. The list is nil if it is longer than
+// MaxHeaderListSize, which is an error of its stream only. The dynamic table of the compression is updated in any case.
 func (c *Conn) readHeaderBlock(f *http2.HeadersFrame) (fields []Field, err error) {
 	size, valid := uint32(0), true
 	c.decoder.SetEmitFunc(func(f Field) {
@@ -117,7 +117,7 @@
 		fields = append(fields, f)
 	})
 	part, ended := f.HeaderBlockFragment(), f.HeadersEnded()
-	// A compressed list is shorter than its size as it is counted: a block of twice the limit is not read further.
+	// An encoded list is shorter than its size by RFC 9113, section 6.5.2: a block over twice the limit is not read further.
 	for total, n := len(part), 0; ; n++ {
 		if total > 2*int(c.cfg.MaxHeaderListSize) || n > maxContinuationFrames {
 			return nil, newConnError(http2.ErrCodeEnhanceYourCalm, "the header block does not end")
@@ -128,11 +128,11 @@
 		if ended {
 			break
 		}
-		next, err := c.framer.ReadFrame()
+		nextFrame, err := c.framer.ReadFrame()
 		if err != nil {
 			return nil, err
 		}
-		more, ok := next.(*http2.ContinuationFrame) // the Framer ensures it
+		more, ok := nextFrame.(*http2.ContinuationFrame) // ensured by the Framer
 		if !ok {
 			return nil, newConnError(http2.ErrCodeProtocol, "a header block was interrupted")
 		}
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -22,15 +22,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-func patient(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// testContext returns a context that ends after testTimeout.
+func testContext(t testing.TB) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// pair gives two ends of a loopback connection.
+// pair returns the two ends of a loopback connection.
 func pair(t testing.TB) (a, b net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,8 +50,8 @@
 	return a, b
 }
 
-// run runs a connection until the test ends, and gives a place for why it ended.
-func run(t testing.TB, c *h2.Conn) <-chan error {
+// runConn runs a connection until the test ends. The channel receives the result of Run.
+func runConn(t testing.TB, c *h2.Conn) <-chan error {
 	ended := make(chan error, 1)
 	var running sync.WaitGroup
 	running.Go(func() { ended <- c.Run() })
@@ -61,38 +62,38 @@
 	return ended
 }
 
-// server runs a connection as a server, against a peer that speaks frame by frame.
-func server(t testing.TB, cfg h2.Config) (c *h2.Conn, peer *fakeserver.FrameConn, ended <-chan error) {
+// startServer runs a connection as a server. The peer sends and receives single frames.
+func startServer(t testing.TB, cfg h2.Config) (c *h2.Conn, peer *fakeserver.FrameConn, ended <-chan error) {
 	t.Helper()
 	a, b := pair(t)
 	c = h2.New(a, nil, cfg)
-	ended = run(t, c)
+	ended = runConn(t, c)
 	peer = fakeserver.NewFrameConn(b)
 	_, _ = io.WriteString(b, http2.ClientPreface)
 	_ = peer.WriteSettings()
 	return c, peer, ended
 }
 
-// client runs a connection as a client, against a server that speaks frame by frame and has greeted.
-func client(t testing.TB, cfg h2.Config, settings ...http2.Setting) (c *h2.Conn, peer *fakeserver.FrameConn, ended <-chan error) {
+// startClient runs a connection as a client and completes the handshake. The peer sends and receives single frames.
+func startClient(t testing.TB, cfg h2.Config, settings ...http2.Setting) (c *h2.Conn, peer *fakeserver.FrameConn, ended <-chan error) {
 	t.Helper()
 	a, b := pair(t)
 	cfg.Client = true
 	c = h2.New(a, nil, cfg)
-	ended = run(t, c)
+	ended = runConn(t, c)
 	peer = fakeserver.NewFrameConn(b)
 	if err := peer.ServerHandshake(settings...); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.WaitSettings(patient(t)); err != nil {
+	if err := c.WaitSettings(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
 	return c, peer, ended
 }
 
-// echo answers each stream with what it was sent.
+// echo returns a handler that sends the DATA of each stream back, and trailers.
 func echo(t testing.TB, calls *sync.WaitGroup) func(*h2.Stream, []h2.Field, bool) bool {
-	ctx := patient(t)
+	ctx := testContext(t)
 	return func(s *h2.Stream, head []h2.Field, ended bool) bool {
 		calls.Go(func() {
 			_ = s.SendHeader([]h2.Field{{Name: ":status", Value: "200"}}, false)
@@ -113,22 +114,22 @@
 
 var head = []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/a.B/C"}, {Name: ":authority", Value: "x"}}
 
-func TestBothSidesCarryWhatWasSent(t *testing.T) {
+func TestEchoRoundTrips(t *testing.T) {
 	a, b := pair(t)
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	srv := h2.New(a, nil, h2.Config{OnStream: echo(t, &calls)})
-	run(t, srv)
+	runConn(t, srv)
 	cl := h2.New(b, nil, h2.Config{Client: true})
-	run(t, cl)
-	ctx := patient(t)
+	runConn(t, cl)
+	ctx := testContext(t)
 	if err := cl.WaitSettings(ctx); err != nil {
 		t.Fatal(err)
 	}
 	var all sync.WaitGroup
 	for n := range 50 {
 		all.Go(func() {
-			want := bytes.Repeat([]byte{byte(n)}, 1+n*9001) // many windows
+			want := bytes.Repeat([]byte{byte(n)}, 1+n*9001) // larger than the windows
 			s, err := cl.OpenStream(append(head, h2.Field{Name: "x-long", Value: strings.Repeat("v", n*100)}), [][]byte{want[:1]}, false, time.Time{})
 			if err != nil {
 				t.Error(err)
@@ -172,43 +173,44 @@
 	}
 }
 
-// TestWhatIsCertain plays each way in which a stream can end before its answer, and asks what it says of the request.
-func TestWhatIsCertain(t *testing.T) {
+// TestProgressOfFailedStreams checks, for each way in which a stream can fail before its response, the error and whether the
+// start and the end of the request count as sent. A request could be executed twice if either were wrong.
+func TestProgressOfFailedStreams(t *testing.T) {
 	window := http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0}
 	for _, c := range []struct {
-		name         string
-		settings     []http2.Setting
-		play         func(p *fakeserver.FrameConn)
-		err          error
-		began, whole bool
+		name           string
+		settings       []http2.Setting
+		act            func(p *fakeserver.FrameConn)
+		err            error
+		started, ended bool
 	}{
 		{"refused", nil, func(p *fakeserver.FrameConn) { _ = p.WriteRSTStream(1, http2.ErrCodeRefusedStream) }, h2.ErrRefused, true, true},
-		{"GOAWAY below", nil, func(p *fakeserver.FrameConn) { _ = p.WriteGoAway(0, http2.ErrCodeNo, nil) }, h2.ErrGoAway, true, true},
+		{"GOAWAY with a lower stream ID", nil, func(p *fakeserver.FrameConn) { _ = p.WriteGoAway(0, http2.ErrCodeNo, nil) }, h2.ErrGoAway, true, true},
 		{"GOAWAY between HEADERS and DATA", []http2.Setting{window}, func(p *fakeserver.FrameConn) { _ = p.WriteGoAway(0, http2.ErrCodeNo, nil) }, h2.ErrGoAway, true, false},
-		{"GOAWAY that has taken it, then closed", nil, func(p *fakeserver.FrameConn) { _ = p.WriteGoAway(1, http2.ErrCodeNo, nil); _ = p.Close() }, h2.ErrClosed, true, true},
+		{"GOAWAY that includes the stream, then closed", nil, func(p *fakeserver.FrameConn) { _ = p.WriteGoAway(1, http2.ErrCodeNo, nil); _ = p.Close() }, h2.ErrClosed, true, true},
 		{"closed", nil, func(p *fakeserver.FrameConn) { p.Close() }, h2.ErrClosed, true, true},
-		{"closed before the end went out", []http2.Setting{window}, func(p *fakeserver.FrameConn) { p.Close() }, h2.ErrClosed, true, false},
-		{"reset NO_ERROR before the end went out", []http2.Setting{window}, func(p *fakeserver.FrameConn) { _ = p.WriteRSTStream(1, http2.ErrCodeNo) }, nil, true, false},
+		{"closed before the end was sent", []http2.Setting{window}, func(p *fakeserver.FrameConn) { p.Close() }, h2.ErrClosed, true, false},
+		{"reset with NO_ERROR before the end was sent", []http2.Setting{window}, func(p *fakeserver.FrameConn) { _ = p.WriteRSTStream(1, http2.ErrCodeNo) }, nil, true, false},
 		{"reset", nil, func(p *fakeserver.FrameConn) { _ = p.WriteRSTStream(1, http2.ErrCodeInternal) }, nil, true, true},
-		{"refused behind a head", nil, func(p *fakeserver.FrameConn) {
+		{"refused after a header list", nil, func(p *fakeserver.FrameConn) {
 			_ = p.SendHeaders(1, false, ":status", "200")
 			_ = p.WriteRSTStream(1, http2.ErrCodeRefusedStream)
 		}, nil, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			cl, peer, _ := client(t, h2.Config{}, c.settings...)
+			cl, peer, _ := startClient(t, h2.Config{}, c.settings...)
 			s, err := cl.OpenStream(head, [][]byte{[]byte("body")}, true, time.Time{})
 			if err != nil {
 				t.Fatal(err)
 			}
-			wants := func(f fakeserver.Frame) bool {
+			requestSent := func(f fakeserver.Frame) bool {
 				return f.Stream == 1 && (f.EndStream || f.Type == http2.FrameHeaders && c.settings != nil)
 			}
-			if _, err := peer.ReadUntil(patience, wants); err != nil {
+			if _, err := peer.ReadUntil(testTimeout, requestSent); err != nil {
 				t.Fatal(err)
 			}
-			c.play(peer)
-			ctx := patient(t)
+			c.act(peer)
+			ctx := testContext(t)
 			for err == nil {
 				_, _, err = s.RecvHeader(ctx)
 			}
@@ -217,74 +219,75 @@
 				t.Errorf("the stream ended with %v", err)
 			}
 			s.Reset(http2.ErrCodeCancel)
-			if began, whole := s.Progress(); began != c.began || whole != c.whole {
-				t.Errorf("began %v, whole %v", began, whole)
+			if started, ended := s.Progress(); started != c.started || ended != c.ended {
+				t.Errorf("started %v, ended %v; want %v, %v", started, ended, c.started, c.ended)
 			}
 			if cl.OpenStreams() != 0 {
-				t.Errorf("%d streams are counted", cl.OpenStreams())
+				t.Errorf("%d streams are open", cl.OpenStreams())
 			}
 		})
 	}
 }
 
-func TestNothingGoesOutTooLateOrAfterReset(t *testing.T) {
-	cl, peer, _ := client(t, h2.Config{})
+func TestNothingIsSentAfterStartByOrReset(t *testing.T) {
+	cl, peer, _ := startClient(t, h2.Config{})
 	late, err := cl.OpenStream(head, nil, true, time.Now().Add(-time.Millisecond))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := late.RecvHeader(patient(t)); !errors.Is(err, h2.ErrStartTimeout) {
+	if _, _, err := late.RecvHeader(testContext(t)); !errors.Is(err, h2.ErrStartTimeout) {
 		t.Error(err)
 	}
-	if began, _ := late.Progress(); began {
-		t.Error("a byte of it may have gone out")
+	if started, _ := late.Progress(); started {
+		t.Error("a byte of the late stream may have been sent")
 	}
 	s, err := cl.OpenStream(head, [][]byte{[]byte("x")}, false, time.Time{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return len(f.Data) > 0 }); err != nil {
+	if _, err := peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool { return len(f.Data) > 0 }); err != nil {
 		t.Fatal(err)
 	}
 	s.Reset(http2.ErrCodeCancel)
-	if err := s.Send(patient(t), []byte("y")); err == nil {
-		t.Error("something could be sent behind the reset")
+	if err := s.Send(testContext(t), []byte("y")); err == nil {
+		t.Error("Send succeeded after the reset")
 	}
 	next, err := cl.OpenStream(head, nil, true, time.Time{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	all, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Type == http2.FrameHeaders })
+	all, err := peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool { return f.Type == http2.FrameHeaders })
 	if err != nil {
 		t.Fatal(err)
 	}
 	resets := 0
 	for _, f := range all {
 		if f.Type == http2.FrameData {
-			t.Error("DATA behind the reset")
+			t.Error("DATA after the reset")
 		}
 		if f.Type == http2.FrameRSTStream {
 			resets++
 		}
 	}
-	if f := all[len(all)-1]; f.Stream != 3 || resets != 1 { // the late one had no number
-		t.Errorf("stream %d behind %d resets", f.Stream, resets)
+	if f := all[len(all)-1]; f.Stream != 3 || resets != 1 { // the late stream used no ID
+		t.Errorf("stream %d after %d resets", f.Stream, resets)
 	}
 	next.Reset(http2.ErrCodeCancel)
 }
 
-// TestHalfAFrameHoldsUpNobody sends an answer and, in the same write, the beginning of a frame whose rest does not come.
-func TestHalfAFrameHoldsUpNobody(t *testing.T) {
+// TestPartialFrameDelaysNoResponse sends a response and, in the same write, the start of a frame whose rest never arrives. The
+// reader of the response must be notified without waiting for the rest.
+func TestPartialFrameDelaysNoResponse(t *testing.T) {
 	for _, rest := range []string{"\x00", "\x00\x00\x08\x00\x00\x00\x00\x00\x03abc", "\x00\x00\x01\x01\x00\x00\x00\x00\x03\x88"} {
-		cl, peer, _ := client(t, h2.Config{})
-		one, err := cl.OpenStream(head, nil, true, time.Time{})
+		cl, peer, _ := startClient(t, h2.Config{})
+		first, err := cl.OpenStream(head, nil, true, time.Time{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := cl.OpenStream(head, nil, true, time.Time{}); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Stream == 3 && f.EndStream }); err != nil {
+		if _, err := peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool { return f.Stream == 3 && f.EndStream }); err != nil {
 			t.Fatal(err)
 		}
 		var text bytes.Buffer
@@ -292,14 +295,14 @@
 		_ = f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: peer.EncodeHeaders(":status", "200"), EndHeaders: true, EndStream: true})
 		text.WriteString(rest)
 		_, _ = peer.Write(text.Bytes())
-		if _, end, err := one.RecvHeader(patient(t)); err != nil || !end {
+		if _, end, err := first.RecvHeader(testContext(t)); err != nil || !end {
 			t.Errorf("%q: %v, %v", rest, end, err)
 		}
 	}
 }
 
-func TestStreamsStayWithinWhatTheServerAllows(t *testing.T) {
-	cl, peer, _ := client(t, h2.Config{MaxConcurrentStreams: 10}, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 3})
+func TestClientObeysMaxConcurrentStreams(t *testing.T) {
+	cl, peer, _ := startClient(t, h2.Config{MaxConcurrentStreams: 10}, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 3})
 	var open []*h2.Stream
 	for cl.AvailableStreams() > 0 {
 		s, err := cl.OpenStream(head, nil, true, time.Time{})
@@ -309,52 +312,53 @@
 		open = append(open, s)
 	}
 	if len(open) != 3 {
-		t.Errorf("%d streams were opened", len(open))
+		t.Errorf("%d streams were opened, want 3", len(open))
 	}
 	if _, err := cl.OpenStream(head, nil, true, time.Time{}); !errors.Is(err, h2.ErrNoCapacity) {
 		t.Error(err)
 	}
-	if _, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Stream == 5 }); err != nil {
+	if _, err := peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool { return f.Stream == 5 }); err != nil {
 		t.Fatal(err)
 	}
 	_ = peer.SendHeaders(3, true, ":status", "200")
-	if _, end, err := open[1].RecvHeader(patient(t)); err != nil || !end {
+	if _, end, err := open[1].RecvHeader(testContext(t)); err != nil || !end {
 		t.Error(end, err)
 	}
 	if cl.AvailableStreams() != 1 {
-		t.Errorf("room for %d", cl.AvailableStreams())
+		t.Errorf("%d streams available, want 1", cl.AvailableStreams())
 	}
 }
 
-// TestDrainTellsTwice opens a stream between the two GOAWAYs of a server: it is served, as all before it.
-func TestDrainTellsTwice(t *testing.T) {
+// TestDrainSendsTwoGoAways opens a stream between the two GOAWAY frames of a server. It must be served like earlier ones, and a
+// stream after the second GOAWAY must be ignored.
+func TestDrainSendsTwoGoAways(t *testing.T) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
-	c, peer, ended := server(t, h2.Config{OnStream: echo(t, &calls)})
+	c, peer, ended := startServer(t, h2.Config{OnStream: echo(t, &calls)})
 	_ = peer.SendCall(1, "/a.B/C", false)
-	if _, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Type == http2.FrameHeaders }); err != nil {
+	if _, err := peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool { return f.Type == http2.FrameHeaders }); err != nil {
 		t.Fatal(err)
 	}
 	c.Drain()
 	goAway := func(f fakeserver.Frame) bool { return f.Type == http2.FrameGoAway }
-	all, err := peer.ReadUntil(patience, goAway)
+	all, err := peer.ReadUntil(testTimeout, goAway)
 	if err != nil || all[len(all)-1].LastStream != 1<<31-1 {
 		t.Fatal(all, err)
 	}
-	_ = peer.SendCall(3, "/a.B/C", false) // it was on its way
-	if all, err = peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Type == http2.FramePing }); err != nil {
+	_ = peer.SendCall(3, "/a.B/C", false) // sent before the client received the GOAWAY
+	if all, err = peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool { return f.Type == http2.FramePing }); err != nil {
 		t.Fatal(err)
 	}
 	_ = peer.WritePing(true, [8]byte(all[len(all)-1].Data))
-	if all, err = peer.ReadUntil(patience, goAway); err != nil || all[len(all)-1].LastStream != 3 {
+	if all, err = peer.ReadUntil(testTimeout, goAway); err != nil || all[len(all)-1].LastStream != 3 {
 		t.Fatal(all, err)
 	}
-	_ = peer.SendCall(5, "/a.B/C", true) // it knew better
+	_ = peer.SendCall(5, "/a.B/C", true) // sent after the final GOAWAY
 	for _, id := range []uint32{1, 3} {
 		_ = peer.WriteData(id, true, []byte("text"))
 	}
 	done := map[uint32]bool{}
-	all, err = peer.ReadUntil(patience, func(f fakeserver.Frame) bool {
+	all, err = peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool {
 		if f.EndStream {
 			done[f.Stream] = true
 		}
@@ -364,7 +368,7 @@
 		t.Fatal(all, err)
 	}
 	if _, err := peer.ReadNext(); !errors.Is(err, io.EOF) {
-		t.Error("the connection goes on: ", err)
+		t.Error("the connection is still open: ", err)
 	}
 	peer.Close()
 	if err := <-ended; err != nil {
@@ -372,14 +376,14 @@
 	}
 }
 
-func TestSilentServerIsNoticed(t *testing.T) {
-	cl, peer, ended := client(t, h2.Config{ReadIdleTimeout: 50 * time.Millisecond, PingTimeout: 100 * time.Millisecond})
+func TestKeepaliveDetectsUnresponsiveServer(t *testing.T) {
+	cl, peer, ended := startClient(t, h2.Config{ReadIdleTimeout: 50 * time.Millisecond, PingTimeout: 100 * time.Millisecond})
 	s, err := cl.OpenStream(head, nil, true, time.Time{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 3 { // it answers for a while
-		all, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Type == http2.FramePing && !f.Ack })
+	for range 3 { // the server responds at first
+		all, err := peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool { return f.Type == http2.FramePing && !f.Ack })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -388,19 +392,20 @@
 	if s.Err() != nil {
 		t.Fatal(s.Err())
 	}
-	if _, _, err := s.RecvHeader(patient(t)); !errors.Is(err, h2.ErrClosed) {
+	if _, _, err := s.RecvHeader(testContext(t)); !errors.Is(err, h2.ErrClosed) {
 		t.Error(err)
 	}
 	if err := <-ended; err == nil {
-		t.Error("it ended in order")
+		t.Error("the connection ended without an error")
 	}
 }
 
-// TestUnreadBytesAreBounded sends as much as the windows allow to a side that takes nothing.
+// TestUnreadBytesAreBounded sends as much DATA as the windows allow to a side that reads nothing, and then more. More must end
+// the stream, or the connection if it is over the window of the connection.
 func TestUnreadBytesAreBounded(t *testing.T) {
-	began := make(chan *h2.Stream, 100)
-	_, peer, _ := server(t, h2.Config{StreamWindow: 20_000, ConnWindow: 100_000, OnStream: func(s *h2.Stream, _ []h2.Field, _ bool) bool {
-		began <- s
+	opened := make(chan *h2.Stream, 100)
+	_, peer, _ := startServer(t, h2.Config{StreamWindow: 20_000, ConnWindow: 100_000, OnStream: func(s *h2.Stream, _ []h2.Field, _ bool) bool {
+		opened <- s
 		return true
 	}})
 	part := make([]byte, 10_000)
@@ -411,35 +416,35 @@
 	}
 	var all []*h2.Stream
 	for range 5 {
-		all = append(all, <-began)
+		all = append(all, <-opened)
 	}
 	_ = peer.WritePing(false, [8]byte{})
-	if _, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Ack && f.Type == http2.FramePing }); err != nil {
-		t.Fatal("all of it was allowed:", err)
+	if _, err := peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool { return f.Ack && f.Type == http2.FramePing }); err != nil {
+		t.Fatal("DATA within the windows was not accepted:", err)
 	}
-	for n, s := range []*h2.Stream{all[0], all[0], all[1]} { // what is taken can be sent again
-		if chunk, err := s.Recv(patient(t)); err != nil || len(chunk) != 10_000 {
+	for n, s := range []*h2.Stream{all[0], all[0], all[1]} { // bytes that have been read open the windows again
+		if chunk, err := s.Recv(testContext(t)); err != nil || len(chunk) != 10_000 {
 			t.Fatal(n, len(chunk), err)
 		}
 	}
-	if _, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Type == http2.FrameWindowUpdate && f.Stream == 0 }); err != nil {
+	if _, err := peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool { return f.Type == http2.FrameWindowUpdate && f.Stream == 0 }); err != nil {
 		t.Fatal(err)
 	}
 	_ = peer.WriteData(1, false, part)
-	if _, err := all[0].Recv(patient(t)); err != nil {
+	if _, err := all[0].Recv(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
 	_ = peer.WriteData(3, false, part)
-	_ = peer.WriteData(3, false, part) // over the stream's window: the stream ends
-	if _, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool {
+	_ = peer.WriteData(3, false, part) // over the window of the stream: it is reset
+	if _, err := peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool {
 		return f.Type == http2.FrameRSTStream && f.Stream == 3 && f.Code == http2.ErrCodeFlowControl
 	}); err != nil {
 		t.Fatal(err)
 	}
-	_, peer, ended := server(t, h2.Config{StreamWindow: 20_000, ConnWindow: 100_000, OnStream: func(s *h2.Stream, _ []h2.Field, _ bool) bool {
+	_, peer, ended := startServer(t, h2.Config{StreamWindow: 20_000, ConnWindow: 100_000, OnStream: func(s *h2.Stream, _ []h2.Field, _ bool) bool {
 		return true
 	}})
-	for n := range uint32(11) { // each within its own window, together over the connection's: it ends
+	for n := range uint32(11) { // within the windows of the streams, over that of the connection
 		_ = peer.SendCall(2*n+1, "/a.B/C", false)
 		_ = peer.WriteData(2*n+1, false, part)
 	}
@@ -448,13 +453,13 @@
 		if err == nil || !strings.Contains(err.Error(), "FLOW_CONTROL") {
 			t.Error(err)
 		}
-	case <-time.After(patience):
-		t.Error("the connection goes on")
+	case <-time.After(testTimeout):
+		t.Error("the connection is still open")
 	}
 }
 
-// TestFloods plays attacks. Each must end the connection within a second, with little memory, while another caller's
-// streams are served.
+// TestFloods runs attacks. Each must end its connection within a second and without much memory, while streams on another
+// connection are served.
 func TestFloods(t *testing.T) {
 	fields := []string{":method", "POST", ":scheme", "http", ":path", "/a.B/C"}
 	for name, step := range map[string]func(p *fakeserver.FrameConn, n uint32) error{
@@ -502,31 +507,31 @@
 		"an even stream":         func(p *fakeserver.FrameConn, n uint32) error { return p.SendCall(2*n+2, "/a.B/C", false) },
 		"DATA of no stream":      func(p *fakeserver.FrameConn, n uint32) error { return p.WriteData(7, false, []byte("x")) },
 		"a frame over the limit": func(p *fakeserver.FrameConn, n uint32) error { return p.WriteRawFrame(0, 0, 1, make([]byte, 20_000)) },
-		"compression that lies": func(p *fakeserver.FrameConn, n uint32) error {
+		"invalid compression": func(p *fakeserver.FrameConn, n uint32) error {
 			return p.WriteHeaders(http2.HeadersFrameParam{StreamID: 2*n + 1, BlockFragment: []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0x0f}, EndHeaders: true})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var calls sync.WaitGroup
 			defer calls.Wait()
-			ctx := patient(t)
+			ctx := testContext(t)
 			a, b := pair(t)
-			sound := h2.New(a, nil, h2.Config{OnStream: echo(t, &calls)})
-			run(t, sound)
-			good := h2.New(b, nil, h2.Config{Client: true})
-			run(t, good)
-			if err := good.WaitSettings(ctx); err != nil {
+			otherServer := h2.New(a, nil, h2.Config{OnStream: echo(t, &calls)})
+			runConn(t, otherServer)
+			otherClient := h2.New(b, nil, h2.Config{Client: true})
+			runConn(t, otherClient)
+			if err := otherClient.WaitSettings(ctx); err != nil {
 				t.Fatal(err)
 			}
 			serve := echo(t, &calls)
-			_, peer, ended := server(t, h2.Config{OnStream: func(s *h2.Stream, head []h2.Field, end bool) bool {
+			_, peer, ended := startServer(t, h2.Config{OnStream: func(s *h2.Stream, head []h2.Field, end bool) bool {
 				return h2.FieldValue(head, ":path") == "/hold" || serve(s, head, end)
 			}})
 			go func() { _, _ = io.Copy(io.Discard, peer.Conn) }()
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			begun := time.Now()
+			start := time.Now()
 			stop := make(chan struct{})
 			var attack sync.WaitGroup
 			attack.Go(func() {
@@ -543,11 +548,11 @@
 			})
 			select {
 			case err := <-ended:
-				if took := time.Since(begun); err == nil || took > time.Second {
+				if took := time.Since(start); err == nil || took > time.Second {
 					t.Errorf("ended after %v with %v", took, err)
 				}
-			case <-time.After(patience):
-				t.Error("it is still served")
+			case <-time.After(testTimeout):
+				t.Error("the connection is still open")
 			}
 			close(stop)
 			peer.Close()
@@ -555,25 +560,25 @@
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			if more := int64(after.HeapAlloc) - int64(before.HeapAlloc); more > 4<<20 {
-				t.Errorf("%d KiB more are held", more>>10)
+				t.Errorf("%d KiB more are in use", more>>10)
 			}
-			s, err := good.OpenStream(head, [][]byte{[]byte("text")}, true, time.Time{})
+			s, err := otherClient.OpenStream(head, [][]byte{[]byte("text")}, true, time.Time{})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if _, _, err := s.RecvHeader(ctx); err != nil {
-				t.Error("another caller:", err)
+				t.Error("stream on the other connection:", err)
 			}
 			s.Reset(http2.ErrCodeCancel)
 		})
 	}
 }
 
-// TestUnsoundHeads sends header lists that are none: each ends its stream, and the connection goes on.
-func TestUnsoundHeads(t *testing.T) {
+// TestMalformedHeaderLists sends malformed header lists. Each must reset its stream and leave the connection open.
+func TestMalformedHeaderLists(t *testing.T) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
-	_, peer, _ := server(t, h2.Config{OnStream: echo(t, &calls)})
+	_, peer, _ := startServer(t, h2.Config{OnStream: echo(t, &calls)})
 	id := uint32(1)
 	for _, pairs := range [][]string{
 		{":method", "POST", ":scheme", "http"},
@@ -589,23 +594,23 @@
 		{":method", "POST", ":scheme", "http", ":path", "/", "x-long", strings.Repeat("x", 17<<10)},
 	} {
 		_ = peer.SendHeaders(id, true, pairs...)
-		all, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Stream == id })
+		all, err := peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool { return f.Stream == id })
 		if err != nil {
 			t.Fatalf("%q: %v", pairs, err)
 		}
 		if f := all[len(all)-1]; f.Type != http2.FrameRSTStream || f.Code != http2.ErrCodeProtocol {
-			t.Errorf("%.100q: answered with %v %v", pairs, f.Type, f.Code)
+			t.Errorf("%.100q: response is %v %v", pairs, f.Type, f.Code)
 		}
 		id += 2
 	}
 	_ = peer.SendCall(id, "/a.B/C", true)
-	if _, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Stream == id && f.EndStream }); err != nil {
+	if _, err := peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool { return f.Stream == id && f.EndStream }); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestAPeerThatReadsNothingIsLeft(t *testing.T) {
-	c, peer, ended := server(t, h2.Config{WriteTimeout: 200 * time.Millisecond, OnStream: func(s *h2.Stream, _ []h2.Field, _ bool) bool {
+func TestPeerThatReadsNothingIsDisconnected(t *testing.T) {
+	c, peer, ended := startServer(t, h2.Config{WriteTimeout: 200 * time.Millisecond, OnStream: func(s *h2.Stream, _ []h2.Field, _ bool) bool {
 		_ = s.SendHeader([]h2.Field{{Name: ":status", Value: "200"}}, false)
 		go func() {
 			for s.Send(context.Background(), make([]byte, 16<<10)) == nil {
@@ -619,33 +624,34 @@
 	select {
 	case err := <-ended:
 		if err == nil {
-			t.Error("it ended in order")
+			t.Error("the connection ended without an error")
 		}
-	case <-time.After(patience):
-		t.Error("it is still served")
+	case <-time.After(testTimeout):
+		t.Error("the connection is still open")
 	}
 	if c.OpenStreams() != 0 && c.Err() == nil {
 		t.Error(c.OpenStreams())
 	}
 }
 
-func TestAPeerThatDoesNotGreetIsLeft(t *testing.T) {
+func TestPeerWithoutHandshakeIsDisconnected(t *testing.T) {
 	for _, text := range []string{"", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\x00\x00\x08\x06\x00\x00\x00\x00\x00abcdefgh"} {
 		a, b := pair(t)
 		c := h2.New(a, nil, h2.Config{HandshakeTimeout: 100 * time.Millisecond, OnStream: func(*h2.Stream, []h2.Field, bool) bool { return true }})
 		_, _ = io.WriteString(b, text)
 		if err := c.Run(); err == nil {
-			t.Errorf("%q: taken", text)
+			t.Errorf("%q: the connection ended without an error", text)
 		}
 	}
 }
 
-// FuzzServe gives a server bytes behind a sound greeting: it must end, and every stream that it took with it.
+// FuzzServe sends arbitrary bytes to a server after a valid handshake. The connection must end, and with it each stream that it
+// has accepted.
 func FuzzServe(f *testing.F) {
-	script := func(play func(*fakeserver.FrameConn)) []byte {
+	script := func(send func(*fakeserver.FrameConn)) []byte {
 		a, b := net.Pipe()
 		go func() {
-			play(fakeserver.NewFrameConn(a))
+			send(fakeserver.NewFrameConn(a))
 			a.Close()
 		}()
 		text, _ := io.ReadAll(b)
@@ -667,14 +673,14 @@
 		}
 		a, b := net.Pipe()
 		var mu sync.Mutex
-		var taken []*h2.Stream
+		var accepted []*h2.Stream
 		c := h2.New(a, nil, h2.Config{OnStream: func(s *h2.Stream, head []h2.Field, _ bool) bool {
 			if h2.FieldValue(head, ":path") == "" {
-				t.Error("a head without a path was taken")
+				t.Error("a header list without a path was accepted")
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			taken = append(taken, s)
+			accepted = append(accepted, s)
 			return true
 		}})
 		go func() { _, _ = io.Copy(io.Discard, b) }()
@@ -685,7 +691,7 @@
 			b.Close()
 		}()
 		_ = c.Run()
-		for _, s := range taken {
+		for _, s := range accepted {
 			if s.Err() == nil {
 				t.Error("a stream outlives its connection")
 			}
--- a/internal/h2/keepalive.go
+++ b/internal/h2/keepalive.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// sendPing sends the PING of the keepalive and expects its response within PingTimeout.
+// sendPing sends a keepalive PING and starts the timer for its response.
 func (c *Conn) sendPing() {
 	c.pingSentAt = time.Now()
 	c.queueControl(func(f *http2.Framer) error { return f.WritePing(false, keepalivePing) })
@@ -27,24 +27,24 @@
 	c.keepalive = time.AfterFunc(c.cfg.PingTimeout, c.keepaliveExpired)
 }
 
-// startKeepalive starts the timer of the keepalive, which runs while streams are open.
+// startKeepalive starts the keepalive timer, which runs while streams are open.
 func (c *Conn) startKeepalive() {
 	if c.cfg.ReadIdleTimeout > 0 && c.keepalive == nil && c.err == nil {
 		c.keepalive = time.AfterFunc(c.cfg.ReadIdleTimeout, c.keepaliveExpired)
 	}
 }
 
-var errPingTimeout = errors.New("h2: the peer does not answer")
+var errPingTimeout = errors.New("h2: the peer does not respond to PING")
 
-// keepaliveExpired is called by the timer of the keepalive.
+// keepaliveExpired handles the expiry of the keepalive timer: it sends a PING, or closes the connection if the last one had no response.
 func (c *Conn) keepaliveExpired() {
 	c.mu.Lock()
 	c.keepalive = nil
 	now := time.Now()
-	switch silent := now.Sub(c.lastReceived); {
+	switch sinceReceived := now.Sub(c.lastReceived); {
 	case c.err != nil:
 	case !c.pingSentAt.IsZero() && c.lastReceived.After(c.pingSentAt):
-		c.pingSentAt = time.Time{} // any frame is a response
+		c.pingSentAt = time.Time{} // any frame shows that the peer is alive
 		if c.openStreams > 0 {
 			c.startKeepalive()
 		}
@@ -53,10 +53,10 @@
 		c.closeWith(errPingTimeout)
 		return
 	case c.openStreams == 0 || c.cfg.ReadIdleTimeout == 0:
-	case silent >= c.cfg.ReadIdleTimeout:
+	case sinceReceived >= c.cfg.ReadIdleTimeout:
 		c.sendPing()
 	default:
-		c.keepalive = time.AfterFunc(c.cfg.ReadIdleTimeout-silent, c.keepaliveExpired)
+		c.keepalive = time.AfterFunc(c.cfg.ReadIdleTimeout-sinceReceived, c.keepaliveExpired)
 	}
 	c.mu.Unlock()
 }
--- a/internal/h2/read.go
+++ b/internal/h2/read.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// maxUpdated bounds the streams that are notified together.
+// maxUpdated is the number of updated streams at which their readers are notified early.
 const maxUpdated = 64
 
 // readPreface reads the preface of a client, and the settings of either peer (RFC 9113, section 3.4).
@@ -61,16 +61,16 @@
 
 // nextFrameBuffered reports whether reading the next frame does not block.
 func (c *Conn) nextFrameBuffered() bool {
-	const head = 9 // bytes (RFC 9113, section 4.1)
+	const headerSize = 9 // bytes (RFC 9113, section 4.1)
 	n := c.reader.Buffered()
-	if n < head {
+	if n < headerSize {
 		return false
 	}
-	h, err := c.reader.Peek(head)
-	return err == nil && n >= head+(int(h[0])<<16|int(h[1])<<8|int(h[2]))
+	header, err := c.reader.Peek(headerSize)
+	return err == nil && n >= headerSize+(int(header[0])<<16|int(header[1])<<8|int(header[2]))
 }
 
-// readError converts an error of reading a frame.
+// readError converts an error of the Framer. first means that it occurred in the first frame of the connection.
 func (c *Conn) readError(err error, first bool) error {
 	var conn http2.ConnectionError
 	switch {
@@ -88,7 +88,7 @@
 	return err
 }
 
-// notifyUpdated wakes up the readers of the streams that got something in the last batch of frames.
+// notifyUpdated wakes up the readers of the streams that have received frames since the last call.
 func (c *Conn) notifyUpdated() {
 	for i, s := range c.updated {
 		signal(s.readSignal)
@@ -99,7 +99,7 @@
 
 // handleFrame handles one frame.
 func (c *Conn) handleFrame(f http2.Frame) error {
-	if h, ok := f.(*http2.HeadersFrame); ok { // reads more frames, so without the mutex
+	if h, ok := f.(*http2.HeadersFrame); ok { // may read more frames, so the mutex is not held
 		return c.handleHeaders(h)
 	}
 	c.mu.Lock()
@@ -136,7 +136,7 @@
 	return id > c.lastPeerStreamID
 }
 
-// spendBudget counts frames that cause work without progress. The mutex is held.
+// spendBudget charges n tokens for frames that cause work without progress. The mutex is held.
 func (c *Conn) spendBudget(n float64) error {
 	if !c.budget.spend(c.lastReceived, n) {
 		return newConnError(http2.ErrCodeEnhanceYourCalm, "too many frames that bring nothing")
@@ -215,7 +215,7 @@
 		return c.spendBudget(1)
 	}
 	c.releaseStream(s)
-	if s.peerEnded && c.cfg.Client { // the response is complete: the peer only wants no more of the request
+	if s.peerEnded && c.cfg.Client { // the response is complete: the peer only stops reading the request
 		s.peerStopped = true
 		s.discardOutput()
 		signal(s.writeSignal)
@@ -228,12 +228,12 @@
 	}
 	c.updated = append(c.updated, s)
 	if c.cfg.Client {
-		return nil // a client decides itself how many streams there are to reset
+		return nil // no flood: only streams that this client has opened can be reset
 	}
 	return c.spendBudget(1)
 }
 
-// handlePing answers a PING, or notes the response to ours.
+// handlePing responds to a PING, or handles the response to ours.
 func (c *Conn) handlePing(f *http2.PingFrame) error {
 	if f.IsAck() {
 		if f.Data == drainPing && c.drain == goAwayAnnounced {
--- a/internal/h2/readheaders.go
+++ b/internal/h2/readheaders.go
@@ -11,9 +11,9 @@
 func (c *Conn) handleHeaders(f *http2.HeadersFrame) error {
 	id, ended := f.StreamID, f.StreamEnded()
 	if !f.HeadersEnded() {
-		c.notifyUpdated() // the rest may take long to arrive
+		c.notifyUpdated() // the rest of the header block may take long to arrive
 	}
-	fields, err := c.readHeaderBlock(f) // also for unknown streams, as the compression has a state
+	fields, err := c.readHeaderBlock(f) // also for unknown streams, to keep the compression state in sync
 	if err != nil {
 		var known *connError
 		if !errors.As(err, &known) {
@@ -30,7 +30,7 @@
 			if id%2 == 0 || c.isIdleStream(id) {
 				return newConnError(http2.ErrCodeProtocol, "HEADERS of a stream that nobody opened")
 			}
-			return c.spendBudget(1) // of a stream that has been reset
+			return c.spendBudget(1) // the stream has been reset
 		}
 		return c.acceptStream(id, fields, ended)
 	}
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// maxInterim bounds the interim responses of a stream that have not been read.
+// maxInterim is the number of unread interim responses that a stream may hold.
 const maxInterim = 17
 
 // addHeaders adds the header list of a response, or trailers, to a stream. It returns false if the list is malformed.
@@ -73,9 +73,9 @@
 	return true
 }
 
-// acceptStream accepts a stream that the peer opens, or refuses it. The mutex is held, and unlocked here.
+// acceptStream accepts a stream that the peer opens, or refuses it. The caller holds the mutex; acceptStream unlocks it.
 func (c *Conn) acceptStream(id uint32, fields []Field, ended bool) error {
-	if c.err != nil { // the writer has closed the connection; nobody would end the stream
+	if c.err != nil { // the writer has closed the connection: the stream would never end
 		defer c.mu.Unlock()
 		return c.err
 	}
@@ -83,7 +83,7 @@
 		c.mu.Unlock()
 		return newConnError(http2.ErrCodeProtocol, "an even stream is a server's")
 	}
-	if c.drain == goAwayFinal { // by the final GOAWAY the client knows that the stream is ignored
+	if c.drain == goAwayFinal { // the final GOAWAY announces that the stream is ignored
 		defer c.mu.Unlock()
 		return c.spendBudget(1)
 	}
--- a/internal/h2/release.go
+++ b/internal/h2/release.go
@@ -16,8 +16,8 @@
 	s.fail(&ResetError{Code: code})
 }
 
-// releaseStream removes a stream from the open ones. Bytes that are unread can still be received; the window of the connection
-// is opened for them now.
+// releaseStream removes a stream from the open ones. Its unread bytes can still be read; the window of the connection is
+// opened for them now.
 func (c *Conn) releaseStream(s *Stream) {
 	if s.released {
 		return
@@ -38,7 +38,7 @@
 	c.closeIfIdle()
 }
 
-// releaseIfDone releases a stream of which both sides have ended.
+// releaseIfDone releases a stream if both of its sides have ended.
 func (c *Conn) releaseIfDone(s *Stream) {
 	if s.peerEnded && s.endFramed {
 		c.budget.earn(2)
--- a/internal/h2/settings.go
+++ b/internal/h2/settings.go
@@ -20,8 +20,8 @@
 }
 
 const (
-	maxSettings        = 32   // in one frame
-	maxHeaderTableSize = 4096 // bytes; the initial value of RFC 9113, section 6.5.2
+	maxSettings        = 32   // of one SETTINGS frame
+	maxHeaderTableSize = 4096 // bytes; the initial value in RFC 9113, section 6.5.2
 )
 
 func (c *Conn) applySetting(setting http2.Setting) error {
--- a/internal/h2/stream.go
+++ b/internal/h2/stream.go
@@ -9,14 +9,14 @@
 	"golang.org/x/net/http2"
 )
 
-// Stream is one stream of a connection. One goroutine may read it while another writes it; Reset may be called by any.
+// Stream is one stream of a connection. One goroutine may read it while another writes it; any may call Reset.
 // Its fields are guarded by the mutex of its connection.
 type Stream struct {
 	conn *Conn
 	id   uint32 // 0 until its header list is framed
 
-	headers        [][]Field // received and not consumed
-	chunks         [][]byte  // likewise of DATA frames
+	headers        [][]Field // received header lists that have not been read
+	chunks         [][]byte  // received DATA that has not been read
 	trailers       []Field
 	peerEnded      bool  // the peer has sent END_STREAM
 	err            error // why the stream failed
@@ -25,19 +25,19 @@
 	unsentCredit   int   // bytes consumed for which no WINDOW_UPDATE has been sent
 	headerReceived bool  // the final header list has been received
 
-	outHeaders   []headerBlock // to be framed
+	outHeaders   []headerBlock // header lists to be framed
 	outData      [][]byte
 	outBytes     int // in outData
 	outTrailers  []Field
-	endQueued    bool // nothing follows what is queued
+	endQueued    bool // the queued output is the last
 	endFramed    bool // END_STREAM has been framed
 	sendWindow   int64
 	scheduled    bool      // the stream is in Conn.writable or Conn.blocked
-	startBy      time.Time // the header list is not sent later; zero for any time
+	startBy      time.Time // latest time to send the header list; zero for no limit
 	startMaySent bool      // a byte of the header list may have been sent
 	endMaySent   bool      // END_STREAM may have been sent
 	endSent      bool      // END_STREAM has been sent
-	peerStopped  bool      // the peer wants no more of our side
+	peerStopped  bool      // the peer does not read the rest of our side
 	released     bool      // no longer among the open streams
 	onError      func(error)
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// signal wakes up the goroutine that waits for ch, now or the next time.
+// signal wakes up the goroutine that waits for ch, or lets its next wait return at once.
 func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -65,7 +65,7 @@
 	}
 }
 
-// RecvHeader waits for the next header list of the peer, which may be an interim response. End says that nothing follows it.
+// RecvHeader waits for the next header list of the peer, which may be an interim response. end means that nothing follows it.
 func (s *Stream) RecvHeader(ctx context.Context) (fields []Field, end bool, err error) {
 	err = s.waitUntil(ctx, func() bool {
 		if len(s.headers) == 0 {
@@ -78,7 +78,7 @@
 	return fields, end, err
 }
 
-// Recv waits for bytes of DATA. The window of the peer is opened as they are received. The end of its side is io.EOF.
+// Recv waits for bytes of DATA. The flow control window is opened for them. It returns io.EOF at the end of the peer's side.
 func (s *Stream) Recv(ctx context.Context) (chunk []byte, err error) {
 	end := false
 	err = s.waitUntil(ctx, func() bool {
@@ -97,7 +97,7 @@
 	return chunk, err
 }
 
-// waitUntil waits until take returns true, the stream fails or ctx ends. What was received before a failure is still taken.
+// waitUntil waits until take returns true, the stream fails or ctx ends. Frames received before a failure are still taken.
 func (s *Stream) waitUntil(ctx context.Context, take func() bool) error {
 	for {
 		s.conn.mu.Lock()
@@ -171,26 +171,26 @@
 	})
 }
 
-// TrySend queues bytes of DATA, which belong to the stream from then on, if they fit into the send buffer now.
+// TrySend queues bytes of DATA if they fit into the send buffer now. The caller must not modify them afterwards.
 func (s *Stream) TrySend(chunk []byte) bool {
-	room, err := s.trySend(chunk)
-	return room && err == nil
+	fits, err := s.trySend(chunk)
+	return fits && err == nil
 }
 
-func (s *Stream) trySend(chunk []byte) (room bool, err error) {
+func (s *Stream) trySend(chunk []byte) (fits bool, err error) {
 	err = s.changeOutput(func() {
-		if room = s.outBytes == 0 || s.outBytes+len(chunk) <= s.conn.cfg.SendBuffer; room && len(chunk) > 0 {
+		if fits = s.outBytes == 0 || s.outBytes+len(chunk) <= s.conn.cfg.SendBuffer; fits && len(chunk) > 0 {
 			s.outData = append(s.outData, chunk)
 			s.outBytes += len(chunk)
 		}
 	})
-	return room, err
+	return fits, err
 }
 
-// Send is TrySend, but waits for room in the send buffer until ctx ends.
+// Send queues bytes of DATA like TrySend, but waits for room in the send buffer until ctx ends.
 func (s *Stream) Send(ctx context.Context, chunk []byte) error {
 	for {
-		if room, err := s.trySend(chunk); err != nil || room {
+		if fits, err := s.trySend(chunk); err != nil || fits {
 			return err
 		}
 		select {
@@ -206,7 +206,7 @@
 	return s.changeOutput(func() { s.outTrailers, s.endQueued = trailers, true })
 }
 
-// changeOutput changes what is to be sent, unless the stream has failed or our side has ended.
+// changeOutput changes the queued output, unless the stream has failed or our side has ended.
 func (s *Stream) changeOutput(change func()) error {
 	c := s.conn
 	c.mu.Lock()
@@ -222,15 +222,15 @@
 	return nil
 }
 
-// WaitSent waits until our side, including its end, has been written to the connection. It fails when the peer accepts no byte
-// for the time given.
+// WaitSent waits until our side, including its end, has been written to the connection. It fails if the peer accepts no byte
+// for the timeout.
 func (s *Stream) WaitSent(ctx context.Context, timeout time.Duration) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
-	before := -1
+	lastUnsent := -1
 	for {
 		s.conn.mu.Lock()
-		done, err, left := s.endSent || s.peerStopped, s.err, s.outBytes
+		done, err, unsent := s.endSent || s.peerStopped, s.err, s.outBytes
 		s.conn.mu.Unlock()
 		if done {
 			return nil
@@ -238,8 +238,8 @@
 		if err != nil && !errors.Is(err, ErrPeerStopped) {
 			return err
 		}
-		if left != before {
-			before = left
+		if unsent != lastUnsent {
+			lastUnsent = unsent
 			timer.Reset(timeout)
 		}
 		select {
@@ -252,8 +252,8 @@
 	}
 }
 
-// Reset ends the stream at once: what is queued is dropped, and RST_STREAM is sent if the peer knows the stream. It does
-// nothing to a stream that has ended.
+// Reset ends the stream at once: queued output is dropped, and RST_STREAM is sent if the header list has been framed. It has
+// no effect on a stream that has ended.
 func (s *Stream) Reset(code http2.ErrCode) {
 	s.conn.mu.Lock()
 	defer s.conn.mu.Unlock()
@@ -274,7 +274,7 @@
 	}
 }
 
-// discardOutput drops what was to be sent.
+// discardOutput drops the queued output.
 func (s *Stream) discardOutput() {
 	s.outHeaders, s.outData, s.outBytes, s.outTrailers = nil, nil, 0, nil
 }
--- a/internal/h2/write.go
+++ b/internal/h2/write.go
@@ -11,7 +11,7 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// writer frames what is queued and writes it in batches, so that one system call carries frames of many streams.
+// writer frames queued output and writes it in batches, so that one system call carries frames of many streams.
 type writer struct {
 	buf       bytes.Buffer // the batch
 	framer    *http2.Framer
@@ -19,17 +19,17 @@
 	encoder   *hpack.Encoder
 	marks     []mark
 	err       error     // the first error of framing
-	writeBy   time.Time // the batch holds a header list that must be sent by then; zero for none
+	writeBy   time.Time // earliest startBy of the header lists in the batch; zero for none
 }
 
 // mark is the position in a batch at which a stream starts or ends.
 type mark struct {
 	stream *Stream
-	offset int // bytes of the batch up to which the peer must have received it to know
+	offset int // number of bytes of the batch that include this start or end
 	end    bool
 }
 
-// queueControl queues a frame of the connection itself.
+// queueControl queues a frame that belongs to no stream's output, such as SETTINGS, PING or RST_STREAM.
 func (c *Conn) queueControl(frame func(*http2.Framer) error) {
 	c.control = append(c.control, frame)
 	c.wakeWriter()
@@ -93,8 +93,8 @@
 	}
 }
 
-// closeWriteSide closes our side. A server lets its peer close the connection: a close with unread bytes resets it, which could
-// destroy the last responses on their way.
+// closeWriteSide closes our side. A server lets its peer close the connection: a close with unread bytes resets it, and the peer
+// could lose the last responses.
 func (c *Conn) closeWriteSide() {
 	half, ok := c.net.(interface{ CloseWrite() error })
 	if c.cfg.Client || !ok || half.CloseWrite() != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// fillBatch frames a batch. Finished says that nothing is left and the connection is to be closed.
+// fillBatch frames a batch. finished means that nothing is left and the connection is to be closed.
 func (c *Conn) fillBatch(w *writer) (finished bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,7 +119,7 @@
 		c.headerTableChanged = false
 	}
 	for i, frame := range c.control {
-		w.note(frame(w.framer))
+		w.recordError(frame(w.framer))
 		c.control[i] = nil
 	}
 	c.control = c.control[:0]
@@ -145,7 +145,7 @@
 	if len(c.writable) == 0 && cap(c.writable) > 0 {
 		c.writable = nil
 	}
-	// The bytes may be sent from now on: this holds until a write has failed.
+	// From now on the bytes may have been sent; updateMarks corrects this if a write fails.
 	for _, m := range w.marks {
 		if m.end {
 			m.stream.endMaySent = true
@@ -156,14 +156,14 @@
 	return c.closeWhenWritten && len(c.control) == 0 && len(c.writable) == 0, w.err
 }
 
-// note keeps the first error of framing. Frames are written to memory, so that only invalid arguments are errors.
-func (w *writer) note(err error) {
+// recordError keeps the first error of framing. Frames are written to memory, so only invalid arguments cause errors.
+func (w *writer) recordError(err error) {
 	if w.err == nil {
 		w.err = err
 	}
 }
 
-// startStream frames the header list of the stream that waits longest, unless its time is over.
+// startStream frames the header list of the stream that waits longest, unless its startBy has passed.
 func (c *Conn) startStream(w *writer) {
 	s := c.waiting[0]
 	if !s.startBy.IsZero() && time.Now().After(s.startBy) {
@@ -205,7 +205,7 @@
 		c.writeHeaderBlock(w, s, s.outTrailers, true)
 		c.finishStream(w, s)
 	case s.endQueued:
-		w.note(w.framer.WriteData(s.id, true, nil))
+		w.recordError(w.framer.WriteData(s.id, true, nil))
 		c.finishStream(w, s)
 	}
 }
@@ -225,19 +225,19 @@
 	s.outBytes -= n
 	c.budget.earn(2) // the peer may send a WINDOW_UPDATE for the stream and one for the connection
 	last := len(s.outData) == 0 && s.endQueued && s.outTrailers == nil
-	w.note(w.framer.WriteData(s.id, last, chunk[:n]))
+	w.recordError(w.framer.WriteData(s.id, last, chunk[:n]))
 	if last {
 		c.finishStream(w, s)
 	}
 	signal(s.writeSignal)
 }
 
-// finishStream notes that all of our side has been framed.
+// finishStream records that all of our side has been framed.
 func (c *Conn) finishStream(w *writer, s *Stream) {
 	w.marks = append(w.marks, mark{stream: s, offset: w.buf.Len(), end: true})
 	s.endFramed = true
 	if !c.cfg.Client && !s.peerEnded { // the response is complete: the rest of the request is not needed (RFC 9113, section 8.1)
-		w.note(w.framer.WriteRSTStream(s.id, http2.ErrCodeNo))
+		w.recordError(w.framer.WriteRSTStream(s.id, http2.ErrCodeNo))
 		c.budget.earn(2)
 		c.releaseStream(s)
 		s.err = ErrPeerStopped
@@ -251,23 +251,23 @@
 func (c *Conn) writeHeaderBlock(w *writer, s *Stream, fields []Field, end bool) {
 	w.headerBuf.Reset()
 	for _, f := range fields {
-		w.note(w.encoder.WriteField(f))
+		w.recordError(w.encoder.WriteField(f))
 	}
-	text := w.headerBuf.Bytes()
-	first := text[:min(len(text), c.peerMaxFrameSize)]
-	text = text[len(first):]
-	w.note(w.framer.WriteHeaders(http2.HeadersFrameParam{
-		StreamID: s.id, BlockFragment: first, EndStream: end, EndHeaders: len(text) == 0,
+	block := w.headerBuf.Bytes()
+	first := block[:min(len(block), c.peerMaxFrameSize)]
+	block = block[len(first):]
+	w.recordError(w.framer.WriteHeaders(http2.HeadersFrameParam{
+		StreamID: s.id, BlockFragment: first, EndStream: end, EndHeaders: len(block) == 0,
 	}))
-	for len(text) > 0 {
-		part := text[:min(len(text), c.peerMaxFrameSize)]
-		text = text[len(part):]
-		w.note(w.framer.WriteContinuation(s.id, len(text) == 0, part))
+	for len(block) > 0 {
+		part := block[:min(len(block), c.peerMaxFrameSize)]
+		block = block[len(part):]
+		w.recordError(w.framer.WriteContinuation(s.id, len(block) == 0, part))
 	}
 }
 
-// flushBatch writes a batch. It fails if the peer accepts nothing within the write timeout. It fails as well if a header list
-// could not be sent by its time: the part in our buffers would be sent later otherwise.
+// flushBatch writes a batch. It fails if the peer accepts nothing within the write timeout. It also fails if a header list
+// cannot be sent by its startBy: the part in the socket buffers would be sent later otherwise.
 func (c *Conn) flushBatch(w *writer) error {
 	batch, written := w.buf.Bytes(), 0
 	var err error
@@ -303,8 +303,8 @@
 	return err
 }
 
-// updateMarks corrects the progress of streams after a write: what was not written was not sent, and what was written to its
-// end has been sent.
+// updateMarks corrects the progress of streams after a write: streams whose start or end was not written have not sent
+// it, and streams whose end was written have sent it.
 func (c *Conn) updateMarks(w *writer, written int) {
 	if len(w.marks) == 0 {
 		return
