--- a/internal/grpcfront/call.go
+++ b/internal/grpcfront/call.go
@@ -19,15 +19,16 @@
 	Authority  string
 	Metadata   []h2.Field    // all but pseudo-headers, te and grpc-timeout, in their order
 	Header     http.Header   // the same, by name
-	Timeout    time.Duration // the caller waits so long, if HasTimeout
+	Timeout    time.Duration // time that the caller waits, if HasTimeout
 	HasTimeout bool
 	RemoteHost string // the host of the caller
 }
 
-// maxTimeout stands for all longer timeouts.
+// maxTimeout replaces longer timeouts.
 const maxTimeout = math.MaxInt64
 
-// parseCall parses a header list. A status other than 0 is the HTTP status for a call that is invalid, with the reason.
+// parseCall parses a header list. If the call is invalid, status is the HTTP status of
+// the response, with the reason; otherwise it is 0.
 func parseCall(head []h2.Field) (c *Call, status int, reason string) {
 	c = &Call{Metadata: make([]h2.Field, 0, len(head)+3), Header: make(http.Header, len(head))}
 	for _, f := range head {
@@ -57,7 +58,7 @@
 	return c, 0, ""
 }
 
-// isGRPC reports whether a content type is one of gRPC: application/grpc, alone or followed by + or ;.
+// isGRPC reports whether a content type is one of gRPC: application/grpc, alone or followed by "+" or ";".
 func isGRPC(contentType string) bool {
 	rest, ok := strings.CutPrefix(contentType, "application/grpc")
 	return ok && (rest == "" || rest[0] == '+' || rest[0] == ';')
@@ -85,16 +86,16 @@
 	return time.Duration(n) * unitTime, nil
 }
 
-// maxTimeoutDigits is the most digits of a timeout.
+// maxTimeoutDigits is the maximum number of digits of a timeout.
 const maxTimeoutDigits = 8
 
-// timeoutUnits are the durations of the units of a timeout.
+// timeoutUnits maps the units of a timeout to their durations.
 var timeoutUnits = map[byte]time.Duration{
 	'H': time.Hour, 'M': time.Minute, 'S': time.Second, 'm': time.Millisecond, 'u': time.Microsecond, 'n': time.Nanosecond,
 }
 
 // TimeoutField returns the header field of a timeout. It is rounded down to 8 digits, so that a server never gets more time than
-// there is.
+// is left.
 func TimeoutField(d time.Duration) h2.Field {
 	text := ""
 	switch d = max(d, 0); {
@@ -110,29 +111,29 @@
 	return h2.Field{Name: "grpc-timeout", Value: text}
 }
 
-// MessageFraming follows the framing of the messages of gRPC (Length-Prefixed-Message) in a body that is received in pieces.
+// MessageFraming tracks the message framing of gRPC (Length-Prefixed-Message) in a body that is received in pieces.
 type MessageFraming struct {
 	MaxBytes  int64 // of a message; 0 for no limit
 	Started   int   // messages of which a byte has been received
 	Completed int   // messages that have been received completely
 
 	prefix      [prefixLength]byte
-	prefixBytes int   // received of the prefix
-	remaining   int64 // bytes of the message that have not been received
+	prefixBytes int   // number of prefix bytes that have been received
+	remaining   int64 // bytes of the current message that have not been received
 }
 
 // prefixLength is the length of the prefix of a message: a compression flag and the length of the message.
 const prefixLength = 5
 
-// Errors of a body.
+// Errors of a request body.
 var (
-	// ErrBadMessage is a body that is not a sequence of messages.
+	// ErrBadMessage means that the body is not a sequence of messages.
 	ErrBadMessage = errors.New("the message cannot be read")
-	// ErrMessageTooLong is a message of more than MaxBytes.
+	// ErrMessageTooLong means that a message is longer than MaxBytes.
 	ErrMessageTooLong = errors.New("the message is over the limit")
 )
 
-// Add follows the next piece of the body.
+// Add processes the next piece of the body.
 func (m *MessageFraming) Add(p []byte) error {
 	for len(p) > 0 {
 		if m.remaining > 0 {
--- a/internal/grpcfront/classify.go
+++ b/internal/grpcfront/classify.go
@@ -6,9 +6,9 @@
 	"milletmast/internal/h2"
 )
 
-// Classify returns the HTTP status and the outcome of a server's response. Last are its trailers, or its header list if there
-// are none. A response without a status of gRPC is classified by its HTTP status (http-grpc-status-mapping.md of gRPC); ok is
-// false for a success without a status of gRPC, which is a response that broke off.
+// Classify returns the HTTP status and the outcome of a server's response. last holds its trailers, or its header list if there
+// are none. A response without a gRPC status is classified by its HTTP status (http-grpc-status-mapping.md of gRPC); ok is
+// false for a success without a gRPC status, which is an incomplete response.
 func Classify(header, last []h2.Field) (status int, outcome Outcome, ok bool) {
 	if code, ok := parseCode(last); ok {
 		status, outcome = StatusOf(code)
@@ -22,7 +22,8 @@
 	return status, outcome, true
 }
 
-// IsMarkedNotExecuted reports whether a trailers-only response carries the mark of servers that have not executed the call.
+// IsMarkedNotExecuted reports whether a trailers-only response has the header field named by mark, with which a server declares that
+// it has not executed the call.
 func IsMarkedNotExecuted(header []h2.Field, mark string) bool {
 	if mark == "" || h2.FieldValue(header, mark) != "1" {
 		return false
@@ -31,8 +32,8 @@
 	return code == Unavailable || code == ResourceExhausted || code == DeadlineExceeded
 }
 
-// WithoutRetryHints changes a server's response of a failure so that the caller does not retry what may have been executed: it
-// has no hint to retry, and Unknown in place of a code that invites a retry.
+// WithoutRetryHints changes a server's failure response so that the caller does not retry a call that may have been executed:
+// it removes hints to retry, and replaces a code that allows a retry with Unknown.
 func WithoutRetryHints(r *Response, outcome Outcome) *Response {
 	last := &r.Trailers
 	if *last == nil {
--- a/internal/grpcfront/conn.go
+++ b/internal/grpcfront/conn.go
@@ -8,7 +8,7 @@
 	"milletmast/internal/h2"
 )
 
-// clientConn is one connection of a caller.
+// clientConn is one connection from a caller.
 type clientConn struct {
 	server     *Server
 	net        net.Conn
@@ -21,7 +21,7 @@
 	openCalls int
 }
 
-// acceptCall starts a goroutine for a call. The call is counted as long as it is open.
+// acceptCall starts a goroutine for a call, and counts the call while it is open. It returns false if the process has too many calls.
 func (c *clientConn) acceptCall(stream *h2.Stream, header []h2.Field, ended bool) bool {
 	if !c.server.options.AcquireCall() {
 		return false
@@ -35,6 +35,7 @@
 	return true
 }
 
+// addOpenCalls adds n to the open calls. The idle timer runs while there are none.
 func (c *clientConn) addOpenCalls(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/grpcfront/grpcfront_test.go
+++ b/internal/grpcfront/grpcfront_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 func TestTimeouts(t *testing.T) {
 	for text, want := range map[string]time.Duration{
@@ -36,45 +36,45 @@
 	}
 	for _, text := range []string{"", "5", "n", "-1n", "+1n", "1.5S", "100000000n", "1h", "1s", " 1S", "1 S", "0x1S"} {
 		if got, err := parseTimeout(text); err == nil {
-			t.Errorf("%q is read as %v", text, got)
+			t.Errorf("%q is parsed as %v", text, got)
 		}
 	}
 	for _, d := range []time.Duration{-5, 0, 1, 99_999_999, 100_000_000, time.Second, 3*time.Hour + 7, 100 * 24 * time.Hour, math.MaxInt64} {
 		f := TimeoutField(d)
 		got, err := parseTimeout(f.Value)
 		if err != nil || got > max(d, 0) || float64(got) < 0.99*float64(min(d, 99_999_999*time.Second)) {
-			t.Errorf("%v goes on as %s, which is %v, %v", d, f.Value, got, err)
+			t.Errorf("%v is sent as %s, which is %v, %v", d, f.Value, got, err)
 		}
 	}
 }
 
-// TestTable checks that the table holds every code once and that nothing which may have run is told in a way that asks to
-// try again.
-func TestTable(t *testing.T) {
+// TestStatusMapping checks that the table has each code once, and that no response to a call that may have been executed allows
+// the caller to retry.
+func TestStatusMapping(t *testing.T) {
 	for c := OK; c <= Unauthenticated; c++ {
 		n := 0
-		for _, r := range mappings {
-			if r.code == c {
+		for _, m := range mappings {
+			if m.code == c {
 				n++
 			}
 		}
-		status, fate := StatusOf(c)
+		status, outcome := StatusOf(c)
 		if n != 1 {
-			t.Errorf("code %d stands %d times in the table", c, n)
+			t.Errorf("code %d is %d times in the table", c, n)
 		}
-		if back := CodeOf(status); back != c && (StatusOfOnly(back) != status) {
+		if back := CodeOf(status); back != c && (httpStatusOf(back) != status) {
 			t.Errorf("code %d is %d, which is code %d", c, status, back)
 		}
-		if c == OK || fate == Served {
+		if c == OK || outcome == Served {
 			continue
 		}
-		got := WithoutRetryHints(&Response{Header: []h2.Field{{Name: ":status", Value: "200"}, {Name: "grpc-status", Value: strconv.Itoa(int(c))}, {Name: "grpc-retry-pushback-ms", Value: "5"}}}, fate)
+		got := WithoutRetryHints(&Response{Header: []h2.Field{{Name: ":status", Value: "200"}, {Name: "grpc-status", Value: strconv.Itoa(int(c))}, {Name: "grpc-retry-pushback-ms", Value: "5"}}}, outcome)
 		if h2.FieldValue(got.Header, "grpc-retry-pushback-ms") != "-1" || h2.FieldValue(got.Header, "grpc-status") == strconv.Itoa(int(Unavailable)) {
-			t.Errorf("a server's code %d is told as %v", c, got.Header)
+			t.Errorf("the response with a server's code %d becomes %v", c, got.Header)
 		}
 	}
-	if status, fate := StatusOf(4711); status != http.StatusBadGateway || fate != Failed {
-		t.Error(status, fate)
+	if status, outcome := StatusOf(4711); status != http.StatusBadGateway || outcome != Failed {
+		t.Error(status, outcome)
 	}
 	for status, want := range map[int]Code{200: OK, 400: InvalidArgument, 404: Unimplemented, 413: ResourceExhausted, 500: Internal, 502: Unknown, 503: Unavailable, 504: DeadlineExceeded, 302: InvalidArgument, 418: InvalidArgument, 599: Unknown} {
 		if got := CodeOf(status); got != want {
@@ -82,39 +82,39 @@
 		}
 	}
 	for _, w := range []struct {
-		reply    Response
+		response Response
 		pushback string
 	}{
 		{Response{Status: 503, RetryAfter: 1500 * time.Millisecond}, "1500"}, {Response{Status: 503}, ""}, {Response{Status: 502}, "-1"},
 		{Response{Status: 504}, "-1"}, {Response{Status: 400}, ""},
 	} {
-		fields := w.reply.statusTrailers()
+		fields := w.response.statusTrailers()
 		if got := h2.FieldValue(fields, "grpc-retry-pushback-ms"); got != w.pushback {
-			t.Errorf("%+v: pushback %q", w.reply, got)
+			t.Errorf("%+v: pushback %q", w.response, got)
 		}
-		if after := h2.FieldValue(fields, "retry-after"); w.reply.RetryAfter > 0 && after != "1.5" {
+		if after := h2.FieldValue(fields, "retry-after"); w.response.RetryAfter > 0 && after != "1.5" {
 			t.Error(after)
 		}
 	}
 }
 
-// StatusOfOnly is the status of a code.
-func StatusOfOnly(c Code) int {
+// httpStatusOf returns the HTTP status of a code.
+func httpStatusOf(c Code) int {
 	status, _ := StatusOf(c)
 	return status
 }
 
-func TestMessageWords(t *testing.T) {
+func TestStatusMessageIsPercentEncoded(t *testing.T) {
 	if got := encodeStatusMessage("50% of ä\n~"); got != "50%25 of %C3%A4%0A~" {
 		t.Error(got)
 	}
 }
 
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	for _, c := range []struct {
 		http, grpc string
 		status     int
-		fate       Outcome
+		outcome    Outcome
 		ok         bool
 	}{
 		{"200", "0", 200, Served, true}, {"200", "5", 404, Served, true}, {"200", "14", 503, FailedRetriable, true}, {"200", "13", 500, Failed, true},
@@ -126,17 +126,17 @@
 		if c.grpc != "" {
 			last = []h2.Field{{Name: "grpc-status", Value: c.grpc}}
 		}
-		if status, fate, ok := Classify(head, last); status != c.status || fate != c.fate || ok != c.ok {
-			t.Errorf("%s/%s: %d, %d, %v", c.http, c.grpc, status, fate, ok)
+		if status, outcome, ok := Classify(head, last); status != c.status || outcome != c.outcome || ok != c.ok {
+			t.Errorf("HTTP %s, gRPC %s: %d, %d, %v", c.http, c.grpc, status, outcome, ok)
 		}
 	}
 	mark := []h2.Field{{Name: "grpc-status", Value: "14"}, {Name: "x-not-run", Value: "1"}}
 	if !IsMarkedNotExecuted(mark, "x-not-run") || IsMarkedNotExecuted(mark, "") || IsMarkedNotExecuted(mark, "x-other") || IsMarkedNotExecuted([]h2.Field{{Name: "grpc-status", Value: "13"}, {Name: "x-not-run", Value: "1"}}, "x-not-run") {
-		t.Error("the mark is not read as it should be")
+		t.Error("IsMarkedNotExecuted returned a wrong result")
 	}
 }
 
-// FuzzMessages splits a body at every byte: what is followed must not depend on the pieces, and what was framed is found.
+// FuzzMessages adds a body in pieces of one size. The result must not depend on the size, and must agree with a simple parser.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte{}, 1)
 	f.Add(fakeserver.GRPCMessage("hello"), 2)
@@ -147,18 +147,18 @@
 		if step < 1 || len(body) > 1<<12 {
 			return
 		}
-		whole, pieces := MessageFraming{MaxBytes: 1000}, MessageFraming{MaxBytes: 1000}
-		want := whole.Add(body)
+		atOnce, pieces := MessageFraming{MaxBytes: 1000}, MessageFraming{MaxBytes: 1000}
+		want := atOnce.Add(body)
 		var got error
 		for rest := body; len(rest) > 0 && got == nil; {
 			n := min(step, len(rest))
 			got = pieces.Add(rest[:n])
 			rest = rest[n:]
 		}
-		if fmt.Sprint(want) != fmt.Sprint(got) || want == nil && pieces != whole {
-			t.Fatalf("%v and %v, %+v and %+v", want, got, whole, pieces)
+		if fmt.Sprint(want) != fmt.Sprint(got) || want == nil && pieces != atOnce {
+			t.Fatalf("%v and %v, %+v and %+v", want, got, atOnce, pieces)
 		}
-		if want == nil { // a count by hand
+		if want == nil { // count the messages with a simple parser
 			n, at := 0, 0
 			for at+5 <= len(body) {
 				length := int(body[at+1])<<24 | int(body[at+2])<<16 | int(body[at+3])<<8 | int(body[at+4])
@@ -167,14 +167,14 @@
 				}
 				n, at = n+1, at+5+length
 			}
-			if whole.Completed != n || whole.AtBoundary() != (at == len(body)) {
-				t.Fatalf("%d messages of %d, between %v", whole.Completed, n, whole.AtBoundary())
+			if atOnce.Completed != n || atOnce.AtBoundary() != (at == len(body)) {
+				t.Fatalf("%d messages, want %d; at a boundary: %v", atOnce.Completed, n, atOnce.AtBoundary())
 			}
 		}
 	})
 }
 
-// FuzzTimeout reads any text; what is read is written again as no more.
+// FuzzTimeout checks that a parsed timeout never becomes longer when it is sent again.
 func FuzzTimeout(f *testing.F) {
 	for _, s := range []string{"0n", "1H", "99999999H", "12345678m", "x", "1"} {
 		f.Add(s)
@@ -185,46 +185,47 @@
 			return
 		}
 		if again, err := parseTimeout(TimeoutField(d).Value); err != nil || again > d {
-			t.Errorf("%q is %v and goes on as %v, %v", text, d, again, err)
+			t.Errorf("%q is %v and is sent as %v, %v", text, d, again, err)
 		}
 	})
 }
 
-// core is a core whose calls a test decides on.
-type core struct {
-	plan  plan
-	reply *Response
-	away  bool
-	mu    sync.Mutex
+// fakeRouter responds to each call with response, or accepts it as a copy of call if response is nil.
+type fakeRouter struct {
+	call       fakeCall
+	response   *Response
+	notServing bool
+	mu         sync.Mutex
 }
 
-func (c *core) Route(*Call) (RoutedCall, *Response) {
-	if c.reply != nil {
-		return nil, c.reply
+func (c *fakeRouter) Route(*Call) (RoutedCall, *Response) {
+	if c.response != nil {
+		return nil, c.response
 	}
-	p := c.plan
-	return &p, nil
+	call := c.call
+	return &call, nil
 }
 
-func (c *core) IsServing() bool {
+func (c *fakeRouter) IsServing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.away
+	return !c.notServing
 }
 
-type plan struct {
-	stream bool
-	wait   time.Duration
-	do     func(ctx context.Context, r *Request) *Response
+// fakeCall is a RoutedCall that is executed by a function.
+type fakeCall struct {
+	streaming      bool
+	requestTimeout time.Duration
+	execute        func(ctx context.Context, r *Request) *Response
 }
 
-func (p *plan) IsStreaming() bool                                 { return p.stream }
-func (p *plan) RequestTimeout() time.Duration                     { return p.wait }
-func (p *plan) MaxMessageBytes() int64                            { return 100_000 }
-func (p *plan) Execute(ctx context.Context, r *Request) *Response { return p.do(ctx, r) }
-func (p *plan) Close()                                            {}
+func (p *fakeCall) IsStreaming() bool                                 { return p.streaming }
+func (p *fakeCall) RequestTimeout() time.Duration                     { return p.requestTimeout }
+func (p *fakeCall) MaxMessageBytes() int64                            { return 100_000 }
+func (p *fakeCall) Execute(ctx context.Context, r *Request) *Response { return p.execute(ctx, r) }
+func (p *fakeCall) Close()                                            {}
 
-// serve runs a front on one connection, and gives the caller's side of it.
+// serve runs a server on one connection, and returns the caller's side of it.
 func serve(t testing.TB, c Router, opt Options) (*Server, *fakeserver.FrameConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -251,14 +252,15 @@
 	return f, peer
 }
 
-func ends(id uint32) func(fakeserver.Frame) bool {
+// streamEnds returns a condition that holds for the last frame of a stream.
+func streamEnds(id uint32) func(fakeserver.Frame) bool {
 	return func(f fakeserver.Frame) bool {
 		return f.Stream == id && (f.EndStream || f.Type == http2.FrameRSTStream)
 	}
 }
 
-func TestHeadsThatAreNoCalls(t *testing.T) {
-	_, peer := serve(t, &core{reply: &Response{Status: 404}}, Options{})
+func TestInvalidCallHeaders(t *testing.T) {
+	_, peer := serve(t, &fakeRouter{response: &Response{Status: 404}}, Options{})
 	for n, c := range []struct {
 		pairs        []string
 		status, code string
@@ -273,7 +275,7 @@
 	} {
 		id := uint32(2*n + 1)
 		_ = peer.SendHeaders(id, true, c.pairs...)
-		all, err := peer.ReadUntil(patience, ends(id))
+		all, err := peer.ReadUntil(testTimeout, streamEnds(id))
 		if err != nil {
 			t.Fatal(c.pairs, err)
 		}
@@ -283,96 +285,96 @@
 	}
 }
 
-// TestRequestsAreHeldOrNot sends requests in pieces, and looks at what the core is handed.
-func TestRequestsAreHeldOrNot(t *testing.T) {
-	type seen struct {
-		bytes      int
-		rest, once bool
-	}
-	got := make(chan seen, 1)
-	c := &core{plan: plan{wait: patience, do: func(ctx context.Context, r *Request) *Response {
-		s := seen{rest: r.Stream != nil, once: r.NotRepeatable}
+// TestRequestBuffering sends requests in pieces, and checks which of them the router gets complete.
+func TestRequestBuffering(t *testing.T) {
+	type received struct {
+		bytes                   int
+		streamed, notRepeatable bool
+	}
+	got := make(chan received, 1)
+	router := &fakeRouter{call: fakeCall{requestTimeout: testTimeout, execute: func(ctx context.Context, r *Request) *Response {
+		s := received{streamed: r.Stream != nil, notRepeatable: r.NotRepeatable}
 		for _, chunk := range r.Body {
 			s.bytes += len(chunk)
 		}
 		got <- s
 		return &Response{Status: 502}
 	}}}
-	_, peer := serve(t, c, Options{})
+	_, peer := serve(t, router, Options{})
 	long := fakeserver.GRPCMessage(strings.Repeat("x", 90_000))
 	id := uint32(1)
-	for name, play := range map[string]struct {
+	for name, c := range map[string]struct {
 		send func()
-		want seen
+		want received
 	}{
-		"one message with the end": {func() { _ = peer.WriteData(id, true, fakeserver.GRPCMessage("hello")) }, seen{10, false, false}},
-		"no message":               {func() { _ = peer.WriteData(id, true, nil) }, seen{0, false, false}},
+		"one message with the end": {func() { _ = peer.WriteData(id, true, fakeserver.GRPCMessage("hello")) }, received{10, false, false}},
+		"no message":               {func() { _ = peer.WriteData(id, true, nil) }, received{0, false, false}},
 		"in pieces, slowly": {func() {
 			for n, b := range fakeserver.GRPCMessage("hello") {
 				_ = peer.WriteData(id, n == 9, []byte{b})
 				time.Sleep(2 * endOfRequestTimeout)
 			}
-		}, seen{10, false, false}},
+		}, received{10, false, false}},
 		"two messages at once": {func() {
 			_ = peer.WriteData(id, true, append(fakeserver.GRPCMessage("a"), fakeserver.GRPCMessage("b")...))
-		}, seen{12, false, true}},
-		"one message, and no end": {func() { _ = peer.WriteData(id, false, fakeserver.GRPCMessage("hello")) }, seen{10, true, false}},
-		"a head and nothing more": {func() {}, seen{0, true, false}},
-		"more than is held":       {func() { send(peer, id, long, false) }, seen{0, true, false}},
+		}, received{12, false, true}},
+		"one message, and no end":        {func() { _ = peer.WriteData(id, false, fakeserver.GRPCMessage("hello")) }, received{10, true, false}},
+		"a header list and nothing more": {func() {}, received{0, true, false}},
+		"more than is buffered":          {func() { send(peer, id, long, false) }, received{0, true, false}},
 	} {
 		_ = peer.SendCall(id, "/a.B/C", false)
-		play.send()
+		c.send()
 		select {
 		case s := <-got:
-			if name == "more than is held" {
+			if name == "more than is buffered" {
 				if s.bytes <= maxBufferedBytes || s.bytes > maxBufferedBytes+16<<10 {
-					t.Errorf("%d bytes were held", s.bytes)
+					t.Errorf("%d bytes were buffered", s.bytes)
 				}
 				s.bytes = 0
 			}
-			if s != play.want {
+			if s != c.want {
 				t.Errorf("%s: %+v", name, s)
 			}
-		case <-time.After(patience):
-			t.Fatal(name, "never came")
+		case <-time.After(testTimeout):
+			t.Fatal(name, "was not executed")
 		}
-		if _, err := peer.ReadUntil(patience, ends(id)); err != nil {
+		if _, err := peer.ReadUntil(testTimeout, streamEnds(id)); err != nil {
 			t.Fatal(name, err)
 		}
 		id += 2
 	}
 }
 
-// send writes a long body in frames; the windows suffice.
+// send writes a long body in several frames. It waits between them instead of tracking flow control windows.
 func send(peer *fakeserver.FrameConn, id uint32, body []byte, end bool) {
 	for len(body) > 0 {
 		n := min(len(body), 10_000)
 		_ = peer.WriteData(id, end && n == len(body), body[:n])
 		body = body[n:]
-		time.Sleep(time.Millisecond) // windows open meanwhile
+		time.Sleep(time.Millisecond) // so that windows are opened meanwhile
 	}
 }
 
-func TestUnsoundMessages(t *testing.T) {
-	reached := make(chan struct{}, 10)
-	c := &core{plan: plan{wait: patience, do: func(ctx context.Context, r *Request) *Response {
-		reached <- struct{}{}
+func TestMalformedMessages(t *testing.T) {
+	executed := make(chan struct{}, 10)
+	router := &fakeRouter{call: fakeCall{requestTimeout: testTimeout, execute: func(ctx context.Context, r *Request) *Response {
+		executed <- struct{}{}
 		return &Response{Status: 502}
 	}}}
-	_, peer := serve(t, c, Options{})
+	_, peer := serve(t, router, Options{})
 	id := uint32(1)
 	for _, k := range []struct {
 		body []byte
 		code string
 	}{
-		{fakeserver.GRPCMessage("hello")[:8], "3"},    // the prefix tells more than follows
+		{fakeserver.GRPCMessage("hello")[:8], "3"},    // the body is shorter than the prefix says
 		{[]byte{0, 0, 0}, "3"},                        // half a prefix
 		{[]byte{7, 0, 0, 0, 1, 'x'}, "3"},             // an unknown flag
-		{[]byte{0, 0x7f, 0xff, 0xff, 0xff, 'x'}, "8"}, // over the bound
+		{[]byte{0, 0x7f, 0xff, 0xff, 0xff, 'x'}, "8"}, // over the limit
 	} {
 		_ = peer.SendCall(id, "/a.B/C", false)
 		_ = peer.WriteData(id, true, k.body)
-		all, err := peer.ReadUntil(patience, ends(id))
+		all, err := peer.ReadUntil(testTimeout, streamEnds(id))
 		if err != nil {
 			t.Fatal(k.body, err)
 		}
@@ -381,67 +383,67 @@
 		}
 		id += 2
 	}
-	if len(reached) != 0 {
-		t.Error("the core was asked")
+	if len(executed) != 0 {
+		t.Error("a malformed request was executed")
 	}
-	c.plan.wait = 50 * time.Millisecond
+	router.call.requestTimeout = 50 * time.Millisecond
 	_ = peer.SendCall(id, "/a.B/C", false)
-	_ = peer.WriteData(id, false, []byte{0, 0}) // and no more
-	all, err := peer.ReadUntil(patience, ends(id))
+	_ = peer.WriteData(id, false, []byte{0, 0}) // the rest never arrives
+	all, err := peer.ReadUntil(testTimeout, streamEnds(id))
 	if code := fakeserver.FieldValue(all, id, "grpc-status"); err != nil || code != "4" {
 		t.Error(code, err)
 	}
 }
 
-func TestCallerThatLeaves(t *testing.T) {
-	left := make(chan error, 1)
-	c := &core{plan: plan{wait: patience, do: func(ctx context.Context, r *Request) *Response {
+func TestResetByCallerCancelsCall(t *testing.T) {
+	cause := make(chan error, 1)
+	router := &fakeRouter{call: fakeCall{requestTimeout: testTimeout, execute: func(ctx context.Context, r *Request) *Response {
 		<-ctx.Done()
-		left <- context.Cause(ctx)
+		cause <- context.Cause(ctx)
 		return nil
 	}}}
-	_, peer := serve(t, c, Options{})
+	_, peer := serve(t, router, Options{})
 	_ = peer.SendCall(1, "/a.B/C", false)
 	_ = peer.WriteData(1, true, fakeserver.GRPCMessage("x"))
 	_ = peer.WriteRSTStream(1, http2.ErrCodeCancel)
 	var reset *h2.ResetError
-	if err := <-left; !errors.As(err, &reset) || reset.Code != http2.ErrCodeCancel {
+	if err := <-cause; !errors.As(err, &reset) || reset.Code != http2.ErrCodeCancel {
 		t.Error(err)
 	}
 }
 
-// TestAnswersThatNobodyTakes has a caller open calls and read none of the answers: each ends soon, and the next caller on
-// the connection is served.
-func TestAnswersThatNobodyTakes(t *testing.T) {
+// TestUnreadResponsesAreDropped opens many calls and reads none of the responses. Each call must be reset soon after the flush
+// timeout, so that it holds no memory and no slot of the connection.
+func TestUnreadResponsesAreDropped(t *testing.T) {
 	big := make([]byte, 60_000)
-	c := &core{plan: plan{wait: patience, do: func(ctx context.Context, r *Request) *Response {
+	router := &fakeRouter{call: fakeCall{requestTimeout: testTimeout, execute: func(ctx context.Context, r *Request) *Response {
 		return &Response{Status: 200, Header: []h2.Field{{Name: ":status", Value: "200"}}, Body: [][]byte{big}, Trailers: []h2.Field{{Name: "grpc-status", Value: "0"}}}
 	}}}
-	_, peer := serve(t, c, Options{MaxConcurrentCalls: 1000, FlushTimeout: 200 * time.Millisecond})
+	_, peer := serve(t, router, Options{MaxConcurrentCalls: 1000, FlushTimeout: 200 * time.Millisecond})
 	for n := range uint32(1000) {
 		_ = peer.SendCall(2*n+1, "/a.B/C", false)
 		_ = peer.WriteData(2*n+1, true, fakeserver.GRPCMessage("x"))
 	}
-	begun := time.Now()
+	start := time.Now()
 	ended := map[uint32]bool{}
-	_, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool {
+	_, err := peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool {
 		if f.Type == http2.FrameRSTStream {
 			ended[f.Stream] = true
 		}
-		return len(ended) >= 999 // the first may have fitted into the window
+		return len(ended) >= 999 // the first response may have fitted into the window
 	})
-	if took := time.Since(begun); err != nil || took > time.Second {
+	if took := time.Since(start); err != nil || took > time.Second {
 		t.Error(len(ended), took, err)
 	}
 }
 
 func TestHealth(t *testing.T) {
-	c := &core{}
-	f, peer := serve(t, c, Options{})
+	router := &fakeRouter{}
+	f, peer := serve(t, router, Options{})
 	check := func(id uint32, request string) (message, code string) {
 		_ = peer.SendCall(id, healthPrefix+"Check", false)
 		_ = peer.WriteData(id, true, fakeserver.GRPCMessage(request))
-		all, err := peer.ReadUntil(patience, ends(id))
+		all, err := peer.ReadUntil(testTimeout, streamEnds(id))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -471,33 +473,33 @@
 			return f.Stream == 9 && string(f.Data) == "\x00\x00\x00\x00\x02\x08"+want
 		}
 	}
-	if _, err := peer.ReadUntil(patience, message("\x01")); err != nil {
+	if _, err := peer.ReadUntil(testTimeout, message("\x01")); err != nil {
 		t.Fatal(err)
 	}
-	c.mu.Lock()
-	c.away = true
-	c.mu.Unlock()
+	router.mu.Lock()
+	router.notServing = true
+	router.mu.Unlock()
 	f.HealthChanged()
-	if _, err := peer.ReadUntil(patience, message("\x02")); err != nil {
+	if _, err := peer.ReadUntil(testTimeout, message("\x02")); err != nil {
 		t.Fatal(err)
 	}
 	if m, _ := check(11, ""); !strings.HasSuffix(m, "\x02") {
 		t.Errorf("%q", m)
 	}
 	f.CancelStreams()
-	all, err := peer.ReadUntil(patience, ends(9))
+	all, err := peer.ReadUntil(testTimeout, streamEnds(9))
 	if code := fakeserver.FieldValue(all, 9, "grpc-status"); err != nil || code != "2" {
 		t.Error(code, err)
 	}
 }
 
-// TestIdleConnectionIsEnded waits for the GOAWAY that a connection without calls gets.
-func TestIdleConnectionIsEnded(t *testing.T) {
-	_, peer := serve(t, &core{reply: &Response{Status: 404}}, Options{IdleTimeout: 50 * time.Millisecond})
-	if _, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Type == http2.FrameGoAway && f.Code == http2.ErrCodeNo }); err != nil {
+// TestIdleConnectionIsDrained checks that a connection without calls gets a GOAWAY and is closed.
+func TestIdleConnectionIsDrained(t *testing.T) {
+	_, peer := serve(t, &fakeRouter{response: &Response{Status: 404}}, Options{IdleTimeout: 50 * time.Millisecond})
+	if _, err := peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool { return f.Type == http2.FrameGoAway && f.Code == http2.ErrCodeNo }); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return false }); !errors.Is(err, io.EOF) {
+	if _, err := peer.ReadUntil(testTimeout, func(f fakeserver.Frame) bool { return false }); !errors.Is(err, io.EOF) {
 		t.Error(err)
 	}
 }
--- a/internal/grpcfront/handler.go
+++ b/internal/grpcfront/handler.go
@@ -17,18 +17,19 @@
 type Router interface {
 	// Route decides on a call by its header list: it returns either a final response or a call to execute.
 	Route(c *Call) (RoutedCall, *Response)
-	// IsServing reports whether calls are welcome. It is the result of health checks.
+	// IsServing reports whether calls are accepted. Health checks return it.
 	IsServing() bool
 }
 
 // RoutedCall is a call that the router has accepted.
 type RoutedCall interface {
-	IsStreaming() bool             // the call is forwarded at its header list, without waiting for the request
+	IsStreaming() bool             // the call is forwarded as soon as its header list is received
 	RequestTimeout() time.Duration // for the request to arrive and the response to start, unless the call is streaming
-	MaxMessageBytes() int64        // of a message of the request
-	// Execute returns the one final response; nil if ctx ended before, as when the caller has left.
+	MaxMessageBytes() int64        // limit of one message of the request
+	// Execute returns the one final response; nil if ctx ended before, for example as the caller has
+	// reset the stream.
 	Execute(ctx context.Context, r *Request) *Response
-	// Close is called once, when the call has been answered or given up.
+	// Close is called once, when the call has ended with or without a response.
 	Close()
 }
 
@@ -36,7 +37,7 @@
 func (s *Server) handleCall(stream *h2.Stream, header []h2.Field, ended bool, remoteHost string) {
 	ctx, cancel := context.WithCancelCause(s.streamContext)
 	defer cancel(nil)
-	stream.OnError(cancel) // the caller leaves
+	stream.OnError(cancel) // the caller has reset the stream or disconnected
 	call, status, reason := parseCall(header)
 	call.RemoteHost = remoteHost
 	switch {
@@ -71,7 +72,8 @@
 	s.respond(ctx, stream, response)
 }
 
-// execute reads the request of a routed call and executes it. It returns nil if the caller has left.
+// execute reads the request of a routed call and executes it. It returns nil if the caller has reset the stream or
+// disconnected.
 func (s *Server) execute(ctx context.Context, stream *h2.Stream, routed RoutedCall, ended bool) *Response {
 	request, err := readRequest(ctx, stream, routed, ended)
 	if err == nil {
@@ -83,7 +85,7 @@
 	return nil
 }
 
-// requestError is the response to a request that could not be read.
+// requestError returns the response to a request that could not be read.
 func requestError(err error) *Response {
 	switch {
 	case errors.Is(err, ErrMessageTooLong):
@@ -99,20 +101,20 @@
 // respondNotGRPC responds to a request that is not a gRPC call (PROTOCOL-HTTP2.md, "Requests").
 func (s *Server) respondNotGRPC(ctx context.Context, stream *h2.Stream, status int) {
 	_ = stream.SendHeader([]h2.Field{{Name: ":status", Value: strconv.Itoa(status)}}, true)
-	_ = stream.WaitSent(ctx, s.options.FlushTimeout) // nothing else is owed to a caller that does not read
+	_ = stream.WaitSent(ctx, s.options.FlushTimeout) // if the caller does not read, the response is dropped
 }
 
-// readRequest reads the request: as a whole if it is short and ends soon behind its one message, else its first part.
+// readRequest reads the request: all of it if it is short and ends soon after its one message, otherwise its first part.
 func readRequest(ctx context.Context, stream *h2.Stream, routed RoutedCall, ended bool) (*Request, error) {
 	rest := &RequestStream{stream: stream, framing: MessageFraming{MaxBytes: routed.MaxMessageBytes()}}
 	r := &Request{Stream: rest}
 	if routed.IsStreaming() {
 		return r, nil
 	}
-	waits := false // most requests have arrived with their header list, and need no timer
+	timerSet := false // most requests have arrived with their header list, and need no timer
 	for bytes := 0; bytes <= maxBufferedBytes; {
-		if !waits && !stream.IsReadable() {
-			waits = true
+		if !timerSet && !stream.IsReadable() {
+			timerSet = true
 			limited, cancel := context.WithTimeout(ctx, routed.RequestTimeout())
 			defer cancel()
 			ctx = limited
--- a/internal/grpcfront/health.go
+++ b/internal/grpcfront/health.go
@@ -22,10 +22,10 @@
 	healthServiceUnknown = 3
 )
 
-// maxHealth bounds a HealthCheckRequest.
+// maxHealthRequestBytes is the maximum length of a HealthCheckRequest.
 const maxHealthRequestBytes = 1 << 10
 
-// handleHealth answers a call of grpc.health.v1. The service "" is the sidecar; it knows no others.
+// handleHealth responds to a call of grpc.health.v1. The service "" is the sidecar; there are no others.
 func (s *Server) handleHealth(ctx context.Context, stream *h2.Stream, call *Call) {
 	method := call.Path[len(healthPrefix):]
 	if method != "Check" && method != "Watch" {
@@ -56,7 +56,8 @@
 	}
 }
 
-// watchHealth sends the state and each change of it, until the caller leaves or the server shuts down. It returns why it ended.
+// watchHealth sends the serving status and each change of it, until the caller disconnects or the server shuts down. It returns
+// why it ended.
 func (s *Server) watchHealth(ctx context.Context, stream *h2.Stream, service string) error {
 	changed := make(chan struct{}, 1)
 	s.mu.Lock()
@@ -86,6 +87,7 @@
 	}
 }
 
+// healthStatus returns the serving status of the sidecar.
 func (s *Server) healthStatus() int {
 	s.mu.Lock()
 	draining := s.draining
@@ -96,7 +98,7 @@
 	return healthServing
 }
 
-// notifyWatchers has the watching health checks read the state again. The mutex is held.
+// notifyWatchers makes the open Watch calls read the serving status again. The mutex is held.
 func (s *Server) notifyWatchers() {
 	for watcher := range s.watchers {
 		select {
@@ -119,7 +121,7 @@
 			return "", ErrMessageTooLong
 		}
 	}
-	if body[0] != 0 { // compressed, which was not negotiated
+	if body[0] != 0 { // compressed, although no compression was negotiated
 		return "", ErrBadMessage
 	}
 	length := binary.BigEndian.Uint32(body[1:prefixLength])
--- a/internal/grpcfront/request.go
+++ b/internal/grpcfront/request.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	maxBufferedBytes    = 64 << 10               // of a request that is buffered as a whole
-	endOfRequestTimeout = 5 * time.Millisecond   // from a complete message to the end of the request, if it is the only message
+	maxBufferedBytes    = 64 << 10               // of a request that is buffered completely
+	endOfRequestTimeout = 5 * time.Millisecond   // from the first complete message to the end of the request
 	firstByteTimeout    = 100 * time.Millisecond // from the header list to the first byte, unless the call is streaming
 )
 
 // Request is the request of a call.
 type Request struct {
 	Body          [][]byte       // what has been received; it must not be modified
-	Stream        *RequestStream // the rest; nil if Body is all
-	NotRepeatable bool           // it has several messages, and may be sent to a server once only
+	Stream        *RequestStream // the rest; nil if Body is complete
+	NotRepeatable bool           // it has several messages, and may be sent to a server only once
 }
 
 // RequestStream is a request that is still being received.
@@ -32,8 +32,8 @@
 	err error
 }
 
-// Recv waits for the next bytes. The end of the request is io.EOF. A request that is not a sequence of messages, or has one
-// that is too long, fails with an error that ends the call.
+// Recv waits for the next bytes. It returns io.EOF at the end of the request. A request that is not a sequence of
+// messages, or has one that is too long, fails with an error that ends the call.
 func (r *RequestStream) Recv(ctx context.Context) ([]byte, error) {
 	chunk, err := r.stream.Recv(ctx)
 	if err == nil {
@@ -60,11 +60,11 @@
 	return nil
 }
 
-// errMoreToCome says that a request cannot be buffered as a whole.
+// errMoreToCome means that a request cannot be buffered completely.
 var errMoreToCome = errors.New("the request goes on")
 
-// recvSoon waits for more of a request that may be buffered as a whole. Within a message it waits as Recv does; behind a
-// complete one, only as long as a client needs to end the request.
+// recvSoon waits for more of a request that may be buffered completely. Within a message it waits like Recv; after a complete
+// message, only as long as a client needs to end the request.
 func (r *RequestStream) recvSoon(ctx context.Context, ended bool) ([]byte, error) {
 	if r.framing.prefixBytes > 0 || ended || r.stream.IsReadable() {
 		return r.Recv(ctx)
@@ -73,10 +73,10 @@
 	if r.framing.Completed > 0 {
 		timeout = endOfRequestTimeout
 	}
-	short, cancel := context.WithTimeoutCause(ctx, timeout, errMoreToCome)
+	limited, cancel := context.WithTimeoutCause(ctx, timeout, errMoreToCome)
 	defer cancel()
-	chunk, err := r.Recv(short)
-	timedOut := errors.Is(context.Cause(short), errMoreToCome) && ctx.Err() == nil
+	chunk, err := r.Recv(limited)
+	timedOut := errors.Is(context.Cause(limited), errMoreToCome) && ctx.Err() == nil
 	if err != nil && !errors.Is(err, io.EOF) && timedOut {
 		return nil, errMoreToCome
 	}
--- a/internal/grpcfront/response.go
+++ b/internal/grpcfront/response.go
@@ -15,36 +15,36 @@
 
 // Response is a final response. It is the sidecar's own if Header is nil, and a server's otherwise.
 //
-// Functions here queue frames of a stream without looking at the error: it is an error of the stream, which WaitSent, Recv or
-// the next Send return.
+// Functions in this file queue frames of a stream and ignore the error: it is an error of the stream, which WaitSent, Recv or
+// the next Send returns.
 type Response struct {
-	// Of the sidecar's own responses.
+	// Fields of the sidecar's own responses.
 	Status        int           // the HTTP status; CodeOf gives the code of gRPC
-	Message       string        // empty for the usual one of the status
+	Message       string        // empty for the default message of the status
 	RetryAfter    time.Duration // 0 for none
-	ExtraTrailers []h2.Field    // beside those of the status
+	ExtraTrailers []h2.Field    // in addition to those of the status
 
-	// Of a server's response.
+	// Fields of a server's response.
 	Interim      [][]h2.Field // header lists of 1xx responses before it
 	Header       []h2.Field
 	Body         [][]byte
-	Trailers     []h2.Field    // nil if there are none, or if Stream gives them
-	Stream       *h2.Stream    // the rest; nil if Body is all
-	Deadline     time.Time     // of the rest
-	StallTimeout time.Duration // a caller that reads nothing for so long is given up; 0 = Options.StreamStallTimeout
-	// OnEnd is called with the end of the rest: nil if it is complete, ErrClientGone if the caller did not read it, or the error
-	// of Stream.
+	Trailers     []h2.Field    // nil if there are none, or if Stream provides them
+	Stream       *h2.Stream    // the rest; nil if Body is complete
+	Deadline     time.Time     // for the rest
+	StallTimeout time.Duration // the stream is reset if the caller reads nothing for it; 0 = Options.StreamStallTimeout
+	// OnEnd is called when the rest has ended: with nil if it is complete, ErrClientGone if the caller did not read it, or the
+	// error of Stream.
 	OnEnd func(error)
 }
 
 // Errors of a response.
 var (
-	// ErrClientGone is a caller that does not read its response.
-	ErrClientGone = errors.New("the caller does not take it")
-	// ErrDeadline is a response that has been streamed for as long as it may.
+	// ErrClientGone means that the caller does not read its response or has disconnected.
+	ErrClientGone = errors.New("the caller does not read the response")
+	// ErrDeadline means that the deadline of a streamed response has passed.
 	ErrDeadline = errors.New("the time for the call is over")
 
-	errClientStalled = errors.New("the caller takes nothing")
+	errClientStalled = errors.New("the caller has stopped reading the response")
 )
 
 // respond sends the final response of a call.
@@ -53,7 +53,7 @@
 		r.OnEnd(s.streamResponse(ctx, stream, r))
 		return
 	}
-	// A shutdown does not cancel a final response. A caller that has left is an error of the stream.
+	// A shutdown does not cancel a final response. If the caller has disconnected, the stream has an error.
 	ctx = context.WithoutCancel(ctx)
 	if r.Header == nil {
 		_ = stream.SendHeader(append(okHeader(), r.statusTrailers()...), true)
@@ -84,7 +84,7 @@
 	_ = stream.SendHeader(r.Header, r.Trailers == nil && r.Stream == nil && len(r.Body) == 0)
 }
 
-// statusTrailers returns the trailers of a response of the sidecar's own.
+// statusTrailers returns the trailers of one of the sidecar's own responses.
 func (r *Response) statusTrailers() []h2.Field {
 	code := CodeOf(r.Status)
 	notExecuted := r.Status == http.StatusServiceUnavailable
@@ -97,7 +97,7 @@
 	return append(trailers, r.ExtraTrailers...)
 }
 
-// defaultMessages say what a status of the sidecar's own means.
+// defaultMessages are the grpc-message texts of the sidecar's own responses.
 var defaultMessages = map[Code]string{
 	Unavailable:      "refused by the sidecar: a retry does no harm",
 	Unknown:          "the call failed and may have run",
@@ -137,7 +137,7 @@
 
 // sendChunk sends bytes, and fails if the caller reads nothing for the stall timeout.
 func sendChunk(ctx context.Context, stream *h2.Stream, chunk []byte, stallTimeout time.Duration) error {
-	if stream.TrySend(chunk) { // usually, and without a timer
+	if stream.TrySend(chunk) { // the usual case, without a timer
 		return nil
 	}
 	ctx, cancel := context.WithTimeoutCause(ctx, stallTimeout, errClientStalled)
@@ -148,7 +148,7 @@
 // abortResponse ends a response that has started and cannot be completed, with a status if the caller can still receive one. It
 // returns the error for Response.OnEnd.
 func (s *Server) abortResponse(stream *h2.Stream, err error) error {
-	if stream.Err() != nil { // the caller has left
+	if stream.Err() != nil { // the caller has reset the stream or disconnected
 		return ErrClientGone
 	}
 	code, message, result := Unknown, "the server's answer broke off", err
--- a/internal/grpcfront/server.go
+++ b/internal/grpcfront/server.go
@@ -1,9 +1,9 @@
-// Package grpcfront accepts gRPC calls over HTTP/2 from callers and gives each call exactly one final response. It knows the
-// framing and the status codes of gRPC (PROTOCOL-HTTP2.md of gRPC). A Router decides what becomes of a call by its header list,
-// and then of its request. Calls pass as bytes: no message descriptors are needed.
+// Package grpcfront accepts gRPC calls over HTTP/2 from callers and sends each call exactly one final response. It implements the
+// framing and the status codes of gRPC (PROTOCOL-HTTP2.md of gRPC). A Router routes a call by its header list and executes its
+// request. Messages are forwarded as bytes: no message descriptors are needed.
 //
-// server.go and conn.go own the connections, handler.go the way of one call, request.go and response.go its two directions,
-// status.go the mapping between the codes of gRPC and HTTP, health.go the health service.
+// server.go and conn.go handle connections, handler.go handles one call, request.go and response.go its two directions, status.go
+// maps the codes of gRPC and HTTP, and health.go implements the health service.
 package grpcfront
 
 import (
@@ -21,11 +21,11 @@
 type Options struct {
 	MaxConcurrentCalls uint32                      // of one connection
 	IdleTimeout        time.Duration               // a connection without a call is closed after it
-	FlushTimeout       time.Duration               // a buffered response of which the caller reads nothing for so long is dropped
-	StreamStallTimeout time.Duration               // likewise of a response that is streamed
-	AcquireCall        func() bool                 // counts one more call of the process; false if there are too many. May be nil
-	ReleaseCall        func()                      // counts one less; nil if and only if AcquireCall is
-	OnBusyChange       func(n net.Conn, busy bool) // a connection has its first open call, or none any more; may be nil
+	FlushTimeout       time.Duration               // a buffered response is dropped if the caller reads nothing for it
+	StreamStallTimeout time.Duration               // a streamed response is aborted if the caller reads nothing for it
+	AcquireCall        func() bool                 // adds an open call of the process; false if there are too many. May be nil
+	ReleaseCall        func()                      // removes an open call; nil if and only if AcquireCall is
+	OnBusyChange       func(n net.Conn, busy bool) // a connection has its first open call, or none anymore; may be nil
 }
 
 // Defaults of Options.
@@ -57,7 +57,7 @@
 	}
 }
 
-// ErrShuttingDown is why a call that still streams is cancelled at the end of the process.
+// ErrShuttingDown is the cause with which CancelStreams cancels calls at the end of the process.
 var ErrShuttingDown = errors.New("the sidecar is ending")
 
 // Server serves the connections of a listener.
@@ -88,7 +88,8 @@
 	return s
 }
 
-// Serve serves one connection until it ends. Reader may have read from it already; it may be nil.
+// Serve serves one connection until it ends. If bytes of it have been buffered already, reader holds them; otherwise it may be
+// nil.
 func (s *Server) Serve(raw net.Conn, reader *bufio.Reader) error {
 	c := &clientConn{server: s, net: raw, remoteHost: raw.RemoteAddr().String()}
 	if host, _, err := net.SplitHostPort(c.remoteHost); err == nil {
@@ -119,8 +120,8 @@
 	s.maxConcurrentCalls = n
 }
 
-// Drain tells all callers to send new calls elsewhere (GOAWAY, RFC 9113, section 6.8). Open calls continue. Connections that are
-// accepted later receive it at once.
+// Drain sends GOAWAY to all callers, so that they send new calls elsewhere (RFC 9113, section 6.8). Open calls continue.
+// Connections that are accepted later receive it at once.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +135,7 @@
 // CancelStreams ends the calls that still stream, each with a final status.
 func (s *Server) CancelStreams() { s.cancel(ErrShuttingDown) }
 
-// HealthChanged has watching health checks read the state again.
+// HealthChanged makes the open Watch calls of the health service read the serving status again.
 func (s *Server) HealthChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/grpcfront/status.go
+++ b/internal/grpcfront/status.go
@@ -33,14 +33,14 @@
 	Unauthenticated
 )
 
-// Outcome is what a status says of a call. It is the same for HTTP/1.1 and gRPC.
+// Outcome is what a status implies for a call. It is the same for HTTP/1.1 and gRPC.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Served          Outcome = iota // a response, also one to an error of the caller: every server would give it
-	Failed                         // it may have been executed; the caller gets the server's response if no retry succeeds
-	FailedRetriable                // likewise, but the status would invite the caller to retry: it gets Unknown (HTTP: 502)
+	Served          Outcome = iota // a response, or an error of the caller, which every server would return
+	Failed                         // the call may have been executed; the caller gets the server's response if no retry succeeds
+	FailedRetriable                // like Failed, but the status allows the caller to retry: it gets Unknown instead (HTTP: 502)
 )
 
 // mapping maps a code of gRPC to a status of HTTP/1.1 and an outcome.
@@ -50,11 +50,11 @@
 	outcome Outcome // of a server's response with this code
 }
 
-// statusClientClosedRequest is the status that servers log for a request whose client has left; it is not registered.
+// statusClientClosedRequest is the status that servers log if the client has closed the connection; it is not registered.
 const statusClientClosedRequest = 499
 
-// mappings is the only mapping. A response of the sidecar's own is looked up by its status, a server's response by its code. The
-// first code of a status is the one that callers get. docs/operate/grpc.md shows the same table.
+// mappings is the mapping for all responses. The sidecar's own responses are looked up by status, a server's by code. The first
+// code of a status is the one that callers get. docs/operate/grpc.md shows the same table.
 var mappings = [...]mapping{
 	{OK, http.StatusOK, Served},
 	{InvalidArgument, http.StatusBadRequest, Served},
@@ -78,19 +78,19 @@
 // StatusOf returns the HTTP status of a code and the outcome of a server's response with it. A code that is not in the table is
 // mapped as Unknown.
 func StatusOf(c Code) (status int, outcome Outcome) {
-	for _, r := range mappings {
-		if r.code == c {
-			return r.status, r.outcome
+	for _, m := range mappings {
+		if m.code == c {
+			return m.status, m.outcome
 		}
 	}
 	return StatusOf(Unknown)
 }
 
-// CodeOf returns the code of an HTTP status, of the sidecar's own or of a server that does not speak gRPC.
+// CodeOf returns the code for an HTTP status, either one of the sidecar or one of a server that does not speak gRPC.
 func CodeOf(status int) Code {
-	for _, r := range mappings {
-		if r.status == status {
-			return r.code
+	for _, m := range mappings {
+		if m.status == status {
+			return m.code
 		}
 	}
 	switch {
@@ -110,7 +110,7 @@
 	return Code(n), err == nil
 }
 
-// statusTrailers returns the trailers of a response of the sidecar's own. ForbidRetry says that clients must not retry.
+// statusTrailers returns the trailers of one of the sidecar's own responses. forbidRetry means that clients must not retry.
 func statusTrailers(code Code, message string, retryAfter time.Duration, forbidRetry bool) []h2.Field {
 	fields := []h2.Field{{Name: "grpc-status", Value: strconv.Itoa(int(code))}}
 	if message != "" {
@@ -126,7 +126,7 @@
 	return fields
 }
 
-// noRetry tells clients that retry by themselves not to, whatever codes they are configured to retry (gRFC A6).
+// noRetry disables automatic retries of clients, whatever codes they are configured to retry (gRFC A6).
 var noRetry = h2.Field{Name: "grpc-retry-pushback-ms", Value: "-1"}
 
 // encodeStatusMessage percent-encodes a message as the Status-Message of gRPC.
