--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -17,32 +17,32 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// desk is a backend that knows one endpoint.
-type desk struct {
+// fakeBackend is a backend with two endpoints, s-1 and "s/2 ä".
+type fakeBackend struct {
 	mu    sync.Mutex
 	ready bool
-	out   map[string]bool
-	stuck bool // what is asked for takes no effect
+	held  map[string]bool
+	stuck bool // Hold and Release take no effect
 }
 
-func (d *desk) Ready() bool {
+func (d *fakeBackend) Ready() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ready
 }
 
-func (d *desk) Stats() *Stats {
+func (d *fakeBackend) Stats() *Stats {
 	return &Stats{
 		Classes:  []Class{{"browse", 812, 3, 1}, {`odd"class\`, 0, 0, 2}},
 		Attempts: 900, Pending: 14, Endpoints: 40, Unavailable: 2, Held: 1, Reloads: 5, ReloadErrors: 6,
 	}
 }
 
-func (d *desk) Hold(ctx context.Context, id string) error { return d.set(ctx, id, true) }
+func (d *fakeBackend) Hold(ctx context.Context, id string) error { return d.set(ctx, id, true) }
 
-func (d *desk) Release(ctx context.Context, id string) error { return d.set(ctx, id, false) }
+func (d *fakeBackend) Release(ctx context.Context, id string) error { return d.set(ctx, id, false) }
 
-func (d *desk) set(ctx context.Context, id string, out bool) error {
+func (d *fakeBackend) set(ctx context.Context, id string, held bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.stuck {
@@ -52,29 +52,30 @@
 	if id != "s-1" && id != "s/2 ä" {
 		return fmt.Errorf("%q: %w", id, ErrUnknownEndpoint)
 	}
-	d.out[id] = out
+	d.held[id] = held
 	return nil
 }
 
-func open(t *testing.T) (*desk, string) {
+// serve serves the API for a new backend until the test ends, and returns its address.
+func serve(t *testing.T) (*fakeBackend, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &desk{ready: true, out: map[string]bool{}}
+	d := &fakeBackend{ready: true, held: map[string]bool{}}
 	ended := make(chan error)
 	go func() { ended <- Serve(ln, d) }()
 	t.Cleanup(func() {
 		ln.Close()
 		if err := <-ended; err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Serve returned %v", err)
 		}
 	})
 	return d, ln.Addr().String()
 }
 
-// call makes one call on a connection of its own and reads what comes until that ends.
+// call sends one request on a new connection and reads until the server closes it.
 func call(t *testing.T, addr, method, uri string) (int, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -96,13 +97,13 @@
 		t.Fatalf("%s %s: %v", method, uri, err)
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("%s %s: behind the answer comes %v, want the end of the connection", method, uri, err)
+		t.Errorf("%s %s: read after the response: %v, want the end of the connection", method, uri, err)
 	}
 	return res.StatusCode, string(body)
 }
 
-func TestCalls(t *testing.T) {
-	d, addr := open(t)
+func TestRequests(t *testing.T) {
+	d, addr := serve(t)
 	for _, c := range []struct {
 		method, uri string
 		want        int
@@ -129,19 +130,19 @@
 			t.Errorf("%s %s: %d %q, want %d", c.method, c.uri, got, text, c.want)
 		}
 	}
-	if d.out["s-1"] || !d.out["s/2 ä"] {
-		t.Errorf("out: %v", d.out)
+	if d.held["s-1"] || !d.held["s/2 ä"] {
+		t.Errorf("held: %v", d.held)
 	}
 	d.mu.Lock()
 	d.ready = false
 	d.mu.Unlock()
 	if got, _ := call(t, addr, "GET", "/admin/health"); got != 503 {
-		t.Errorf("health of one that is not ready: %d", got)
+		t.Errorf("health while not ready: status %d", got)
 	}
 }
 
-func TestFigures(t *testing.T) {
-	_, addr := open(t)
+func TestStatsFormat(t *testing.T) {
+	_, addr := serve(t)
 	_, text := call(t, addr, "GET", "/admin/stats")
 	for _, want := range []string{
 		`sidecar_downstream_requests_total{lane="browse",result="completed"} 812`,
@@ -157,14 +158,14 @@
 		}
 	}
 	if strings.Count(text, "# TYPE ") != strings.Count(text, "# HELP ") {
-		t.Errorf("a family is not described:\n%s", text)
+		t.Errorf("a metric has no HELP line:\n%s", text)
 	}
 }
 
-// Callers that say nothing, or never end, hold few connections and keep no operator waiting.
-func TestSilentCallers(t *testing.T) {
-	_, addr := open(t)
-	var silent []net.Conn
+// Clients that send nothing, or only a part of a request, must not delay other requests, and must be disconnected.
+func TestIdleClients(t *testing.T) {
+	_, addr := serve(t)
+	var idle []net.Conn
 	for i := range 5 * MaxConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -174,38 +175,38 @@
 		if i%2 > 0 {
 			_, _ = io.WriteString(c, "GET /admin/health HTTP/1.1\r\nX-Pa") // the server may have closed it already
 		}
-		silent = append(silent, c)
+		idle = append(idle, c)
 	}
 	for range 3 {
-		begun := time.Now()
+		start := time.Now()
 		if got, _ := call(t, addr, "GET", "/admin/health"); got != 200 {
 			t.Errorf("status %d", got)
 		}
-		if took := time.Since(begun); took > time.Second {
-			t.Errorf("the answer took %v", took)
+		if took := time.Since(start); took > time.Second {
+			t.Errorf("the response took %v", took)
 		}
 	}
-	for _, c := range silent { // all of them are ended
+	for _, c := range idle { // all of them are closed
 		if err := c.SetReadDeadline(time.Now().Add(5 * time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := io.Copy(io.Discard, c); err != nil && !strings.Contains(err.Error(), "reset") {
-			t.Fatalf("a silent connection is held: %v", err)
+			t.Fatalf("an idle connection is still open: %v", err)
 		}
 	}
 }
 
-// What takes no effect in time is told as a no, in time.
-func TestStuck(t *testing.T) {
-	d, addr := open(t)
+// An action that takes no effect in time must fail with status 503, in time.
+func TestActionTimeout(t *testing.T) {
+	d, addr := serve(t)
 	d.mu.Lock()
 	d.stuck = true
 	d.mu.Unlock()
-	begun := time.Now()
+	start := time.Now()
 	if got, _ := call(t, addr, "POST", "/admin/cordon?name=s-1"); got != 503 {
 		t.Errorf("status %d", got)
 	}
-	if took := time.Since(begun); took < actionTimeout || took > time.Second+500*time.Millisecond {
-		t.Errorf("the answer took %v", took)
+	if took := time.Since(start); took < actionTimeout || took > time.Second+500*time.Millisecond {
+		t.Errorf("the response took %v", took)
 	}
 }
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// boundedListener is a listener with at most maxConns open connections. A further one closes the oldest: a complete call is
-// answered within milliseconds, so the oldest connection is idle.
+// boundedListener is a listener with at most maxConns open connections. A further one closes the oldest: complete requests
+// are handled within milliseconds, so the oldest connection is idle.
 type boundedListener struct {
 	net.Listener
 	maxConns int
@@ -36,7 +36,7 @@
 	return c, nil
 }
 
-// countedConn is a connection that its listener counts until it is closed.
+// countedConn is a connection that counts against maxConns of its listener until it is closed.
 type countedConn struct {
 	net.Conn
 	listener *boundedListener
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,21 +1,21 @@
-// Package exchange is the state machine of one HTTP exchange: a request on a connection, its response, and what is certain of
-// both. It has no I/O: the code that reads and writes reports events, and acts on the resulting state. One function, Next,
-// makes all changes. docs/design/answers.md has its table.
+// Package exchange is the state machine of one HTTP exchange: a request on a connection, its response, and whether the request
+// may have been executed. It does no I/O: the code that reads and writes reports events, and acts on the resulting state. One
+// function, Next, makes all state changes. docs/design/answers.md has its table.
 //
-// Two rules depend on it. A request that may have run is sent again only if it is idempotent, so NotWritten must be certain.
-// And a connection carries another request only if nothing on it can belong to an earlier one.
+// Two rules depend on it. A request that may have been executed is sent again only if it is idempotent, so NotWritten must be
+// certain. A connection carries another request only if no bytes on it can belong to an earlier one.
 package exchange
 
-// Outcome is what is certain of an exchange once it is done.
+// Outcome is the result of an exchange that is done.
 type Outcome uint8
 
 // The outcomes.
 const (
-	NotWritten       Outcome = iota // not all of the request was written: it cannot have run
-	Completed                       // its response was received in full
-	ConnectionFailed                // it was written, and no valid response was received
-	TimedOut                        // it was written, and no response was received in time
-	Canceled                        // the caller gave up; it may have been written
+	NotWritten       Outcome = iota // the request was not written completely: it cannot have been executed
+	Completed                       // the response was received completely
+	ConnectionFailed                // the request was written, and no valid response was received
+	TimedOut                        // the request was written, and no response was received in time
+	Canceled                        // the caller canceled the request, which may have been written
 )
 
 var outcomeNames = [...]string{"not_written", "completed", "connection_failed", "timed_out", "canceled"}
@@ -27,12 +27,12 @@
 
 // The states, in the order in which an exchange goes through them.
 const (
-	Idle             State = iota // nothing of a request was written, and no response is due
+	Idle             State = iota // no byte of a request was written, and no response is pending
 	Writing                       // a part of the request may have been written
-	AwaitingContinue              // its head was written, and its body waits for a 100 Continue
-	AwaitingResponse              // all of it was written, and the head of its response has not been received
-	ReadingResponse               // the head of its response was received, the rest not yet
-	Done                          // its outcome is certain
+	AwaitingContinue              // the request head was written, and the body waits for a 100 Continue
+	AwaitingResponse              // the request was written, and the head of the response has not been received
+	ReadingResponse               // the head of the response was received, the rest was not
+	Done                          // the outcome is final
 )
 
 // Event is something that happened to an exchange or its connection.
@@ -44,18 +44,18 @@
 	ContinueRequested              // the head was written, with Expect: 100-continue
 	ContinueReceived               // a 100 Continue was received
 	RequestWritten                 // the last byte of the request was written
-	OtherResponse                  // a final response was received that belongs to another request
-	ResponseStarted                // the head of the request's own final response was received
+	OtherResponse                  // a final response to another request was received
+	ResponseStarted                // the head of the final response to this request was received
 	ResponseCompleted              // the last byte of that response was received
-	GarbageReceived                // bytes that are no response, before the request was written in full
-	ConnectionBroken               // a reset, an end of the stream, or bytes that are no response
-	DeadlineExceeded               // the time for the exchange is over
-	RequestCanceled                // the caller gave up
+	GarbageReceived                // bytes that are not a response, before the request was written completely
+	ConnectionBroken               // a reset, an end of the stream, or bytes that are not a response
+	DeadlineExceeded               // the deadline of the exchange has passed
+	RequestCanceled                // the caller canceled the request
 	PeerClosing                    // the peer announced that it closes the connection, or closed it
 	UnexpectedBytes                // bytes after a response, or without a request
 )
 
-// maxOtherResponses is the number of responses to other requests from which the connection counts as broken.
+// maxOtherResponses is the number of responses to other requests at which the connection counts as broken.
 const maxOtherResponses = 4
 
 // Exchange is the state of one request on one connection. The zero value is an idle connection.
@@ -66,7 +66,8 @@
 	unusable       bool // the connection must not carry another request
 }
 
-// Next returns the exchange after an event. An event that is impossible in a state ends the exchange, as one that may have run.
+// Next returns the exchange after an event. An event that is impossible in a state ends the exchange as one whose
+// request may have been executed.
 func (x Exchange) Next(event Event) Exchange {
 	switch event {
 	case PeerClosing, UnexpectedBytes:
@@ -76,7 +77,7 @@
 		return x.abort(event)
 	}
 	switch {
-	case x.State == Done: // it belongs to no request
+	case x.State == Done: // the event belongs to no request
 		x.unusable = true
 	case x.State == Idle && event == WriteStarted:
 		x.State = Writing
@@ -136,9 +137,9 @@
 // says that the request was not executed proves nothing, as one of the others may have been meant for it.
 func (x Exchange) SawOtherResponse() bool { return x.otherResponses > 0 }
 
-// ResponseMatches reports whether a response that names some request ids is the response to a request, whose id may be
-// empty. A response without an id may belong to any request; it is accepted only from a program of our own, which answers
-// requests in their order.
+// ResponseMatches reports whether a response with these request ids is the response to a request, whose id may be empty. A
+// response without an id may belong to any request; it is accepted only from a program of this project, which responds to
+// requests in order.
 func ResponseMatches(requestID string, responseIDs []string, peerIsOurs bool) bool {
 	switch {
 	case len(responseIDs) == 0 || len(responseIDs) == 1 && responseIDs[0] == "":
--- a/internal/pki/pki.go
+++ b/internal/pki/pki.go
@@ -1,5 +1,5 @@
-// Package pki makes a small certificate authority for trials: one CA, and certificates for agents, people and tools. It is not
-// meant for production, as the key of the CA lies beside the certificates.
+// Package pki creates a small certificate authority (CA) for trials, and certificates for agents, operators and tools. It is not
+// meant for production, as the key of the CA is stored beside the certificates.
 package pki
 
 import (
@@ -9,7 +9,6 @@
 	"crypto/x509"
 	"crypto/x509/pkix"
 	"encoding/pem"
-	"errors"
 	"fmt"
 	"math/big"
 	"os"
@@ -22,10 +21,10 @@
 	certLifetime = 90 * 24 * time.Hour
 )
 
-// Init creates a CA, ca.pem and ca.key, in a directory. It fails if there is one.
+// Init creates a CA, ca.pem and ca.key, in a directory. It fails if the directory has one already.
 func Init(dir string) error {
 	if _, err := os.Stat(filepath.Join(dir, "ca.key")); err == nil {
-		return fmt.Errorf("%s holds a CA already", dir)
+		return fmt.Errorf("directory %s contains a CA already", dir)
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -43,24 +42,24 @@
 	if err != nil {
 		return err
 	}
-	return write(dir, "ca", der, key)
+	return writePair(dir, "ca", der, key)
 }
 
-// Agent issues NAME.pem and NAME.key for the agent of a name.
+// Agent issues NAME.pem and NAME.key for the agent with this name.
 func Agent(dir, name string) error {
 	return issue(dir, name, nil, func(t *x509.Certificate) {
 		t.DNSNames, t.ExtKeyUsage = []string{name}, []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}
 	})
 }
 
-// Client issues NAME.pem and NAME.key for a person or tool with a role.
+// Client issues NAME.pem and NAME.key for an operator or tool with this role.
 func Client(dir, name, role string) error {
 	return issue(dir, name, []string{role}, func(t *x509.Certificate) {
 		t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
 	})
 }
 
-// template returns a certificate to be signed.
+// template returns an unsigned certificate.
 func template(name string, units []string, valid time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	if err != nil {
@@ -68,16 +67,16 @@
 	}
 	return &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: name, OrganizationalUnit: units},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(valid), // hosts' clocks differ
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(valid), // the clocks of hosts may differ
 	}, nil
 }
 
-// issue creates a key and a certificate that the CA of the directory signs.
+// issue creates a key and a certificate that is signed by the CA of the directory.
 func issue(dir, name string, units []string, change func(*x509.Certificate)) error {
 	if name == "" || name == "ca" || filepath.Base(name) != name {
-		return fmt.Errorf("%q is no name of a certificate", name)
+		return fmt.Errorf("%q is not a valid certificate name: it must be a file name without a directory, and not \"ca\"", name)
 	}
-	caCert, caKey, err := read(dir)
+	caCert, caKey, err := readCA(dir)
 	if err != nil {
 		return err
 	}
@@ -95,11 +94,11 @@
 	if err != nil {
 		return err
 	}
-	return write(dir, name, der, key)
+	return writePair(dir, name, der, key)
 }
 
-// read reads the certificate and the key of the CA.
-func read(dir string) (*x509.Certificate, *ecdsa.PrivateKey, error) {
+// readCA reads the certificate and the key of the CA.
+func readCA(dir string) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	var blocks [2]*pem.Block
 	for i, name := range []string{"ca.pem", "ca.key"} {
 		text, err := os.ReadFile(filepath.Join(dir, name))
@@ -107,7 +106,7 @@
 			return nil, nil, err
 		}
 		if blocks[i], _ = pem.Decode(text); blocks[i] == nil {
-			return nil, nil, fmt.Errorf("%s holds no PEM", name)
+			return nil, nil, fmt.Errorf("%s contains no PEM block", filepath.Join(dir, name))
 		}
 	}
 	cert, err := x509.ParseCertificate(blocks[0].Bytes)
@@ -120,13 +119,13 @@
 	}
 	private, ok := key.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, nil, errors.New("ca.key is of another kind")
+		return nil, nil, fmt.Errorf("ca.key contains a key of type %T, want *ecdsa.PrivateKey", key)
 	}
 	return cert, private, nil
 }
 
-// write writes a certificate and its key as NAME.pem and NAME.key.
-func write(dir, name string, der []byte, key *ecdsa.PrivateKey) error {
+// writePair writes a certificate and its key as NAME.pem and NAME.key.
+func writePair(dir, name string, der []byte, key *ecdsa.PrivateKey) error {
 	private, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return err
