--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -11,8 +11,8 @@
 	"strings"
 )
 
-// Compile compiles a table of rules. It returns all errors: rules that cannot be used, two routes that could match one request with
-// nothing to decide between them, and routes that never match as another always goes first.
+// Compile compiles a table of rules. It returns all errors: invalid rules, two routes of equal precedence that could match the same
+// request, and routes that never match because another one always takes precedence.
 func Compile(rules []Rule) (*Table, []*RuleError) {
 	c := compiler{names: map[string]int{}, buckets: map[string][]*compiledRoute{}}
 	for i := range rules {
@@ -50,7 +50,7 @@
 	routes       []*compiledRoute
 	ruleErrors   []*RuleError
 	instructions int
-	buckets      map[string][]*compiledRoute // entries by host and path, for the search for conflicts
+	buckets      map[string][]*compiledRoute // routes by host and path, to find conflicts
 }
 
 // addError adds an error of a rule.
@@ -58,11 +58,11 @@
 	c.ruleErrors = append(c.ruleErrors, &RuleError{Rule: rule, Field: field, Err: err})
 }
 
-// compileRule validates and compiles one rule. It returns nil if the rule cannot be used.
+// compileRule validates and compiles one rule. It returns nil if the rule is invalid.
 func (c *compiler) compileRule(i int, r *Rule) *compiledRoute {
 	errorsBefore := len(c.ruleErrors)
-	own := *r // a copy: later changes by the caller must not reach the table
-	e := &compiledRoute{Rule: &own, index: i}
+	ruleCopy := *r // later changes by the caller must not affect the table
+	e := &compiledRoute{Rule: &ruleCopy, index: i}
 	if first, ok := c.names[r.Name]; r.Name == "" {
 		c.addError(i, "name", errors.New("is missing"))
 	} else if ok {
@@ -80,7 +80,7 @@
 	return e
 }
 
-// compileHost brings the host of a route into its normal form.
+// compileHost normalizes the host of a route.
 func (c *compiler) compileHost(e *compiledRoute) {
 	host := e.Host
 	if host == "" || host == "*" {
@@ -99,7 +99,7 @@
 	e.host = name
 }
 
-// compilePath brings the path of a route into its normal form, or compiles its regular expression.
+// compilePath normalizes the path of a route, or compiles its regular expression.
 func (c *compiler) compilePath(e *compiledRoute) {
 	if e.Kind == Regexp {
 		c.compilePattern(e)
@@ -123,16 +123,16 @@
 	}
 }
 
-// compilePattern compiles a regular expression within the bounds. It has to match the whole path.
+// compilePattern compiles a regular expression, which has to match the whole path, and checks its size.
 func (c *compiler) compilePattern(e *compiledRoute) {
 	if len(e.Path) > MaxPatternBytes {
 		c.addError(e.index, "path", fmt.Errorf("the expression has %d bytes, over the %d allowed", len(e.Path), MaxPatternBytes))
 		return
 	}
-	whole := `^(?:` + e.Path + `)$`
-	parsed, err := syntax.Parse(e.Path, syntax.Perl) // by itself: it must not end the group that it is put into
+	anchored := `^(?:` + e.Path + `)$`
+	parsed, err := syntax.Parse(e.Path, syntax.Perl) // parsed alone first: it must not close the group around it
 	if err == nil {
-		parsed, err = syntax.Parse(whole, syntax.Perl)
+		parsed, err = syntax.Parse(anchored, syntax.Perl)
 	}
 	if err != nil {
 		c.addError(e.index, "path", err)
@@ -153,14 +153,15 @@
 			"all expressions up to here compile to %d instructions, over the %d allowed", c.instructions, maxTotalInstructions))
 		return
 	}
-	e.pattern, err = regexp.Compile(whole)
+	e.pattern, err = regexp.Compile(anchored)
 	if err != nil {
 		c.addError(e.index, "path", err)
 	}
 	e.path = e.Path
 }
 
-// compileConditions validates the methods and conditions of a route. The route gets copies of them.
+// compileConditions validates the methods and conditions of a route. The route gets copies of them, as later changes by the
+// caller must not affect the table.
 func (c *compiler) compileConditions(e *compiledRoute) {
 	c.compileMethods(e)
 	c.compileHeaders(e)
@@ -169,6 +170,7 @@
 	c.validateConditions(e, "query", e.Query)
 }
 
+// compileMethods copies and validates the methods of a route.
 func (c *compiler) compileMethods(e *compiledRoute) {
 	if len(e.Methods) > maxMethods {
 		c.addError(e.index, "methods", fmt.Errorf("%d methods, over the %d allowed", len(e.Methods), maxMethods))
@@ -184,13 +186,14 @@
 	}
 }
 
-// isMethod reports whether a text is a method in capital letters. VERSION-CONTROL is the only registered one with another character.
+// isMethod reports whether a text is a method in capital letters. VERSION-CONTROL is the only registered method with another
+// character.
 func isMethod(text string) bool {
 	isOther := func(r rune) bool { return r < 'A' || r > 'Z' }
 	return text != "" && (!strings.ContainsFunc(text, isOther) || text == "VERSION-CONTROL")
 }
 
-// compileHeaders brings the names of headers into their canonical form.
+// compileHeaders copies the header conditions of a route and brings their names into canonical form.
 func (c *compiler) compileHeaders(e *compiledRoute) {
 	e.Headers = slices.Clone(e.Headers)
 	for i := range e.Headers {
@@ -205,7 +208,7 @@
 	}
 }
 
-// validateConditions reports what is wrong with the conditions of one field.
+// validateConditions reports invalid conditions of one field.
 func (c *compiler) validateConditions(e *compiledRoute, field string, conditions []Condition) {
 	if len(conditions) > maxConditions {
 		c.addError(e.index, field, fmt.Errorf("%d conditions, over the %d allowed", len(conditions), maxConditions))
@@ -220,7 +223,7 @@
 	}
 }
 
-// validateOutcome reports what is wrong with the rewrite and the fixed answer of a route.
+// validateOutcome reports errors of the rewrite and the fixed answer of a route.
 func (c *compiler) validateOutcome(e *compiledRoute) {
 	rewrite := e.Rewrite
 	switch {
@@ -248,7 +251,7 @@
 	}
 }
 
-// validate returns an error if the answer can't be given.
+// validate returns an error if the answer is not a valid response.
 func (a *Answer) validate() error {
 	switch {
 	case a.Status < 200 || a.Status > 599:
@@ -272,7 +275,7 @@
 	return false
 }
 
-// hasUnknownPlaceholder reports whether the location of a redirect has braces that are no placeholder.
+// hasUnknownPlaceholder reports whether the location of a redirect has braces that belong to no placeholder.
 func hasUnknownPlaceholder(location string) bool {
 	for _, placeholder := range [...]string{"{host}", "{path}", "{query}"} {
 		location = strings.ReplaceAll(location, placeholder, "")
@@ -280,29 +283,29 @@
 	return strings.ContainsAny(location, "{}")
 }
 
-// hostRoutesOf returns the routes of the host of a route, and makes them first if the host is new.
+// hostRoutesOf returns the routes of the host of a route, and creates them if the host is new.
 func (t *Table) hostRoutesOf(e *compiledRoute) *hostRoutes {
 	hosts := t.exactHosts
 	switch {
 	case e.host == "":
 		if t.anyHost == nil {
-			t.anyHost = newSite()
+			t.anyHost = newHostRoutes()
 		}
 		return t.anyHost
 	case e.isWildcard:
 		hosts = t.wildcardHosts
 	}
 	if hosts[e.host] == nil {
-		hosts[e.host] = newSite()
+		hosts[e.host] = newHostRoutes()
 	}
 	return hosts[e.host]
 }
 
-func newSite() *hostRoutes {
+func newHostRoutes() *hostRoutes {
 	return &hostRoutes{exactPaths: map[string][]*compiledRoute{}, prefixes: &trieNode{}}
 }
 
-// add adds a route of the host.
+// add adds a route to those of its host.
 func (s *hostRoutes) add(e *compiledRoute) {
 	switch e.Kind {
 	case Exact:
@@ -310,17 +313,17 @@
 	case Regexp:
 		s.patterns = append(s.patterns, e)
 	default:
-		at := s.prefixes
+		node := s.prefixes
 		for rest := strings.TrimPrefix(e.path, "/"); rest != ""; {
 			var segment string
 			segment, rest, _ = strings.Cut(rest, "/")
-			at = at.child(segment)
+			node = node.child(segment)
 		}
-		at.entries = append(at.entries, e)
+		node.entries = append(node.entries, e)
 	}
 }
 
-// child returns the child for a segment, and makes it first if it is new.
+// child returns the child for a segment, and creates it if there is none.
 func (n *trieNode) child(segment string) *trieNode {
 	if found := n.children[segment]; found != nil {
 		return found
@@ -333,7 +336,7 @@
 	return added
 }
 
-// sort brings routes of one path, and all regular expressions, into their order of precedence.
+// sort sorts the routes of each path, and all regular expressions, by precedence.
 func (s *hostRoutes) sort() {
 	slices.SortStableFunc(s.patterns, comparePrecedence)
 	for _, list := range s.exactPaths {
--- a/internal/route/conflicts.go
+++ b/internal/route/conflicts.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// findConflicts reports routes of the same rank that could match one request, and routes that never match. Only routes whose hosts and
+// findConflicts reports routes of equal rank that could match the same request, and routes that never match. Only routes whose hosts and
 // paths can match the same request are compared, so that large tables load fast.
 func (c *compiler) findConflicts() {
 	type key struct {
-		host string
-		wild bool
+		host       string
+		isWildcard bool
 	}
 	hosts := map[key]*conflictIndex{}
 	for _, e := range c.routes {
@@ -23,16 +23,16 @@
 		hosts[k].add(e)
 	}
 	for _, e := range c.routes {
-		own := hosts[key{e.host, e.isWildcard}]
-		for _, other := range own.sameRank(e) {
+		routes := hosts[key{e.host, e.isWildcard}]
+		for _, other := range routes.sameRank(e) {
 			if other.index < e.index && compareRank(e, other) == 0 && canOverlap(e, other) {
 				c.addError(e.index, "priority", fmt.Errorf(
 					"route %q could match the same request and nothing decides between them: give one a higher priority", other.Name))
 				break
 			}
 		}
-		// A more specific host goes first but matches less, so only routes of the same host can hide this one.
-		for _, other := range own.mayCover(e) {
+		// A more specific host takes precedence but matches fewer requests, so only routes of the same host can hide this one.
+		for _, other := range routes.mayCover(e) {
 			if other != e && compareRank(other, e) < 0 && covers(other, e) {
 				c.addError(e.index, "path", fmt.Errorf(
 					"is unreachable: route %q matches all that this one does, and goes first", other.Name))
@@ -42,7 +42,7 @@
 	}
 }
 
-// conflictIndex holds the routes of one host by their paths, for the search for conflicts.
+// conflictIndex holds the routes of one host by their paths, to find conflicts.
 type conflictIndex struct {
 	paths        map[string][]*compiledRoute // exact and prefix routes by path
 	patterns     []*compiledRoute
@@ -68,18 +68,18 @@
 	return m.paths[e.path]
 }
 
-// mayCover returns the routes that might match all that a route matches.
+// mayCover returns the routes that might match all requests that a route matches.
 func (m *conflictIndex) mayCover(e *compiledRoute) []*compiledRoute {
 	switch e.Kind {
 	case Exact:
-		return m.paths[e.path] // expressions and prefixes come after an exact path
+		return m.paths[e.path] // an exact path takes precedence over expressions and prefixes
 	case Regexp:
 		return m.patterns
 	}
 	return slices.Concat(m.paths[e.path], m.widePatterns)
 }
 
-// matchedPrefix returns a text if the regular expression certainly matches every path that begins with it.
+// matchedPrefix returns a prefix for which the regular expression certainly matches every path, and whether there is one.
 func (e *compiledRoute) matchedPrefix() (string, bool) {
 	re, err := syntax.Parse(e.Path, syntax.Perl)
 	if err != nil {
@@ -90,14 +90,14 @@
 	if re.Op == syntax.OpConcat {
 		parts = re.Sub
 	}
-	text := "/" // every path begins with it
+	prefix := "/" // every path begins with it
 	for i, p := range parts {
 		switch {
 		case p.Op == syntax.OpBeginText || p.Op == syntax.OpBeginLine:
 		case p.Op == syntax.OpLiteral && p.Flags&syntax.FoldCase == 0 && i == len(parts)-2:
-			text = string(p.Rune)
+			prefix = string(p.Rune)
 		case p.Op == syntax.OpStar && i == len(parts)-1:
-			return text, p.Sub[0].Op == syntax.OpAnyChar || p.Sub[0].Op == syntax.OpAnyCharNotNL
+			return prefix, p.Sub[0].Op == syntax.OpAnyChar || p.Sub[0].Op == syntax.OpAnyCharNotNL
 		default:
 			return "", false
 		}
@@ -105,7 +105,7 @@
 	return "", false
 }
 
-// covers reports whether a certainly matches all that b, a route of the same host, matches.
+// covers reports whether a certainly matches all requests that b, a route of the same host, matches.
 func covers(a, b *compiledRoute) bool {
 	if len(a.Methods) > 0 {
 		if len(b.Methods) == 0 || slices.ContainsFunc(b.Methods, func(m string) bool { return !slices.Contains(a.Methods, m) }) {
@@ -121,15 +121,15 @@
 	if b.Kind == Regexp && a.path == b.path {
 		return true
 	}
-	under, ok := a.matchedPrefix()
+	prefixA, ok := a.matchedPrefix()
 	if !ok {
 		return false
 	}
 	if b.Kind == Regexp {
-		own, ok := b.matchedPrefix()
-		return ok && strings.HasPrefix(own, under)
+		prefixB, ok := b.matchedPrefix()
+		return ok && strings.HasPrefix(prefixB, prefixA)
 	}
-	return b.Kind == Prefix && (under == "/" || strings.HasPrefix(b.path, under))
+	return b.Kind == Prefix && (prefixA == "/" || strings.HasPrefix(b.path, prefixA))
 }
 
 // implies reports whether each condition of a follows from those of b.
--- a/internal/route/outcome.go
+++ b/internal/route/outcome.go
@@ -8,7 +8,7 @@
 		return p.Raw
 	}
 	rest := p.Raw
-	for range r.depth { // segments are counted, as they may have parameters
+	for range r.depth { // the prefix is removed by segments, as these may have parameters
 		if i := strings.IndexByte(rest[1:], '/'); i >= 0 {
 			rest = rest[1+i:]
 		} else {
@@ -30,7 +30,7 @@
 	}
 }
 
-// Redirect returns the Location of a fixed answer for a request, or "" for an answer that is no redirect.
+// Redirect returns the Location of a fixed answer for a request, or "" for an answer that is not a redirect.
 func (a *Answer) Redirect(r *Request) string {
 	if strings.IndexByte(a.Location, '{') < 0 {
 		return a.Location
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Path is a request's path in its normal form. Match is what routes compare: percent-decoded, without parameters behind ";" and without
+// Path is a request's path in its normal form. Match is what routes compare: percent-decoded, without parameters after ";" and without
 // empty, "." or ".." segments. Raw is what a server gets: the same segments with their parameters, with only those bytes percent-encoded
-// that need it (RFC 3986, section 3.3), in upper case. So a server gets what was compared, however the client wrote it.
+// that need it (RFC 3986, section 3.3), in upper case. So the server gets the path that was compared, however the client encoded it.
 type Path struct {
 	Match, Raw string
 }
 
-// Errors of a path. Servers read such paths in different ways, so that they could bypass a route.
+// Errors of a path. Servers interpret such paths in different ways, so that a request could bypass a route.
 var (
 	ErrPathForm    = errors.New("the path does not begin with /")
 	ErrPathEscape  = errors.New("the path holds a percent sign that begins no escape")
@@ -23,15 +23,16 @@
 )
 
 // Normalize returns the normal form of a raw path (RFC 3986, section 6.2.2, and the parameters of section 3.3). It returns an error for
-// a path that servers could read in two ways.
+// a path that servers could interpret in two ways.
 func Normalize(raw string) (Path, error) { return normalize(raw, false) }
 
-// NormalizeWhole returns what is compared where parameters behind ";" are a part of the path.
+// NormalizeWhole returns the decoded normal form of a path that keeps the parameters after ";".
 func NormalizeWhole(raw string) (string, error) {
 	p, err := normalize(raw, true)
 	return p.Match, err
 }
 
+// normalize implements Normalize; keepParameters keeps the parameters after ";" in Match.
 func normalize(raw string, keepParameters bool) (Path, error) {
 	if raw == "" || raw[0] != '/' {
 		return Path{}, ErrPathForm
@@ -49,7 +50,7 @@
 			return Path{}, err
 		}
 		if last = m; m == "" && more || m == "." || m == ".." {
-			if m == ".." && len(match) > 0 { // above the root there is only the root
+			if m == ".." && len(match) > 0 { // ".." at the root stays at the root
 				match, out = match[:len(match)-1], out[:len(out)-1]
 			}
 			continue
@@ -59,7 +60,7 @@
 		}
 	}
 	p := Path{Match: "/" + strings.Join(match, "/"), Raw: "/" + strings.Join(out, "/")}
-	if len(match) > 0 && (last == "" || last == "." || last == "..") { // it named a directory, and still does
+	if len(match) > 0 && (last == "" || last == "." || last == "..") { // the path named a directory, so the slash at the end is kept
 		p.Match, p.Raw = p.Match+"/", p.Raw+"/"
 	}
 	return p, nil
@@ -73,7 +74,7 @@
 			return false
 		}
 		if c == '.' && raw[i-1] == '/' && (i+1 == len(raw) || raw[i+1] == '/' || raw[i+1] == '.') {
-			return false // perhaps a dot segment
+			return false // may be a dot segment
 		}
 	}
 	return true
@@ -101,7 +102,7 @@
 		}
 	}
 	if match = matchBuilder.String(); match == "" && inParameters {
-		return "", "", ErrPathForm // a segment of parameters alone: some servers drop it, others don't
+		return "", "", ErrPathForm // a segment of parameters only: some servers drop it, others keep it
 	}
 	return match, rawBuilder.String(), nil
 }
@@ -168,11 +169,11 @@
 // isPathChar reports whether a byte may be in a segment without encoding (pchar of RFC 3986, section 3.3).
 func isPathChar(c byte) bool { return isUnreserved(c) || strings.IndexByte("!$&'()*+,;=:@", c) >= 0 }
 
-// ErrHost is returned for a Host header that names no host.
+// ErrHost is returned for an invalid Host header.
 var ErrHost = errors.New("the host cannot be read")
 
 // NormalizeHost returns the normal form of a Host header or authority (RFC 9110, section 7.2): lower case, without the port and without
-// the dot that may end a fully qualified name.
+// the trailing dot of a fully qualified name.
 func NormalizeHost(host string) (string, error) {
 	if strings.HasPrefix(host, "[") {
 		end := strings.IndexByte(host, ']')
--- a/internal/route/property_test.go
+++ b/internal/route/property_test.go
@@ -13,9 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-// reference picks a route the slow way: it looks at every rule and compares the ranks of those that match, each in the
-// order that the package states.
-func reference(rules []Rule, r *Request) string {
+// referenceMatch is the reference implementation of Match: it compares the ranks of all rules that match, by the order of
+// precedence in the documentation of the package. It returns the name of the rule.
+func referenceMatch(rules []Rule, r *Request) string {
 	best, bestRank := "", []float64(nil)
 	for i := range rules {
 		if rank := rankOf(&rules[i], r); rank != nil && (bestRank == nil || slices.Compare(rank, bestRank) > 0) {
@@ -25,6 +25,7 @@
 	return best
 }
 
+// rankOf returns the precedence of a rule for a request; nil if it does not match.
 func rankOf(rule *Rule, r *Request) []float64 {
 	rank := []float64{}
 	host := strings.ToLower(rule.Host)
@@ -76,6 +77,7 @@
 	return append(rank, math.Min(float64(len(rule.Methods)), 1), float64(len(rule.Headers)), float64(len(rule.Query)))
 }
 
+// meets reports whether the values of a name meet a condition.
 func meets(c Condition, values []string) bool {
 	switch c.Kind {
 	case Equals:
@@ -86,7 +88,8 @@
 	return len(values) == 0
 }
 
-func condition(names ...string) *rapid.Generator[[]Condition] {
+// conditions generates up to two conditions on different names.
+func conditions(names ...string) *rapid.Generator[[]Condition] {
 	one := rapid.Custom(func(t *rapid.T) Condition {
 		c := Condition{Name: rapid.SampledFrom(names).Draw(t, "name"), Kind: Presence(rapid.IntRange(0, 2).Draw(t, "kind"))}
 		if c.Kind == Equals {
@@ -97,8 +100,8 @@
 	return rapid.SliceOfNDistinct(one, 0, 2, func(c Condition) string { return c.Name })
 }
 
-// The compiled table must agree with the slow reference on whatever tables it accepts, in any order of the rules; and
-// what it rejects must be rejected in any order.
+// A table that Compile accepts must also be accepted with its rules in another order, and both tables must match the same rules
+// as the reference implementation.
 func TestTableAgreesWithReference(t *testing.T) {
 	paths := []string{"/", "/a", "/a/b", "/a/b/c", "/b", "/b/a", "/ab"}
 	patterns := []string{"/a.*", "/.*/b", "/[ab]+", "/a/.*c", "/(a|b)/?"}
@@ -110,7 +113,7 @@
 				Host: rapid.SampledFrom(hosts).Draw(t, "host"), Kind: PathKind(rapid.IntRange(0, 2).Draw(t, "kind")),
 				Priority: rapid.IntRange(-1, 2).Draw(t, "priority"),
 				Methods:  rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"GET", "PUT", "POST"}), 0, 2, rapid.ID[string]).Draw(t, "methods"),
-				Headers:  condition("X-A", "X-B").Draw(t, "headers"), Query: condition("q", "r").Draw(t, "query"),
+				Headers:  conditions("X-A", "X-B").Draw(t, "headers"), Query: conditions("q", "r").Draw(t, "query"),
 			}
 			r.Path = rapid.SampledFrom(paths).Draw(t, "path")
 			if r.Kind == Regexp {
@@ -120,20 +123,20 @@
 		})
 		var rules []Rule
 		var table *Table
-		for _, r := range rapid.SliceOfN(rule, 1, 24).Draw(t, "rules") { // those that fit together
+		for _, r := range rapid.SliceOfN(rule, 1, 24).Draw(t, "rules") { // keep those that cause no error
 			r.Name = fmt.Sprint("r", len(rules))
 			if next, errs := Compile(append(slices.Clone(rules), r)); len(errs) == 0 {
 				rules, table = append(rules, r), next
 			}
 		}
 		if table == nil {
-			t.Skip("no rule fits")
+			t.Skip("no rule is valid")
 		}
 		accepted++
 		order := rapid.Permutation(rules).Draw(t, "order")
-		other, errs := Compile(order)
+		permuted, errs := Compile(order)
 		if len(errs) > 0 {
-			t.Fatalf("in another order: %v", errs)
+			t.Fatalf("the same rules in another order: %v", errs)
 		}
 		for range 20 {
 			req := &Request{
@@ -148,8 +151,8 @@
 					req.Header.Add(name, rapid.SampledFrom([]string{"1", "2"}).Draw(t, "value"))
 				}
 			}
-			want := reference(rules, req)
-			for _, tab := range []*Table{table, other} {
+			want := referenceMatch(rules, req)
+			for _, tab := range []*Table{table, permuted} {
 				got := ""
 				if r := tab.Match(req); r != nil {
 					got = r.Name
@@ -162,30 +165,30 @@
 		}
 	})
 	if accepted < 50 || matched < 200 {
-		t.Errorf("only %d tables and %d matches: the generator has gone blind", accepted, matched)
+		t.Errorf("only %d tables and %d matches: the generator covers too few cases", accepted, matched)
 	}
 }
 
-// many makes a table of n routes over many hosts and paths, as an operator with many services has.
-func many(t testing.TB, n int) (*Table, *Request) {
+// manyRoutes returns a table of n routes with different paths, and a request that the last one matches.
+func manyRoutes(t testing.TB, n int) (*Table, *Request) {
 	rules := make([]Rule, n)
 	for i := range rules {
 		rules[i] = Rule{Name: fmt.Sprint(i), Path: fmt.Sprintf("/svc%d/v%d/items", i/3, i%3)}
 	}
-	return compile(t, rules...), ask(t, fmt.Sprintf("GET x/svc%d/v%d/items/17", (n-1)/3, (n-1)%3))
+	return compile(t, rules...), newRequest(t, fmt.Sprintf("GET x/svc%d/v%d/items/17", (n-1)/3, (n-1)%3))
 }
 
 func TestMatchAllocatesNothing(t *testing.T) {
-	table, req := many(t, 1000)
+	table, req := manyRoutes(t, 1000)
 	if n := testing.AllocsPerRun(100, func() { table.Match(req) }); n != 0 {
-		t.Errorf("%v allocations a look-up", n)
+		t.Errorf("%v allocations per match", n)
 	}
 }
 
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table, req := many(b, n)
+			table, req := manyRoutes(b, n)
 			b.ReportAllocs()
 			for b.Loop() {
 				if table.Match(req) == nil {
@@ -200,7 +203,7 @@
 	for _, n := range []int{1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				many(b, n)
+				manyRoutes(b, n)
 			}
 		})
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,7 +1,7 @@
 // Package route decides which pool and class a request belongs to. A Table is compiled once from rules. It is immutable, does no I/O, and
 // may be used by any number of goroutines.
 //
-// If several routes match, the first in this order of precedence is used. The order in which they were given does not count:
+// If several routes match, the first in this order of precedence is used. The order of the rules does not matter:
 //
 //  1. the host: an exact name before a wildcard, a longer wildcard before a shorter one, any host last;
 //  2. the path: an exact path before a regular expression, that before a prefix, a longer prefix before a shorter one;
@@ -9,7 +9,7 @@
 //  4. a route that names methods before one that does not;
 //  5. more header conditions, then more query conditions.
 //
-// Two routes that are equal in all of this and could match one request are an error of the table.
+// It is an error of the table if two routes that are equal in all of this could match the same request.
 package route
 
 import (
@@ -21,7 +21,7 @@
 	"strings"
 )
 
-// PathKind is how a route's path is compared.
+// PathKind is how the path of a route is compared.
 type PathKind uint8
 
 // The kinds of path. A prefix matches whole segments: /a matches /a, /a/ and /a/b, but not /ab. A regular expression has the syntax of
@@ -49,17 +49,17 @@
 	Value string // of Equals
 }
 
-// Rewrite is how the path changes on its way to the server.
+// Rewrite is how the path is changed before a request is sent to a server.
 type Rewrite struct {
-	Strip   bool   // whether the prefix that matched is removed
-	Replace string // what replaces it; "" for nothing
+	Strip   bool   // whether the matched prefix is removed
+	Replace string // path that replaces the prefix; "" for none
 }
 
-// Answer is a fixed response, given without a server.
+// Answer is a fixed response, for which no request is sent to a server.
 type Answer struct {
 	Status   int
 	Body     string
-	Location string // of a redirect; {host}, {path} and {query} stand for the request's
+	Location string // of a redirect; {host}, {path} and {query} are replaced by those of the request
 }
 
 // Rule is one route of the operator file.
@@ -68,19 +68,19 @@
 	Host     string // "" or "*" for any, "a.example.org", or "*.example.org" for the names below it
 	Path     string
 	Kind     PathKind
-	Methods  []string // none for any
+	Methods  []string // empty for any method
 	Headers  []Condition
 	Query    []Condition
 	Priority int
 
-	Pool, Class string // for the caller; not used here
+	Pool, Class string // not used by this package
 	Rewrite     Rewrite
 	Answer      *Answer // instead of a pool
 
-	depth int // segments of a prefix, in a compiled rule
+	depth int // number of segments of a prefix, set by Compile
 }
 
-// Request is what Match uses of a request.
+// Request holds the parts of a request that Match uses.
 type Request struct {
 	Method string
 	Host   string // from NormalizeHost
@@ -89,20 +89,20 @@
 	Header http.Header
 }
 
-// Bounds of a table. Regular expressions cost time with each request.
+// Bounds of a table. Regular expressions are matched for each request, so their size is bounded.
 const (
-	MaxPatternBytes      = 1024    // bytes of one expression
-	maxInstructions      = 5000    // of one compiled expression
-	maxTotalInstructions = 200_000 // and of all of a table together
-	maxConditions        = 32      // of one route, each of headers and query
-	maxMethods           = 16
+	MaxPatternBytes      = 1024    // bytes of one regular expression
+	maxInstructions      = 5000    // instructions of one compiled expression
+	maxTotalInstructions = 200_000 // instructions of all compiled expressions of a table
+	maxConditions        = 32      // header conditions of one route, and query conditions of one route
+	maxMethods           = 16      // methods of one route
 )
 
-// compiledRoute is a compiled rule.
+// compiledRoute is a Rule in normal form, with its compiled regular expression.
 type compiledRoute struct {
 	*Rule
-	index      int
-	path       string // that is compared
+	index      int    // of the rule in the table
+	path       string // path that is compared
 	pattern    *regexp.Regexp
 	host       string // without "*.", lower case
 	isWildcard bool   // whether host is a suffix
@@ -186,17 +186,17 @@
 			return e
 		}
 	}
-	at := s.prefixes
+	node := s.prefixes
 	for rest := r.Path.Match[1:]; rest != ""; {
 		segment, after, _ := strings.Cut(rest, "/")
-		next := at.children[segment]
-		if next == nil {
+		child := node.children[segment]
+		if child == nil {
 			break
 		}
-		at, rest = next, after
+		node, rest = child, after
 	}
-	for ; at != nil; at = at.parent {
-		if e := firstMatching(at.entries, r); e != nil {
+	for ; node != nil; node = node.parent {
+		if e := firstMatching(node.entries, r); e != nil {
 			return e
 		}
 	}
@@ -249,7 +249,7 @@
 	}
 }
 
-// comparePrecedence compares routes of one host and one path, or two regular expressions of one host: negative if a goes first.
+// comparePrecedence compares routes of one host and one path, or two regular expressions of one host: negative if a takes precedence.
 func comparePrecedence(a, b *compiledRoute) int {
 	return cmp.Or(
 		cmp.Compare(b.Priority, a.Priority),
@@ -259,7 +259,7 @@
 	)
 }
 
-// kindRank returns the precedence of the kind of path: higher goes first.
+// kindRank returns the precedence of the kind of path: a higher rank takes precedence.
 func (e *compiledRoute) kindRank() int {
 	switch e.Kind {
 	case Exact:
@@ -270,7 +270,7 @@
 	return 0
 }
 
-// compareRank compares the precedence of any two routes: negative if a goes first wherever both match.
+// compareRank compares the precedence of any two routes: negative if a takes precedence wherever both match.
 func compareRank(a, b *compiledRoute) int {
 	return cmp.Or(
 		cmp.Compare(b.hostRank(), a.hostRank()),
@@ -283,7 +283,7 @@
 // exactHostRank is higher than that of any wildcard: no host name has so many labels.
 const exactHostRank = 1 << 20
 
-// hostRank returns the precedence of the host: among hosts that match one name, higher goes first.
+// hostRank returns the precedence of the host: among hosts that match one name, a higher rank takes precedence.
 func (e *compiledRoute) hostRank() int {
 	switch {
 	case e.host == "":
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// ask makes a request of "METHOD host/path?query" and headers.
-func ask(t testing.TB, line string, headers ...string) *Request {
+// newRequest returns a request from a line "METHOD host/path?query" and headers.
+func newRequest(t testing.TB, line string, headers ...string) *Request {
 	t.Helper()
 	method, rest, _ := strings.Cut(line, " ")
 	target, query, _ := strings.Cut(rest, "?")
@@ -30,6 +30,7 @@
 	return r
 }
 
+// compile compiles rules, and fails the test if there are errors.
 func compile(t testing.TB, rules ...Rule) *Table {
 	t.Helper()
 	table, errs := Compile(rules)
@@ -97,24 +98,24 @@
 			{"traced", "GET x/q?trace", nil},
 			{"untraced", "GET x/q?a=b", nil},
 		} {
-			got := table.Match(ask(t, c.line, c.headers...))
+			got := table.Match(newRequest(t, c.line, c.headers...))
 			if got == nil || got.Name != c.want {
-				t.Errorf("table %d: %s %v goes to %v, want %s", i, c.line, c.headers, got, c.want)
+				t.Errorf("table %d: %s %v matches %v, want %s", i, c.line, c.headers, got, c.want)
 			}
 		}
 	}
-	if got := compile(t, Rule{Name: "a", Path: "/a"}).Match(ask(t, "GET x/b")); got != nil {
-		t.Errorf("a path of no route goes to %s", got.Name)
+	if got := compile(t, Rule{Name: "a", Path: "/a"}).Match(newRequest(t, "GET x/b")); got != nil {
+		t.Errorf("a path without a route matches %s", got.Name)
 	}
 }
 
-// Everything that is wrong must be told, with the route and the field.
-func TestCompileTellsAllErrors(t *testing.T) {
+// Compile must report all errors, each with its route and field.
+func TestCompileReportsAllErrors(t *testing.T) {
 	eq := func(name, value string) []Condition { return []Condition{{Name: name, Value: value}} }
 	for _, c := range []struct {
 		name  string
 		rules []Rule
-		want  []string // route, field and a word of the text
+		want  []string // route, field and a part of the text
 	}{
 		{"no name", []Rule{{}}, []string{"0 name missing"}},
 		{"name twice", []Rule{{Name: "a"}, {Name: "a", Path: "/b"}}, []string{"1 name already"}},
@@ -124,7 +125,7 @@
 			[]string{"0 path begin", "1 path percent", "2 path ;"}},
 		{"expression", []Rule{{Name: "a", Path: "(", Kind: Regexp}, {Name: "b", Path: ")|(", Kind: Regexp}}, []string{"0 path missing", "1 path unexpected"}},
 		{"long expression", []Rule{{Name: "a", Path: strings.Repeat("a", MaxPatternBytes+1), Kind: Regexp}}, []string{"0 path bytes"}},
-		{"huge expression", []Rule{{Name: "a", Path: strings.Repeat("[a-z]{0,900}", 8), Kind: Regexp}, {Name: "b", Path: "/ok"}}, []string{"0 path instructions"}},
+		{"expression with too many instructions", []Rule{{Name: "a", Path: strings.Repeat("[a-z]{0,900}", 8), Kind: Regexp}, {Name: "b", Path: "/ok"}}, []string{"0 path instructions"}},
 		{"method", []Rule{{Name: "a", Methods: []string{"get"}}, {Name: "b", Path: "/b", Methods: []string{"GET", "GET"}}},
 			[]string{"0 methods capital", "1 methods twice"}},
 		{"conditions", []Rule{{Name: "a", Headers: append(eq("x", "1"), eq("X", "2")...)}, {Name: "b", Path: "/b", Headers: eq("Host", "x")},
@@ -135,9 +136,9 @@
 			{Name: "c", Path: "/c", Answer: &Answer{Status: 301}}, {Name: "d", Path: "/d", Answer: &Answer{Status: 302, Location: "/{x}"}},
 			{Name: "e", Path: "/e", Answer: &Answer{Status: 204, Body: "x"}}},
 			[]string{"0 answer not both", "1 answer 99", "2 answer location", "3 answer placeholders", "4 answer no body"}},
-		{"alike", []Rule{{Name: "a", Path: "/a"}, {Name: "b", Path: "/a/"}}, []string{"1 priority decides"}},
-		{"alike by methods", []Rule{{Name: "a", Path: "/a", Methods: []string{"GET", "PUT"}}, {Name: "b", Path: "/a", Methods: []string{"PUT"}}}, []string{"1 priority decides"}},
-		{"alike by conditions", []Rule{{Name: "a", Headers: eq("x", "1")}, {Name: "b", Headers: eq("y", "1")}}, []string{"1 priority decides"}},
+		{"equal precedence", []Rule{{Name: "a", Path: "/a"}, {Name: "b", Path: "/a/"}}, []string{"1 priority decides"}},
+		{"equal precedence with overlapping methods", []Rule{{Name: "a", Path: "/a", Methods: []string{"GET", "PUT"}}, {Name: "b", Path: "/a", Methods: []string{"PUT"}}}, []string{"1 priority decides"}},
+		{"equal precedence with different conditions", []Rule{{Name: "a", Headers: eq("x", "1")}, {Name: "b", Headers: eq("y", "1")}}, []string{"1 priority decides"}},
 		{"expressions", []Rule{{Name: "a", Path: "/a.*", Kind: Regexp}, {Name: "b", Path: "/.*b", Kind: Regexp}}, []string{"1 priority decides"}},
 		{"hidden by priority", []Rule{{Name: "a", Path: "/a", Methods: []string{"GET"}}, {Name: "b", Path: "/a", Priority: 1}}, []string{"0 path unreachable"}},
 		{"hidden by an expression", []Rule{{Name: "a", Path: "/a/b"}, {Name: "b", Path: "/a.*", Kind: Regexp}, {Name: "c", Path: "/b"}}, []string{"0 path unreachable"}},
@@ -149,15 +150,15 @@
 				t.Fatalf("errors %v, want %q", errs, c.want)
 			}
 			for i, err := range errs {
-				place, word, _ := strings.Cut(c.want[i], " ")
+				index, word, _ := strings.Cut(c.want[i], " ")
 				field, word, _ := strings.Cut(word, " ")
-				if fmt.Sprint(err.Rule) != place || err.Field != field || !strings.Contains(err.Error(), word) {
+				if fmt.Sprint(err.Rule) != index || err.Field != field || !strings.Contains(err.Error(), word) {
 					t.Errorf("error %v, want %q", err, c.want[i])
 				}
 			}
 		})
 	}
-	// And what looks like a conflict but is none.
+	// Rules that look like conflicts but are not.
 	compile(t,
 		Rule{Name: "a", Path: "/a", Headers: eq("x", "1")}, Rule{Name: "b", Path: "/a", Headers: eq("x", "2")},
 		Rule{Name: "c", Path: "/a", Methods: []string{"GET"}}, Rule{Name: "d", Path: "/a", Methods: []string{"PUT"}},
@@ -224,19 +225,19 @@
 		{"/", "/x", "/a", "/x/a"},
 	} {
 		table := compile(t, Rule{Name: "r", Path: c.prefix, Rewrite: Rewrite{Strip: true, Replace: c.replace}})
-		r := ask(t, "GET x"+c.raw)
+		r := newRequest(t, "GET x"+c.raw)
 		if got := table.Match(r).Rewritten(r.Path); got != c.want {
 			t.Errorf("%s -> %q of %s: %s, want %s", c.prefix, c.replace, c.raw, got, c.want)
 		}
 	}
 	a := Answer{Status: 301, Location: "https://{host}{path}{query}"}
-	if got := a.Redirect(ask(t, "GET X.org/a/../b?c=d")); got != "https://x.org/b?c=d" {
+	if got := a.Redirect(newRequest(t, "GET X.org/a/../b?c=d")); got != "https://x.org/b?c=d" {
 		t.Errorf("location %s", got)
 	}
 }
 
-// FuzzNormalize checks that the one spelling is one: normalising it again changes nothing, matched paths hold no dot or
-// empty segments, and what goes on is read by the standard library as what was matched.
+// FuzzNormalize checks that the normal form is stable, that Match has no dot segments or empty segments, and that Raw has only
+// bytes that may be in a path.
 func FuzzNormalize(f *testing.F) {
 	for _, s := range []string{"/", "/a//b/./../c;x=1/%2e%2e;/d%20", "/%3b", "/a%2fb", "/é/..", "/a;/..;x/", "/%25", "//"} {
 		f.Add(s)
@@ -256,12 +257,12 @@
 		segments := strings.Split(p.Match[1:], "/")
 		for i, s := range segments {
 			if s == "." || s == ".." || s == "" && i < len(segments)-1 {
-				t.Fatalf("%q -> %+v holds the segment %q", raw, p, s)
+				t.Fatalf("%q -> %+v has the segment %q", raw, p, s)
 			}
 		}
 		for _, c := range []byte(p.Raw) {
 			if c <= ' ' || c >= 0x7f || c == '\\' || c == '?' || c == '#' {
-				t.Fatalf("%q -> %+v holds the byte %q", raw, p, c)
+				t.Fatalf("%q -> %+v has the byte %q", raw, p, c)
 			}
 		}
 	})
--- a/internal/vhost/compile.go
+++ b/internal/vhost/compile.go
@@ -14,21 +14,21 @@
 
 // Bounds of a table.
 const (
-	MaxPatternBytes = 1024 // bytes of one expression
-	maxSteps        = 64   // of one server or location
-	maxHeaders      = 64   // of one location
-	maxDepth        = 16   // depth of locations within each other
+	MaxPatternBytes = 1024 // bytes of one regular expression
+	maxSteps        = 64   // steps of one server or location
+	maxHeaders      = 64   // headers of one location
+	maxDepth        = 16   // depth of nested locations
 )
 
 // Error is an error of one server or location.
 type Error struct {
-	Server   int
+	Server   int   // index of the server
 	Location []int // indexes from the outermost location on; none for the server itself
 	Field    string
 	Err      error
 }
 
-// Error returns the place, the field and the cause.
+// Error returns the server, the location, the field and the cause.
 func (e *Error) Error() string {
 	return fmt.Sprintf("server %d, location %v: %s: %v", e.Server, e.Location, e.Field, e.Err)
 }
@@ -36,14 +36,14 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// compiledStep is a compiled step.
+// compiledStep is a Step with its compiled expression and templates.
 type compiledStep struct {
 	*Step
 	pattern            *regexp.Regexp
 	to, body, location template
 }
 
-// compiledAction is a compiled action.
+// compiledAction is an Action with its compiled templates.
 type compiledAction struct {
 	*Action
 	target  template
@@ -53,8 +53,8 @@
 // compiler collects the errors of a table and the references within one server.
 type compiler struct {
 	server      int
-	current     *virtualServer
-	references  []reference // to named locations of the site
+	current     *virtualServer // the server that is compiled
+	references  []reference    // uses of named locations of the current server
 	tableErrors []*Error
 }
 
@@ -72,16 +72,16 @@
 			c.addError(nil, "name", fmt.Errorf("%q is missing or comes twice", s.Name))
 		}
 		names[s.Name] = true
-		own := &virtualServer{Server: s, steps: c.compileSteps(nil, s.Steps), named: map[string]*location{}}
-		c.current, own.pages = own, c.compilePages(nil, s.Errors)
-		own.locations = c.compileLocations(nil, s.Locations, map[string]bool{}, own.pages)
+		compiled := &virtualServer{Server: s, steps: c.compileSteps(nil, s.Steps), named: map[string]*location{}}
+		c.current, compiled.pages = compiled, c.compilePages(nil, s.Errors)
+		compiled.locations = c.compileLocations(nil, s.Locations, map[string]bool{}, compiled.pages)
 		c.checkReferences()
-		c.addHosts(t, own)
+		c.addHosts(t, compiled)
 		if s.Default && t.defaultServer != nil && t.defaultServer.Default {
 			c.addError(nil, "default", fmt.Errorf("%q is the default already", t.defaultServer.Name))
 		}
 		if t.defaultServer == nil || s.Default && !t.defaultServer.Default {
-			t.defaultServer = own
+			t.defaultServer = compiled
 		}
 	}
 	if len(c.tableErrors) > 0 {
@@ -97,7 +97,7 @@
 
 // addHosts adds the names of a server to the table. A name belongs to the first server that has it.
 func (c *compiler) addHosts(t *Table, s *virtualServer) {
-	enter := func(m map[string]*virtualServer, name, host string) {
+	addHost := func(m map[string]*virtualServer, name, host string) {
 		if name == "" || strings.ContainsAny(name, "*/ ") {
 			c.addError(nil, "hosts", fmt.Errorf("%q is no host name", host))
 		} else if m[name] == nil {
@@ -113,14 +113,14 @@
 				t.patterns = append(t.patterns, hostPattern{re, s})
 			}
 		} else if rest, ok := strings.CutPrefix(name, "*."); ok {
-			enter(t.leadingWildcards, rest, host)
+			addHost(t.leadingWildcards, rest, host)
 		} else if rest, ok := strings.CutSuffix(name, ".*"); ok {
-			enter(t.trailingWildcards, rest, host)
+			addHost(t.trailingWildcards, rest, host)
 		} else if rest, ok := strings.CutPrefix(name, "."); ok {
-			enter(t.exactHosts, rest, host)
-			enter(t.leadingWildcards, rest, host)
+			addHost(t.exactHosts, rest, host)
+			addHost(t.leadingWildcards, rest, host)
 		} else {
-			enter(t.exactHosts, strings.TrimSuffix(name, "."), host)
+			addHost(t.exactHosts, strings.TrimSuffix(name, "."), host)
 		}
 	}
 }
@@ -155,14 +155,14 @@
 }
 
 // compileSteps compiles the steps of a server or location.
-func (c *compiler) compileSteps(at []int, list []Step) []compiledStep {
-	if len(list) > maxSteps {
-		c.addError(at, "step", fmt.Errorf("%d of them, over the %d allowed", len(list), maxSteps))
+func (c *compiler) compileSteps(at []int, specs []Step) []compiledStep {
+	if len(specs) > maxSteps {
+		c.addError(at, "step", fmt.Errorf("%d of them, over the %d allowed", len(specs), maxSteps))
 		return nil
 	}
-	steps := make([]compiledStep, len(list))
-	for i := range list {
-		s := &list[i]
+	steps := make([]compiledStep, len(specs))
+	for i := range specs {
+		s := &specs[i]
 		field := fmt.Sprintf("step[%d]", i)
 		steps[i] = compiledStep{
 			Step: s, to: c.compileTemplate(at, field, s.To),
@@ -184,9 +184,10 @@
 	return steps
 }
 
-// compileLocations compiles the locations of a server, or those within one.
-func (c *compiler) compileLocations(at []int, list []Location, names map[string]bool, around []compiledPage) *locationSet {
-	if len(list) == 0 {
+// compileLocations compiles the locations of a server, or those within a location. names holds the names used in the server so far,
+// enclosingPages the error pages that locations without their own inherit.
+func (c *compiler) compileLocations(at []int, specs []Location, names map[string]bool, enclosingPages []compiledPage) *locationSet {
+	if len(specs) == 0 {
 		return nil
 	}
 	if len(at) >= maxDepth {
@@ -195,14 +196,14 @@
 	}
 	l := &locationSet{exact: map[string]*location{}}
 	prefixes := map[string]bool{}
-	for i := range list {
-		spec := &list[i]
+	for i := range specs {
+		spec := &specs[i]
 		here := append(slices.Clip(at), i)
 		if spec.Name == "" || names[spec.Name] {
 			c.addError(here, "name", fmt.Errorf("%q is missing or comes twice", spec.Name))
 		}
 		names[spec.Name] = true
-		p := &location{Location: spec, steps: c.compileSteps(here, spec.Steps), action: c.compileAction(here, spec), pages: around}
+		p := &location{Location: spec, steps: c.compileSteps(here, spec.Steps), action: c.compileAction(here, spec), pages: enclosingPages}
 		if len(spec.Errors) > 0 {
 			p.pages = c.compilePages(here, spec.Errors)
 		}
@@ -213,7 +214,7 @@
 	return l
 }
 
-// addLocation adds a compiled location to its level, whose prefixes so far are given.
+// addLocation adds a compiled location to its level. prefixes holds the prefixes that the level has so far.
 func (c *compiler) addLocation(l *locationSet, at []int, p *location, prefixes map[string]bool) {
 	switch {
 	case p.Kind.isRegexp():
@@ -234,7 +235,7 @@
 	}
 }
 
-// sortPrefixes sorts the prefixes of a level and links each to the longest other one that it begins with.
+// sortPrefixes sorts the prefixes of a level and links each to the longest other prefix that it begins with.
 func (l *locationSet) sortPrefixes() {
 	slices.SortFunc(l.prefixes, func(a, b *location) int { return strings.Compare(a.Path, b.Path) })
 	for i, p := range l.prefixes {
--- a/internal/vhost/decide.go
+++ b/internal/vhost/decide.go
@@ -7,16 +7,16 @@
 	"milletmast/internal/route"
 )
 
-// maxCycles is how often a location may be chosen again for one request. More is an error of the configuration.
+// maxCycles is how often a location may be chosen again for one request. More indicates a rewrite loop in the configuration.
 const maxCycles = 10
 
-// decision is the state of a request while it is decided.
+// decision is the state of the decision on a request.
 type decision struct {
 	*Request
-	path       string // as rewritten
+	path       string // after rewrites
 	query      string
 	changed    bool // whether the path or query differs from the request's
-	isInternal bool // whether it was rewritten, or replaces another request
+	isInternal bool // whether the request was rewritten, or replaces another one
 	site       *virtualServer
 	captures   *captureGroups
 }
@@ -75,7 +75,7 @@
 	return true
 }
 
-// runSteps runs steps in order. again means that the location has to be chosen again.
+// runSteps runs steps in order. again means that the location of the request has to be chosen again.
 func (w *decision) runSteps(steps []compiledStep) (answer *Answer, again bool) {
 	for i := range steps {
 		s := &steps[i]
@@ -110,7 +110,8 @@
 	return nil, again
 }
 
-// splitTarget returns the path and query of a replacement. Its own query precedes that of the request, and a ? at the end drops the latter.
+// splitTarget returns the path and query of a replacement. Its own query precedes the query of the request, and a ? at the end drops the
+// latter.
 func splitTarget(to, query string) (string, string) {
 	path, own, ok := strings.Cut(to, "?")
 	switch {
@@ -124,7 +125,7 @@
 	return path, own + "&" + query
 }
 
-// withQuery returns a replacement with the query of the request, as split joins them.
+// withQuery returns a replacement with the query of the request, joined as in splitTarget.
 func withQuery(to, query string) string {
 	path, query := splitTarget(to, query)
 	if query == "" {
@@ -133,8 +134,8 @@
 	return path + "?" + query
 }
 
-// setTarget sets how a request is sent to a pool.
-func (w *decision) setTarget(out *Outcome, p *location, rewritten bool) {
+// setTarget sets the action, class, target and headers with which a request is sent to a pool.
+func (w *decision) setTarget(out *Outcome, p *location, pathRewritten bool) {
 	a := p.action
 	out.Do, out.Class = a.Action, a.Class
 	if !isSafeMethod(w.Method) {
@@ -146,7 +147,7 @@
 		if out.Target == "" || out.Target[0] != '/' {
 			out.Target = "/" + out.Target
 		}
-	case a.Replace != "" && !rewritten:
+	case a.Replace != "" && !pathRewritten:
 		out.Target = withQuery(a.Replace+route.EscapePath(w.path[len(p.Path):]), w.query)
 	case w.changed:
 		out.Target = withQuery(route.EscapePath(w.path), w.query)
--- a/internal/vhost/errors.go
+++ b/internal/vhost/errors.go
@@ -9,22 +9,22 @@
 	"milletmast/internal/route"
 )
 
-// ErrorPage is what replaces an error (ngx_http_core_module: error_page): a page, a named location or a redirect. An error is a response
-// without a body of a step or of this program, or, in a location that intercepts, any error response of a server.
+// ErrorPage replaces an error by a page, a named location or a redirect (ngx_http_core_module: error_page). An error is a response without
+// a body from a step or from this program, or, in a location that intercepts, any error response of a server.
 type ErrorPage struct {
 	Codes    []int
 	Page     string // a template for the path and query of a GET that replaces the request
-	Named    string // a location of the server that gets the request as it is
+	Named    string // a named location that gets the request unchanged
 	Redirect string // a template for a URL
-	Status   int    // of the final answer: 0 for that of the error (of a redirect: 302), Own, or this one
+	Status   int    // of the final response; 0 for that of the error (302 for a redirect), Own for that of the replacement
 }
 
-// Own stands for the status of the replacement, whatever the status of the error was.
+// Own is the value of ErrorPage.Status that keeps the status of the replacement.
 const Own = -1
 
-const maxPages = 64 // of one server or location
+const maxPages = 64 // error pages of one server or location
 
-// compiledPage is a compiled error page.
+// compiledPage is an ErrorPage with its compiled templates.
 type compiledPage struct {
 	*ErrorPage
 	path, redirect template
@@ -38,14 +38,14 @@
 }
 
 // compilePages compiles the error pages of a server or location.
-func (c *compiler) compilePages(at []int, list []ErrorPage) []compiledPage {
-	if len(list) > maxPages {
-		c.addError(at, "error", fmt.Errorf("%d of them, over the %d allowed", len(list), maxPages))
+func (c *compiler) compilePages(at []int, specs []ErrorPage) []compiledPage {
+	if len(specs) > maxPages {
+		c.addError(at, "error", fmt.Errorf("%d of them, over the %d allowed", len(specs), maxPages))
 		return nil
 	}
-	pages := make([]compiledPage, len(list))
-	for i := range list {
-		errorPage, field := &list[i], fmt.Sprintf("error[%d]", i)
+	pages := make([]compiledPage, len(specs))
+	for i := range specs {
+		errorPage, field := &specs[i], fmt.Sprintf("error[%d]", i)
 		pages[i] = compiledPage{
 			ErrorPage: errorPage, path: c.compileTemplate(at, field, errorPage.Page), redirect: c.compileTemplate(at, field, errorPage.Redirect),
 		}
@@ -60,7 +60,7 @@
 	return pages
 }
 
-// validateTarget returns an error unless the error page has one target and a status that goes with it.
+// validateTarget returns an error unless the error page has exactly one target and a status that is valid for it.
 func (e *ErrorPage) validateTarget() error {
 	targets := 0
 	for _, target := range []string{e.Page, e.Named, e.Redirect} {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// validateCodes reports statuses that are no errors.
+// validateCodes reports statuses that are not those of errors.
 func (c *compiler) validateCodes(at []int, field string, codes []int) {
 	if len(codes) == 0 {
 		c.addError(at, field, errors.New("it names no status"))
@@ -132,7 +132,7 @@
 // Intercepts reports whether error responses of servers are replaced too.
 func (o *Outcome) Intercepts() bool { return o.intercepts }
 
-// Recover returns what replaces an error of a request that was sent to a pool: the page of the first of the statuses that has one. The
+// Recover returns the replacement of an error of a request that was sent to a pool: the error page of the first status that has one. The
 // replacement isn't replaced in turn (recursive_error_pages off).
 func (o *Outcome) Recover(statuses ...int) (Outcome, bool) {
 	if o.decision == nil {
@@ -148,23 +148,23 @@
 	return Outcome{}, false
 }
 
-// withErrorPage returns what replaces the outcome if it is an error without a body, and else the outcome.
+// withErrorPage returns the replacement of an outcome that is an error without a body and has an error page; otherwise the outcome.
 func (o Outcome) withErrorPage() Outcome {
 	if a := o.Answer; a != nil && a.Status >= 300 && a.Body == "" && a.Location == "" {
-		if other, ok := o.Recover(a.Status); ok {
-			if other.Answer == nil && other.Status == 0 {
-				other.Status = a.Status
+		if replaced, ok := o.Recover(a.Status); ok {
+			if replaced.Answer == nil && replaced.Status == 0 {
+				replaced.Status = a.Status
 			}
-			return other
+			return replaced
 		}
 	}
 	if len(o.pages) == 0 {
-		o.decision = nil // the request isn't needed any longer
+		o.decision = nil // the request isn't needed anymore
 	}
 	return o
 }
 
-// errorPageOutcome returns the outcome of an error page; false if it is no better than the error itself.
+// errorPageOutcome returns the outcome of an error page; false if that is an error without a body too.
 func (o *Outcome) errorPageOutcome(p *compiledPage, status int) (out Outcome, ok bool) {
 	w := *o.decision
 	w.isInternal = true
@@ -195,7 +195,7 @@
 	if a := out.Answer; a != nil {
 		out.Status = 0
 		if p.Status == 0 && a.Body == "" && a.Location == "" && a.Status >= 400 {
-			return Outcome{}, false // nothing better than the error itself
+			return Outcome{}, false // an error without a body does not replace another
 		}
 		if p.Status != Own && a.Location == "" {
 			own := *a
--- a/internal/vhost/errors_test.go
+++ b/internal/vhost/errors_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-func sent(pool string) *Action { return &Action{Pool: pool, Class: "read", Other: "write"} }
+// sendTo returns an action that sends requests to a pool.
+func sendTo(pool string) *Action { return &Action{Pool: pool, Class: "read", Other: "write"} }
 
-// site has errors of its own, a location that replaces them, named locations, and an internal one.
+// errorSite returns a server with error pages, a location with its own error page, named locations, and an internal location.
 func errorSite() []Server {
 	return []Server{{
 		Name: "s",
@@ -20,11 +21,11 @@
 			{Codes: []int{500}, Page: "/nowhere"},
 		},
 		Locations: []Location{
-			{Name: "missing", Kind: Equals, Path: "/missing", Do: sent("pages")},
+			{Name: "missing", Kind: Equals, Path: "/missing", Do: sendTo("pages")},
 			{Name: "calm", Kind: Equals, Path: "/calm", Internal: true, Steps: []Step{{Answer: Answer{Status: 599, Body: "calm"}}}},
 			{Name: "teapot", Kind: Equals, Path: "/teapot", Steps: []Step{{Answer: Answer{Status: 418, Body: "tea"}}}},
 			{Name: "shop", Kind: Begins, Path: "/shop", Do: &Action{Pool: "shop", Class: "read", Other: "write", Replace: "/v2"}},
-			{Name: "moved", Kind: Begins, Path: "/moved", Steps: []Step{{Match: "^/moved(.*)$", To: "/new$1{1}", Then: Break}}, Do: sent("shop")},
+			{Name: "moved", Kind: Begins, Path: "/moved", Steps: []Step{{Match: "^/moved(.*)$", To: "/new$1{1}", Then: Break}}, Do: sendTo("shop")},
 			{Name: "to-calm", Kind: Begins, Path: "/to-calm", Steps: []Step{{Match: ".*", To: "/calm", Then: Last}}},
 			{Name: "forbidden", Kind: Begins, Path: "/403", Steps: []Step{{Answer: Answer{Status: 403}}}},
 			{Name: "worded", Kind: Begins, Path: "/worded", Steps: []Step{{Answer: Answer{Status: 403, Body: "no"}}}},
@@ -32,9 +33,9 @@
 			{Name: "own", Kind: Begins, Path: "/411", Steps: []Step{{Answer: Answer{Status: 411}}}},
 			{Name: "lost", Kind: Begins, Path: "/500", Steps: []Step{{Answer: Answer{Status: 500}}}},
 			{Name: "nowhere", Kind: Equals, Path: "/nowhere", Steps: []Step{{Answer: Answer{Status: 404}}}},
-			{Name: "other", Kind: Begins, Path: "/other", Do: sent("shop"), Intercept: true, Errors: []ErrorPage{{Codes: []int{503}, Named: "again"}},
-				Within: []Location{{Name: "inner", Kind: Begins, Path: "/other/in", Do: sent("shop")}}},
-			{Name: "spare", Kind: Named, Path: "spare", Do: sent("spare")},
+			{Name: "other", Kind: Begins, Path: "/other", Do: sendTo("shop"), Intercept: true, Errors: []ErrorPage{{Codes: []int{503}, Named: "again"}},
+				Within: []Location{{Name: "inner", Kind: Begins, Path: "/other/in", Do: sendTo("shop")}}},
+			{Name: "spare", Kind: Named, Path: "spare", Do: sendTo("spare")},
 			{Name: "again", Kind: Named, Path: "again", Steps: []Step{{Match: "^/other(.*)$", To: "/shop{1}", Then: Last}}},
 		},
 	}}
@@ -44,15 +45,15 @@
 	return &Request{Method: method, Host: "h", Path: path, Raw: path + "?q", Query: "q", Header: func(string) string { return "" }}
 }
 
-// What a table answers by itself is replaced where it has no body, once.
-func TestOwnErrorsAreReplaced(t *testing.T) {
-	table := compiled(t, errorSite())
+// Error responses of the table itself that have no body are replaced by error pages, and replacements are not replaced again.
+func TestTableErrorsAreReplaced(t *testing.T) {
+	table := mustCompile(t, errorSite())
 	for _, k := range []struct {
 		method, path string
 		status       int
 		body, to     string
 		pool, target string
-		then         string // method
+		nextMethod   string
 	}{
 		{"GET", "/none", 404, "", "", "pages", "/missing?of=/none", "GET"},
 		{"HEAD", "/none", 404, "", "", "pages", "/missing?of=/none", "HEAD"},
@@ -61,9 +62,9 @@
 		{"GET", "/worded", 403, "no", "", "", "", ""},
 		{"GET", "/410", 301, "", "http://h/gone", "", "", ""},
 		{"GET", "/411", 418, "tea", "", "", "", ""},
-		{"GET", "/500", 500, "", "", "", "", ""},                                 // its page is an error too: the first one stays
-		{"GET", "/nowhere", 404, "", "", "pages", "/missing?of=/nowhere", "GET"}, // and only what stands in is not replaced
-		{"GET", "/calm", 404, "", "", "pages", "/missing?of=/calm", "GET"},       // internal
+		{"GET", "/500", 500, "", "", "", "", ""},                                 // the replacement is an error too: the original error stays
+		{"GET", "/nowhere", 404, "", "", "pages", "/missing?of=/nowhere", "GET"}, // only replacements are not replaced
+		{"GET", "/calm", 404, "", "", "pages", "/missing?of=/calm", "GET"},       // an internal location is not reachable from outside
 		{"GET", "/to-calm", 599, "calm", "", "", "", ""},                         // reached by a rewrite
 	} {
 		out := table.Decide(request(k.method, k.path))
@@ -73,19 +74,19 @@
 			}
 			continue
 		}
-		if out.Status != k.status || out.Do.Pool != k.pool || out.Target != k.target || out.Method != k.then || !out.Page || out.Class != "read" {
+		if out.Status != k.status || out.Do.Pool != k.pool || out.Target != k.target || out.Method != k.nextMethod || !out.Page || out.Class != "read" {
 			t.Errorf("%s %s: status %d, %s%s by %s, page %v", k.method, k.path, out.Status, out.Do.Pool, out.Target, out.Method, out.Page)
 		}
 	}
 }
 
-// Errors of what was sent on are replaced by the pages in force where it was sent from.
-func TestErrorsBehindAreReplaced(t *testing.T) {
-	table := compiled(t, errorSite())
+// Errors of servers are replaced by the error pages that apply in the location of the request.
+func TestServerErrorsAreReplaced(t *testing.T) {
+	table := mustCompile(t, errorSite())
 	for _, k := range []struct {
 		method, path string
 		statuses     []int
-		pool, target string // "" for nothing
+		pool, target string // "" if the error is not replaced
 		class        string
 		intercepts   bool
 	}{
@@ -93,10 +94,10 @@
 		{"POST", "/shop/a", []int{503, 504}, "spare", "/shop/a?q", "write", false}, // the first status that has a page
 		{"GET", "/shop/a", []int{503}, "", "", "", false},
 		{"GET", "/shop/a", nil, "", "", "", false},
-		{"GET", "/moved/x", []int{504}, "spare", "/new$1/x?q", "read", false},   // as it was rewritten
+		{"GET", "/moved/x", []int{504}, "spare", "/new$1/x?q", "read", false},   // the rewritten path
 		{"GET", "/other/x", []int{503}, "shop", "/v2/x?q", "read", true},        // a rewrite leads to another location
-		{"GET", "/other/in/x", []int{503}, "shop", "/v2/in/x?q", "read", false}, // pages are inherited, Intercept is said again
-		{"GET", "/other/x", []int{502}, "", "", "", true},                       // its own pages stand instead of the server's
+		{"GET", "/other/in/x", []int{503}, "shop", "/v2/in/x?q", "read", false}, // pages are inherited, Intercept is not
+		{"GET", "/other/x", []int{502}, "", "", "", true},                       // pages of the location replace those of the server
 	} {
 		out := table.Decide(request(k.method, k.path))
 		if out.Do == nil || !out.Replaces() || out.Intercepts() != k.intercepts {
@@ -111,13 +112,13 @@
 			t.Errorf("%s %v: %s%s class %s by %s", k.path, k.statuses, next.Do.Pool, next.Target, next.Class, next.Method)
 		}
 	}
-	if out := compiled(t, []Server{{Name: "s", Locations: []Location{{Name: "l", Kind: Begins, Path: "/", Do: sent("p")}}}}).Decide(request("GET", "/")); out.Replaces() {
-		t.Error("a server without error pages replaces answers")
+	if out := mustCompile(t, []Server{{Name: "s", Locations: []Location{{Name: "l", Kind: Begins, Path: "/", Do: sendTo("p")}}}}).Decide(request("GET", "/")); out.Replaces() {
+		t.Error("a server without error pages replaces errors")
 	}
 }
 
-func TestErrorPagesThatCannotBe(t *testing.T) {
-	deep := Location{Name: "in", Kind: Begins, Path: "/a/b", Do: sent("p")}
+func TestInvalidErrorPages(t *testing.T) {
+	deep := Location{Name: "in", Kind: Begins, Path: "/a/b", Do: sendTo("p")}
 	for want, change := range map[string]func(*Server){
 		"one of a page":              func(s *Server) { s.Errors[0].Named = "spare" },
 		"does not begin with /":      func(s *Server) { s.Errors[0].Page = "missing" },
@@ -130,20 +131,20 @@
 		"holds no others":            func(s *Server) { s.Locations[13].Within = []Location{deep} },
 		"no prefix to replace":       func(s *Server) { s.Locations[13].Do = &Action{Pool: "p", Class: "c", Replace: "/x"} },
 		"not within a location": func(s *Server) {
-			s.Locations[3].Within = []Location{{Name: "n", Kind: Named, Path: "n", Do: sent("p")}}
+			s.Locations[3].Within = []Location{{Name: "n", Kind: Named, Path: "n", Do: sendTo("p")}}
 		},
 		"over the 64":       func(s *Server) { s.Errors = make([]ErrorPage, 65) },
 		"is no placeholder": func(s *Server) { s.Errors[0].Page = "/{none such}" },
 	} {
-		list := errorSite()
-		change(&list[0])
-		_, errs := Compile(list)
-		told := ""
+		servers := errorSite()
+		change(&servers[0])
+		_, errs := Compile(servers)
+		got := ""
 		for _, e := range errs {
-			told += e.Error() + "\n"
+			got += e.Error() + "\n"
 		}
-		if !strings.Contains(told, want) {
-			t.Errorf("want %q, told %q", want, told)
+		if !strings.Contains(got, want) {
+			t.Errorf("got errors %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/vhost/template.go
+++ b/internal/vhost/template.go
@@ -45,11 +45,11 @@
 // names for captures. {{ stands for {.
 type template []templatePart
 
-// templatePart is a text or a placeholder.
+// templatePart is a literal text or a placeholder.
 type templatePart struct {
 	text        string
-	value       func(*decision) string // value of a placeholder; nil for a text
-	needsEscape bool                   // whether the value may contain any byte, so that it is escaped in a URL
+	value       func(*decision) string // returns the value of a placeholder; nil for a text
+	needsEscape bool                   // whether the value may contain any byte, and has to be escaped in a URL
 }
 
 // fixedPlaceholders are the placeholders with fixed names.
@@ -68,8 +68,8 @@
 		return "?" + w.query
 	},
 	"forwarded": func(w *decision) string {
-		if came := w.Header("X-Forwarded-For"); came != "" {
-			return came + ", " + w.Caller
+		if forwarded := w.Header("X-Forwarded-For"); forwarded != "" {
+			return forwarded + ", " + w.Caller
 		}
 		return w.Caller
 	},
@@ -100,19 +100,19 @@
 		if !ok {
 			return nil, errors.New("a placeholder is not closed")
 		}
-		of, free, err := placeholder(name)
+		value, needsEscape, err := placeholder(name)
 		if err != nil {
 			return nil, err
 		}
-		t, text = append(t, templatePart{value: of, needsEscape: free}), after
+		t, text = append(t, templatePart{value: value, needsEscape: needsEscape}), after
 	}
 	return t, nil
 }
 
-// placeholder returns the value of a placeholder. free means that it may contain any byte.
-func placeholder(name string) (of func(*decision) string, free bool, err error) {
-	if of := fixedPlaceholders[name]; of != nil {
-		return of, name == "forwarded", nil
+// placeholder returns the function for the value of a placeholder, and whether the value has to be escaped in a URL.
+func placeholder(name string) (value func(*decision) string, needsEscape bool, err error) {
+	if value := fixedPlaceholders[name]; value != nil {
+		return value, name == "forwarded", nil
 	}
 	if n, err := strconv.Atoi(name); err == nil && n >= 0 && n <= 9 {
 		return func(w *decision) string {
@@ -141,10 +141,10 @@
 	return t.expandWith(w, func(s string) string { return s })
 }
 
-// expandURL is expand for a part of a URL: values are escaped.
+// expandURL returns the text with the values of its placeholders escaped for a URL.
 func (t template) expandURL(w *decision) string { return t.expandWith(w, route.EscapePath) }
 
-// expandWith returns the text with escaped values.
+// expandWith returns the text with the values of its placeholders. escape is applied to those that may contain any byte.
 func (t template) expandWith(w *decision, escape func(string) string) string {
 	if len(t) == 1 && t[0].value == nil {
 		return t[0].text
--- a/internal/vhost/vhost.go
+++ b/internal/vhost/vhost.go
@@ -3,8 +3,8 @@
 // route. A Table is compiled once. It is immutable, does no I/O, and may be used by any number of goroutines.
 //
 // The server is chosen by host: an exact name, the longest wildcard that begins with *, the longest that ends with *, the first regular
-// expression, the default. The location is chosen by path: an equal one; else the longest prefix is remembered, and the same search goes on
-// within it; the first regular expression that matches replaces it, unless the prefix excludes that.
+// expression, the default. The location is chosen by path: an equal one; else the longest prefix is remembered, and the same search
+// continues within it; the first regular expression that matches replaces it, unless the kind of the prefix excludes that.
 package vhost
 
 import (
@@ -13,7 +13,7 @@
 	"strings"
 )
 
-// Kind is how a location's path is compared. A prefix is one of bytes, not of segments.
+// Kind is how the path of a location is compared. Prefixes are compared by bytes, not by segments.
 type Kind uint8
 
 // The kinds of location.
@@ -34,18 +34,18 @@
 
 // The ways to continue after a rewrite that has matched.
 const (
-	Next     Then = iota // with the next step; if the path has changed at the end, the location is chosen again
+	Next     Then = iota // the next step runs; after the last one, the location is chosen again
 	Last                 // the location is chosen again at once
 	Break                // the location stays, without further steps
-	Redirect             // the answer is 302
-	Moved                // the answer is 301
+	Redirect             // the response has status 302
+	Moved                // the response has status 301
 )
 
-// Step is one of the steps that run in order after a server or location has been chosen. It rewrites if it has a regular expression, ends
-// the steps with Stop, and else answers.
+// Step is one of the steps that run in order after a server or location has been chosen. A step with a regular expression rewrites the
+// path, a step with Stop ends the steps, and any other step gives a fixed response.
 type Step struct {
 	Match string // compared with the path, not anchored
-	To    string // a template for the new path; what follows a ? precedes the query, and a ? at the end drops the query
+	To    string // a template for the new path; a query after ? precedes that of the request, and a ? at the end drops the latter
 	Then  Then
 	Stop  bool
 	Answer
@@ -55,7 +55,7 @@
 type Answer struct {
 	Status   int
 	Body     string // a template
-	Location string // a template, of a redirect
+	Location string // a template for the location of a redirect
 }
 
 // Header is a header that is set in the request to a server of the pool. An empty value removes it.
@@ -64,13 +64,13 @@
 // Action is what a location does with a request.
 type Action struct {
 	Pool  string
-	Class string // of safe methods (RFC 9110, 9.2.1)
-	Other string // of others
+	Class string // class of requests with safe methods (RFC 9110, section 9.2.1)
+	Other string // class of all other requests
 
-	Replace string // replaces the part of the path that the location's prefix matches; "" for the path as it is
-	Target  string // a template for path and query together, instead
+	Replace string // replaces the part of the path that the prefix of the location matches; "" for the unchanged path
+	Target  string // a template for path and query together, instead of Replace
 	Headers []Header
-	MaxBody int64 // bytes; 0 for no limit of its own
+	MaxBody int64 // bytes; 0 if the location has no limit
 }
 
 // Location is a location of a server, or within another.
@@ -79,11 +79,11 @@
 	Kind   Kind
 	Path   string
 	Steps  []Step
-	Do     *Action // nil for none: 404
+	Do     *Action // nil for a response with status 404
 	Within []Location
 
 	Internal  bool        // whether requests of clients get 404 here
-	Errors    []ErrorPage // replace those of the enclosing location or server, if there are any
+	Errors    []ErrorPage // if there are any, they apply instead of those of the enclosing location or server
 	Intercept bool        // whether error responses of servers are replaced too
 }
 
@@ -97,7 +97,7 @@
 	Errors    []ErrorPage
 }
 
-// Request is what Decide uses of a request.
+// Request holds the parts of a request that Decide uses.
 type Request struct {
 	Method string
 	Host   string // from route.NormalizeHost
@@ -106,7 +106,7 @@
 	Query  string
 	Caller string // address without port
 	Scheme string
-	Header func(name string) string // "" for none
+	Header func(name string) string // returns the value of a header; "" for none
 }
 
 // Outcome is the decision on a request.
@@ -118,7 +118,7 @@
 	Headers          []Header
 	Answer           *Answer // instead of an action
 	Method           string  // for the server
-	Status           int     // of the final answer, whatever the server's is: 0 for that of the error, Own, or this one
+	Status           int     // of the final response; 0 for that of the error, Own for that of the replacement
 	Page             bool    // whether a request without a body replaces that of the client
 
 	decision *decision // from which an error page continues; nil for none
@@ -134,23 +134,23 @@
 	patterns []*location // in the order of the file
 }
 
-// location is a compiled location.
+// location is a Location with its compiled expressions and templates.
 type location struct {
 	*Location
 	pattern       *regexp.Regexp
-	shorterPrefix *location // the longest other prefix of its level that it begins with
+	shorterPrefix *location // the longest other prefix of its level that this prefix begins with
 	within        *locationSet
 	steps         []compiledStep
 	action        *compiledAction
-	pages         []compiledPage // that apply here
+	pages         []compiledPage // error pages that apply in the location
 }
 
-// virtualServer is a compiled server.
+// virtualServer is a Server with its compiled steps, locations and error pages.
 type virtualServer struct {
 	*Server
 	steps     []compiledStep
 	locations *locationSet
-	named     map[string]*location
+	named     map[string]*location // named locations
 	pages     []compiledPage
 }
 
@@ -202,8 +202,8 @@
 
 // longestPrefix returns the longest prefix of the level that a path begins with, or nil.
 func (l *locationSet) longestPrefix(path string) *location {
-	// This is the last one that is not after the path in order, or one that it begins with: all that is between a prefix of the path and the
-	// path itself in order begins with that prefix too.
+	// This is the last prefix that does not sort after the path, or one that it begins with: all paths that sort between a prefix of the
+	// path and the path itself begin with that prefix too.
 	n, found := slices.BinarySearchFunc(l.prefixes, path, func(p *location, path string) int { return strings.Compare(p.Path, path) })
 	if !found {
 		n--
@@ -219,8 +219,8 @@
 }
 
 // choose returns the location of a path in a level and those within it. final means that no regular expression of an enclosing level takes
-// precedence. The captures of a regular expression are stored in caps.
-func (l *locationSet) choose(path string, caps **captureGroups) (found *location, final bool) {
+// precedence. The captures of a regular expression are stored in captures.
+func (l *locationSet) choose(path string, captures **captureGroups) (found *location, final bool) {
 	if l == nil {
 		return nil, false
 	}
@@ -229,7 +229,7 @@
 	}
 	remembered := l.longestPrefix(path)
 	if found = remembered; remembered != nil {
-		if inner, final := remembered.within.choose(path, caps); inner != nil {
+		if inner, final := remembered.within.choose(path, captures); inner != nil {
 			if found = inner; final {
 				return found, true
 			}
@@ -243,8 +243,8 @@
 		if m == nil {
 			continue
 		}
-		*caps = capture(p.pattern, m, *caps)
-		if inner, _ := p.within.choose(path, caps); inner != nil {
+		*captures = capture(p.pattern, m, *captures)
+		if inner, _ := p.within.choose(path, captures); inner != nil {
 			return inner, true
 		}
 		return p, true
--- a/internal/vhost/vhost_test.go
+++ b/internal/vhost/vhost_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// The reference: what the documentation says, in its own order, with no thought of speed.
+// Reference implementation: follows the documentation of nginx step by step, without indexes.
 
-func referServer(servers []Server, host string) *Server {
+func referenceServer(servers []Server, host string) *Server {
 	longest := func(matches func(name string) bool) *Server {
 		var best *Server
 		length := -1
@@ -52,12 +52,12 @@
 	return &servers[0]
 }
 
-func referLocation(list []Location, path string) *Location {
-	l, _ := refer(list, path)
+func referenceLocation(list []Location, path string) *Location {
+	l, _ := searchReference(list, path)
 	return l
 }
 
-func refer(list []Location, path string) (found *Location, ends bool) {
+func searchReference(list []Location, path string) (found *Location, final bool) {
 	for i := range list {
 		if list[i].Kind == Equals && list[i].Path == path {
 			return &list[i], true
@@ -72,8 +72,8 @@
 	}
 	found = remembered
 	if remembered != nil {
-		if inner, ends := refer(remembered.Within, path); inner != nil {
-			if found = inner; ends {
+		if inner, final := searchReference(remembered.Within, path); inner != nil {
+			if found = inner; final {
 				return found, true
 			}
 		}
@@ -88,7 +88,7 @@
 			text = "(?i)" + text
 		}
 		if l.Kind.isRegexp() && regexp.MustCompile(text).MatchString(path) {
-			if inner, _ := refer(l.Within, path); inner != nil {
+			if inner, _ := searchReference(l.Within, path); inner != nil {
 				return inner, true
 			}
 			return l, true
@@ -97,7 +97,8 @@
 	return found, false
 }
 
-func compiled(t interface{ Fatalf(string, ...any) }, servers []Server) *Table {
+// mustCompile compiles servers, and fails the test if there are errors.
+func mustCompile(t interface{ Fatalf(string, ...any) }, servers []Server) *Table {
 	table, errs := Compile(servers)
 	if len(errs) > 0 {
 		t.Fatalf("%v", errs)
@@ -105,7 +106,8 @@
 	return table
 }
 
-func at(t *Table, host, path string) Outcome {
+// decideGET returns the outcome of a GET request.
+func decideGET(t *Table, host, path string) Outcome {
 	return t.Decide(&Request{Method: "GET", Host: host, Path: path, Raw: path, Header: func(string) string { return "" }})
 }
 
@@ -115,7 +117,7 @@
 	return "/" + strings.Join(rapid.SliceOfN(rapid.SampledFrom(pieces), 0, 5).Draw(t, "path"), "")
 }
 
-func drawLocations(t *rapid.T, depth int, number *int, under string) []Location {
+func drawLocations(t *rapid.T, depth int, number *int, enclosing string) []Location {
 	var list []Location
 	seen := map[string]bool{}
 	for range rapid.IntRange(0, 6-depth).Draw(t, "locations") {
@@ -125,8 +127,8 @@
 		case l.Kind.isRegexp():
 			l.Path = rapid.SampledFrom([]string{`\.gif$`, `^/a`, `b`, `^/(a|b)/`, `A`, `/a/b$`}).Draw(t, "expression")
 		default:
-			l.Path = under + strings.TrimPrefix(drawPath(t), "/")
-			if under == "" {
+			l.Path = enclosing + strings.TrimPrefix(drawPath(t), "/")
+			if enclosing == "" {
 				l.Path = "/" + l.Path
 			}
 			kind := fmt.Sprint(l.Kind == Equals, l.Path)
@@ -136,11 +138,11 @@
 			seen[kind] = true
 		}
 		if l.Kind != Equals && depth < 3 {
-			inside := under
+			prefix := enclosing
 			if !l.Kind.isRegexp() {
-				inside = l.Path
+				prefix = l.Path
 			}
-			l.Within = drawLocations(t, depth+1, number, inside)
+			l.Within = drawLocations(t, depth+1, number, prefix)
 		}
 		list = append(list, l)
 	}
@@ -151,14 +153,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		number := 0
 		servers := []Server{{Name: "s", Locations: drawLocations(t, 0, &number, "")}}
-		table := compiled(t, servers)
+		table := mustCompile(t, servers)
 		for range 20 {
 			path := drawPath(t)
 			want := ""
-			if l := referLocation(servers[0].Locations, path); l != nil {
+			if l := referenceLocation(servers[0].Locations, path); l != nil {
 				want = l.Name
 			}
-			if got := at(table, "h", path).Location; got != want {
+			if got := decideGET(table, "h", path).Location; got != want {
 				t.Fatalf("%q: %q, want %q of %+v", path, got, want, servers[0].Locations)
 			}
 		}
@@ -192,19 +194,19 @@
 			}
 			servers = append(servers, s)
 		}
-		table := compiled(t, servers)
+		table := mustCompile(t, servers)
 		for range 20 {
 			name := host(4)
-			if got, want := at(table, name, "/").Server, referServer(servers, name).Name; got != want {
+			if got, want := decideGET(table, name, "/").Server, referenceServer(servers, name).Name; got != want {
 				t.Fatalf("%q: %q, want %q of %+v", name, got, want, servers)
 			}
 		}
 	})
 }
 
-// The examples of the documentation of location, and of locations within each other.
+// The examples in the documentation of nginx for location, and examples of nested locations.
 func TestDocumentedLocations(t *testing.T) {
-	table := compiled(t, []Server{{Name: "s", Locations: []Location{
+	table := mustCompile(t, []Server{{Name: "s", Locations: []Location{
 		{Name: "A", Kind: Equals, Path: "/"},
 		{Name: "B", Kind: Begins, Path: "/"},
 		{Name: "C", Kind: Begins, Path: "/documents/", Within: []Location{
@@ -219,15 +221,15 @@
 		"/documents/1.gif": "C-gif", "/documents/1.GIF": "E", "/documents/deep/x": "C-deep", "/documents/deep/1.jpg": "E",
 		"/images/1.png": "D-png", "/x/1.jpg": "E-x", "/documents": "B",
 	} {
-		if got := at(table, "h", path).Location; got != want {
+		if got := decideGET(table, "h", path).Location; got != want {
 			t.Errorf("%s: %q, want %q", path, got, want)
 		}
 	}
 }
 
-// What goes on to a server, or is answered.
+// Checks the target of requests that are sent to a server, and the fixed responses of others.
 func TestOutcomes(t *testing.T) {
-	table := compiled(t, []Server{{
+	table := mustCompile(t, []Server{{
 		Name: "s", Hosts: []string{`~^(?<shop>\w+)\.example$`},
 		Steps: []Step{
 			{Match: "^/old/(.*)$", To: "/new/{1}", Then: Moved},
@@ -285,7 +287,7 @@
 	}
 }
 
-func TestErrors(t *testing.T) {
+func TestCompileErrors(t *testing.T) {
 	for _, c := range []struct {
 		want    string
 		servers []Server
@@ -310,12 +312,12 @@
 		{"headers[0]", []Server{{Name: "s", Locations: []Location{{Name: "a", Path: "/", Do: &Action{Headers: []Header{{"x-y", ""}}}}}}}},
 	} {
 		if table, errs := Compile(c.servers); len(errs) != 1 || errs[0].Field != c.want || table != nil {
-			t.Errorf("%+v: %v, want one of %s", c.servers, errs, c.want)
+			t.Errorf("%+v: %v, want one error of field %s", c.servers, errs, c.want)
 		}
 	}
 }
 
-// Choosing among many locations costs little more than among few.
+// BenchmarkDecide measures how the cost of a decision depends on the number of locations. It should hardly depend on it.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{10, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -323,12 +325,12 @@
 			for i := range n {
 				list = append(list, Location{Name: fmt.Sprint("l", i), Path: fmt.Sprintf("/shop/%d/items/", i), Do: &Action{Pool: "p"}})
 			}
-			table := compiled(b, []Server{{Name: "s", Locations: list}})
+			table := mustCompile(b, []Server{{Name: "s", Locations: list}})
 			r := &Request{Method: "GET", Host: "h", Path: fmt.Sprintf("/shop/%d/items/x", n/2), Raw: "/", Header: func(string) string { return "" }}
 			b.ReportAllocs()
 			for b.Loop() {
 				if table.Decide(r).Location == "" {
-					b.Fatal("none")
+					b.Fatal("no location")
 				}
 			}
 		})
