--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -8,18 +8,18 @@
 	"milletmast/balancer"
 )
 
-// attempt is one attempt of a request, as the loop and its goroutine share it.
+// attempt is one attempt of a request. The event loop and the goroutine of the attempt share it.
 type attempt struct {
 	ctx              context.Context
 	cancel           context.CancelFunc
-	sendBefore       time.Time // after which its first byte must not be written; zero for any time
+	sendBefore       time.Time // deadline for writing the first byte; zero for none
 	sentAt           time.Time
 	id               string          // in traces
 	context          string          // encoded call context for the server (package budget); "" for none
-	delegatedRetries int             // delegated to the tier behind, of the retry budget
-	final            bool            // the tier behind says that a retry is of no use; set before the attempt ends
-	onStreaming      func(*response) // is called with an answer whose body is streamed
-	onStreamBound    func()          // is called once a gRPC stream has reached its server
+	delegatedRetries int             // retries of the budget that the next tier may use
+	final            bool            // the next tier reported that a retry is useless; set before the attempt ends
+	onStreaming      func(*response) // called with a response whose body is streamed
+	onStreamBound    func()          // called once a gRPC stream has reached its server
 	mu               sync.Mutex
 	canceled         bool
 }
@@ -46,11 +46,11 @@
 	return !a.canceled
 }
 
-// sender is a request of any protocol, as the loop sends it.
+// sender is a request of any protocol that the event loop can send.
 type sender interface {
-	// send makes one attempt and returns its outcome for the decision module, and the answer if there is one.
+	// send makes one attempt and returns its outcome for the decision module, and the response if there is one.
 	send(u *upstream, a *attempt, e *endpoint, deadline time.Time) (balancer.Outcome, *response)
-	duration(sent time.Time) time.Duration // of an attempt, without the time that the caller took
+	duration(sent time.Time) time.Duration // of an attempt, without the time that the client took to send a body
 	isSpent() bool                         // the request cannot be retried
-	isUnbounded() bool                     // its duration says nothing of its server
+	isUnbounded() bool                     // its duration depends on the client and does not measure the server
 }
--- a/internal/sidecar/await.go
+++ b/internal/sidecar/await.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// awaitResponse executes a call and waits for its final response. It returns false if the client leaves before.
+// awaitResponse executes a call and waits for its final response. It returns false if the client disconnects first.
 func (f *frontend) awaitResponse(c *clientConn, t *intakeResult) (response, bool) {
 	k, loop := t.call, t.loop
 	responded := make(chan response, 1)
@@ -18,7 +18,7 @@
 		}
 	} else {
 		k.respond = func(r response) {
-			c.setReadDeadline(interruptedAt) // ends Peek; before the response is written, or it would end the next read
+			c.setReadDeadline(interruptedAt) // interrupts Peek; set before the response is sent, or it would interrupt the next read
 			responded <- r
 		}
 	}
@@ -31,7 +31,7 @@
 			return r, ok
 		}
 	}
-	_, err := c.reader.Peek(1) // the client leaves, or sends the next request already
+	_, err := c.reader.Peek(1) // returns when the client disconnects or sends its next request, or when k.respond interrupts it
 	if r, ok := pollResponse(responded); ok {
 		return r, true
 	}
@@ -47,8 +47,8 @@
 	}
 }
 
-// awaitUpload waits until a streamed body has been forwarded, or the call has ended before. Final says that the result is that
-// of awaitResponse.
+// awaitUpload waits until a streamed body has been forwarded, or the call has ended before. Final reports that r and ok are
+// the result of awaitResponse.
 func (f *frontend) awaitUpload(c *clientConn, k *call, loop *eventLoop, responded chan response) (r response, ok, final bool) {
 	upload := k.http.upload
 	select {
--- a/internal/sidecar/body.go
+++ b/internal/sidecar/body.go
@@ -13,7 +13,7 @@
 
 const (
 	streamBufferSize = 32 << 10               // bytes of a streamed body that are held
-	responseHoldTime = 100 * time.Millisecond // a response of unknown length is buffered for so long, as it may be short
+	responseHoldTime = 100 * time.Millisecond // how long a response of unknown length is buffered, as it may be short
 )
 
 // streamLimits are the limits of bodies that are streamed.
@@ -36,7 +36,7 @@
 	}
 	if length >= 0 {
 		upload.source = &exactReader{c.reader, length}
-		first := make([]byte, initialBodySize) // a body that is announced but never sent reaches no server
+		first := make([]byte, initialBodySize) // read first, so that a body that is announced but never sent reaches no server
 		n, err := upload.Read(first)
 		return first[:n], upload, err
 	}
@@ -64,7 +64,7 @@
 }
 
 // beginResponseBody reads the body of a response as a whole if it is short, else its first part. A body of unknown length ends
-// with its connection, if the server has said that it closes it (RFC 9112, section 6.3).
+// with its connection, if the server announced that it closes the connection (RFC 9112, section 6.3).
 func beginResponseBody(r *bufio.Reader, m *message) (first []byte, rest io.Reader, err error) {
 	switch {
 	case m.length > maxPlatformBody:
@@ -83,8 +83,8 @@
 	return readFirst(r, time.Now().Add(responseHoldTime))
 }
 
-// readFirst reads a body as a whole if it is short, else its first part and returns the rest. After a time (zero for none), what
-// has been received is the first part.
+// readFirst reads a body as a whole if it is short, else its first part, and returns a reader of the rest. If holdUntil is not zero,
+// the first part is what has been received by then.
 func readFirst(body io.Reader, holdUntil time.Time) (first []byte, rest io.Reader, err error) {
 	first = make([]byte, 0, initialBodySize)
 	for len(first) < maxBufferedBody {
@@ -106,7 +106,7 @@
 	return first, body, nil
 }
 
-// trailerReader reads a chunked body, and drops the trailers behind it.
+// trailerReader reads a chunked body and discards the trailers after it.
 type trailerReader struct {
 	body   io.Reader
 	reader *bufio.Reader
@@ -124,7 +124,7 @@
 	return n, err
 }
 
-// exactReader reads a known number of bytes. An end before is io.ErrUnexpectedEOF.
+// exactReader reads a known number of bytes. If its source ends earlier, it returns io.ErrUnexpectedEOF.
 type exactReader struct {
 	reader    io.Reader
 	remaining int64
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// A request must be answered at most clientMargin before its client gives up: for the way to the client, and for waiting for
-	// the loop. For short deadlines it is maxMarginShare of the time that the client waits.
+	// A request must be answered clientMargin before its client times out, as the response also has to reach the client and the
+	// event loop may be busy. For short timeouts the margin is maxMarginShare of the timeout of the client.
 	clientMargin   = 50 * time.Millisecond
 	maxMarginShare = 0.1
-	// backstop is how long after that the loop answers a request that the decision module has left unanswered.
+	// backstop is how long after its deadline the event loop answers a request that the decision module has left unanswered.
 	backstop = 10 * time.Millisecond
-	// retryAfter is the Retry-After of the loop's own rejections.
+	// retryAfter is the Retry-After of the event loop's own rejections.
 	retryAfter = time.Second
 )
 
-// call is one request that the sidecar has accepted. The loop owns it. Times are in ms of the loop's clock.
+// call is one request that the sidecar has accepted. The event loop owns it. Times are in ms of the event loop's clock.
 type call struct {
 	event         balancer.Event // for the decision module
 	id            string         // the client's, or ""
-	timeout       float64        // from its arrival, in which it must be answered
-	streamTimeout float64        // likewise if its body is streamed
-	// The request, by its protocol; http if the others are nil.
+	timeout       float64        // from its arrival until it must be answered
+	streamTimeout float64        // the same if its body is streamed
+	// The request in the form of its protocol; http is used if the others are nil.
 	http      httpRequest
 	grpc      *grpcRequest
 	forwarded *forwardedRequest
@@ -42,16 +42,16 @@
 	serverFailure   *response // the latest failure response of a server
 	timedOut        bool      // the latest attempt ended by its deadline
 	tree            *treeCall // its part in a tree of calls over several tiers; nil for none
-	// Of a pool with levels of reduced service:
+	// Used by pools with levels of reduced service:
 	callerHash   uint64
 	arrivedAt    float64
-	shedRule     *degradation.ShedRule // by which a level rejects it; nil if none does
+	shedRule     *degradation.ShedRule // the rule by which a level rejects it; nil for none
 	queueElement *list.Element         // in the list of calls without a server; nil for none
-	// Of a pool whose replicas shed load together:
+	// Used by pools whose replicas shed load together:
 	admittedByFleet bool
 }
 
-// sender returns the request as its attempts send it.
+// sender returns the request in the form that its attempts send.
 func (c *call) sender() sender {
 	if c.grpc != nil {
 		return c.grpc
@@ -62,7 +62,7 @@
 	return &c.http
 }
 
-// setDue sets the deadline of a call that arrived at a time.
+// setDue sets the deadline of a call that arrived at arrivedAt.
 func (c *call) setDue(arrivedAt float64) {
 	if c.http.upload != nil {
 		c.timeout, c.event.NotRepeatable = c.streamTimeout, true
@@ -70,7 +70,7 @@
 	c.event.Deadline = arrivedAt + c.timeout
 }
 
-// withoutMargin returns the time in ms in which a request must be answered whose client waits for so many seconds.
+// withoutMargin returns, in ms, the time within which a request must be answered whose client waits for the given seconds.
 func withoutMargin(seconds float64) float64 {
 	return 1000*seconds - min(float64(clientMargin.Milliseconds()), 1000*maxMarginShare*seconds)
 }
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -44,7 +44,7 @@
 	if c.tree != nil {
 		if !c.tree.startAttempt(a, number, time.Until(l.toTime(until)), c.firstExecutedAt) {
 			a.final = true
-			l.attempts.Go(func() { // the loop must not wait for itself
+			l.attempts.Go(func() { // the event loop would block if it posted to its own full queue
 				l.post(func() { l.attemptEnded(c, number, server, balancer.NotSent, nil, 0) })
 			})
 			return
@@ -107,8 +107,8 @@
 	l.forget(c)
 }
 
-// responseStarted handles a response whose body is streamed: it is the final response of the call. It is dropped if the attempt was
-// aborted meanwhile, as it would break off; the module goes on without it.
+// responseStarted handles a response whose body is streamed, which is the final response of the call. It is dropped if the attempt
+// was aborted meanwhile, as its body would be truncated; the decision module continues without it.
 func (l *eventLoop) responseStarted(c *call, number int, server uint32, r *response, took time.Duration) {
 	if c.ended || !c.attempts[number].mayWrite() {
 		c.attempts[number].abort()
@@ -123,7 +123,7 @@
 	l.finish(c, *r)
 }
 
-// streamBound handles a gRPC stream that has reached its server. Its duration says nothing of the server.
+// streamBound handles a gRPC stream that has reached its server. The duration of the stream does not measure the server.
 func (l *eventLoop) streamBound(c *call, number int, server uint32) {
 	l.handle(&balancer.Event{
 		Kind: balancer.EvFirstByte, Request: c.event.Request, Attempt: uint16(number), Server: server, LongLived: true,
@@ -145,7 +145,7 @@
 		r.header.Del(outcomeHeader)
 		if r.status >= 500 && r.callOutcome == "" {
 			r.callOutcome = c.tree.outcome(c.mayHaveExecuted)
-			r.notExecuted = c.tree.tellsOutcome && r.status == statusRefused && !c.mayHaveExecuted && c.openAttempts == 0
+			r.notExecuted = c.tree.reportsOutcome && r.status == statusRefused && !c.mayHaveExecuted && c.openAttempts == 0
 		}
 	}
 	switch {
@@ -164,7 +164,7 @@
 	l.forget(c)
 }
 
-// isRejection reports whether a status is one of requests that are not executed for lack of capacity.
+// isRejection reports whether a status means that a request was not executed for lack of capacity.
 func isRejection(status int) bool {
 	return status == statusRefused || status == http.StatusTooManyRequests
 }
@@ -179,7 +179,8 @@
 	l.latencyCount++
 }
 
-// forget removes a call once none of its attempts is open. Its backstop is removed too, or it would hold the body until its time.
+// forget removes a call once none of its attempts is open. Its backstop is removed too, as it would keep the body in memory until it
+// fires.
 func (l *eventLoop) forget(c *call) {
 	if !c.ended || c.openAttempts > 0 {
 		return
@@ -191,10 +192,10 @@
 	}
 }
 
-// clientLeft handles a client that has left: there is no response, and no further attempt.
+// clientLeft handles the disconnect of a client: the call gets no response and no further attempt.
 func (l *eventLoop) clientLeft(c *call) {
 	if c.ended {
-		l.abortAttempts(c) // its response may be streamed
+		l.abortAttempts(c) // the response may still be streamed
 		return
 	}
 	c.ended = true
@@ -205,7 +206,7 @@
 	l.forget(c)
 }
 
-// abortAttempts aborts the attempts of a call that has ended, also those that the module must not cancel.
+// abortAttempts aborts the attempts of a call that has ended, including those that the decision module must not cancel.
 func (l *eventLoop) abortAttempts(c *call) {
 	for _, a := range c.attempts {
 		a.abort()
@@ -227,7 +228,7 @@
 	l.handle(&balancer.Event{Kind: balancer.EvRequestAbandoned, Request: c.event.Request})
 }
 
-// answerAll answers every open call, as the process ends.
+// answerAll answers every open call at shutdown.
 func (l *eventLoop) answerAll() {
 	for _, c := range l.calls {
 		l.answerOverdue(c)
--- a/internal/sidecar/calltree.go
+++ b/internal/sidecar/calltree.go
@@ -18,7 +18,7 @@
 	"milletmast/internal/trace"
 )
 
-// outcomeHeader reports to the previous tier what became of a call that failed, so that it does not retry the call.
+// outcomeHeader reports the outcome of a failed call to the previous tier, which then does not retry the call.
 const outcomeHeader = "X-Call-Outcome"
 
 // The values of outcomeHeader.
@@ -30,9 +30,10 @@
 
 const statusLoop = http.StatusLoopDetected
 
-// callTrees is the part of an instance in trees of calls over several tiers (package budget); nil if its file does not ask for it.
+// callTrees holds the state of an instance for trees of calls over several tiers (package budget); nil if the operator file does not
+// enable it.
 type callTrees struct {
-	id      string // in paths
+	id      string // in the paths of call contexts
 	name    string
 	retries int
 	budgets *budget.Table
@@ -42,10 +43,10 @@
 	invalidContexts, loops atomic.Uint64
 }
 
-// maxRetryBudgets bounds the attempts of the previous tier whose calls share retries here at a time.
+// maxRetryBudgets bounds the number of retry budgets that are held, one for each attempt of the previous tier.
 const maxRetryBudgets = 1 << 14
 
-// hashHopID returns the id of a sidecar in paths: short, and without its name.
+// hashHopID returns the id of a sidecar in paths, a short hash that does not disclose its name.
 func hashHopID(name string) string {
 	sum := fnv.New32a()
 	sum.Write([]byte(name))
@@ -56,28 +57,28 @@
 type treeCall struct {
 	trees        *callTrees
 	rule         *route.Rule
-	context      budget.Context // as received, or as made here
+	context      budget.Context // as received, or as created by this sidecar
 	budget       *budget.RetryBudget
 	traced       bool
 	traceID      string // of this call
-	tellsOutcome bool   // to the previous tier, in outcomeHeader
+	reportsOutcome bool   // the outcome is reported to the previous tier in outcomeHeader
 	leaf         bool   // no retries are delegated to the next tier
 	arrivedAt    time.Time
 	retryWindow  time.Duration // in which a keyed call that is a retry must end; 0 for no such limit
 	outOfRetries bool          // an attempt was not made as there was no retry left
 }
 
-// contextError is why a call is rejected for its context.
+// contextError describes why a call is rejected because of its context.
 type contextError struct {
 	status  int
 	text    string
 	outcome string // see outcomeHeader
 }
 
-// enter reads the context of a call, if its listener trusts contexts, or makes one. A call that has passed this sidecar already is
-// rejected even if contexts are not trusted: whoever forges one harms only himself.
+// enter reads the context of a call if its listener trusts contexts, or creates one. A call that has passed this sidecar already is
+// rejected even if contexts are not trusted: a client that forges one only has its own call rejected.
 func (ts *callTrees) enter(values []string, d *listenerRouter, rule *route.Rule, class *balancer.Class) (*treeCall, *contextError) {
-	t := &treeCall{arrivedAt: time.Now(), trees: ts, rule: rule, tellsOutcome: d.trustsContexts}
+	t := &treeCall{arrivedAt: time.Now(), trees: ts, rule: rule, reportsOutcome: d.trustsContexts}
 	received, rejection := ts.parseContext(values, d, rule)
 	if rejection != nil {
 		return nil, rejection
@@ -100,10 +101,10 @@
 	return t, nil
 }
 
-// rootAttempt is the id of the attempt in a context that is made here.
+// rootAttempt is the id of the attempt in a context that this sidecar creates.
 const rootAttempt = "00000000"
 
-// parseContext returns the context that a call has brought; nil if there is none, or it is not trusted.
+// parseContext returns the context that a call was received with; nil if there is none or it is not trusted.
 func (ts *callTrees) parseContext(values []string, d *listenerRouter, rule *route.Rule) (*budget.Context, *contextError) {
 	if len(values) == 0 {
 		return nil, nil
@@ -134,11 +135,12 @@
 	return c, nil
 }
 
-// isPowerOfTwo chooses the occurrences that are logged of what can occur at any rate.
+// isPowerOfTwo reports whether n is a power of two. Events that may occur at a high rate are logged at these counts only.
 func isPowerOfTwo(n uint64) bool { return n&(n-1) == 0 }
 
-// checkRetry checks a call that the previous tier retries though it may have been executed, at a server that is not known here.
-// Unsafe calls are rejected, and keyed ones unless all servers drop repeats; those only within their window.
+// checkRetry checks a call that the previous tier retries after an attempt that may have been executed, on a server that this sidecar
+// does not know. Unsafe calls are rejected. Keyed calls are accepted only within the window of a class whose servers all drop
+// duplicates.
 func (t *treeCall) checkRetry(class *balancer.Class) *contextError {
 	if !t.context.MayHaveExecuted || class.Effect == balancer.Safe {
 		return nil
@@ -158,7 +160,7 @@
 	return float64(sum.Sum32()) < share*(1<<32)
 }
 
-// apply applies the context to a call: its worth, the limit of its attempts, and its deadline.
+// apply applies the context to a call: its priority weight, the limit of its attempts, and its deadline.
 func (t *treeCall) apply(k *call, p *pool) {
 	k.tree, t.leaf = t, p.spec.Leaf
 	k.event.PriorityWeight = t.context.Worth
@@ -168,13 +170,13 @@
 		k.timeout, k.streamTimeout = min(k.timeout, left), min(k.streamTimeout, left)
 	}
 	if t.retryWindow > 0 {
-		within := inMillis(t.retryWindow)
-		k.timeout, k.streamTimeout = min(k.timeout, within), min(k.streamTimeout, within)
+		window := inMillis(t.retryWindow)
+		k.timeout, k.streamTimeout = min(k.timeout, window), min(k.streamTimeout, window)
 	}
 }
 
-// startAttempt sets the context of an attempt; false if there is no retry left for it. FirstExecutedAt is when the first attempt
-// that may have been executed was sent; zero for none.
+// startAttempt sets the context of an attempt. It returns false if there is no retry left for it. FirstExecutedAt is when the first
+// attempt that may have been executed was sent; zero for none.
 func (t *treeCall) startAttempt(a *attempt, number int, left time.Duration, firstExecutedAt time.Time) bool {
 	if number > 0 && !t.budget.Spend() {
 		t.outOfRetries = true
@@ -198,11 +200,11 @@
 }
 
 // outcome returns the value of outcomeHeader of a call that failed; "" for none.
-func (t *treeCall) outcome(mayRun bool) string {
+func (t *treeCall) outcome(mayHaveExecuted bool) string {
 	switch {
-	case !t.tellsOutcome:
+	case !t.reportsOutcome:
 		return ""
-	case mayRun:
+	case mayHaveExecuted:
 		return outcomeRan
 	case t.outOfRetries:
 		return outcomeSpent
@@ -242,7 +244,7 @@
 	balancer.NotSent:       "not-sent",
 }
 
-// newCallTrees returns the part of an instance, with the retry budgets and the trace of the previous generation, if there is one.
+// newCallTrees returns the state of a generation, with the retry budgets and the trace of the previous one, if there is one.
 func newCallTrees(cfg *operator.Config, old *callTrees) (*callTrees, error) {
 	c := &cfg.Context
 	if c.ID == "" {
@@ -268,7 +270,7 @@
 	return ts, nil
 }
 
-// close closes the trace, unless another generation writes it.
+// close closes the trace, unless the other generation writes to it.
 func (ts *callTrees) close(other *callTrees) {
 	if ts != nil && ts.tracer != nil && (other == nil || other.tracer != ts.tracer) {
 		ts.tracer.Close()
--- a/internal/sidecar/chunks.go
+++ b/internal/sidecar/chunks.go
@@ -8,23 +8,23 @@
 	"strconv"
 )
 
-// The chunked transfer coding (RFC 9112, section 7.1). That of net/http/httputil would link a complete reverse proxy into each
-// program.
+// This file implements the chunked transfer coding (RFC 9112, section 7.1). Importing net/http/httputil for it would link a complete
+// reverse proxy into each program.
 
 var errBadChunk = errors.New("a chunk cannot be read")
 
 const (
-	maxChunkOverhead   = 16 << 10 // bytes that are not data, beyond those that each chunk may have
-	maxChunkDigits     = 16       // of a length
-	freeChunkLineBytes = 16       // bytes of the line of a length that each chunk may have, besides twice its data
+	maxChunkOverhead   = 16 << 10 // bytes that are not data, beyond those that each chunk is allowed
+	maxChunkDigits     = 16       // of the length of a chunk
+	freeChunkLineBytes = 16       // bytes of the length line that each chunk is allowed, besides twice its data
 )
 
-// chunkReader reads the data of chunks up to the last one. The trailers behind it are not read.
+// chunkReader reads the data of chunks up to the last one. The trailers after it are not read.
 type chunkReader struct {
 	reader    *bufio.Reader
-	remaining uint64 // bytes of the data of the chunk
+	remaining uint64 // unread data bytes of the current chunk
 	inChunk   bool   // a chunk has been started: a line end follows its data
-	overhead  int64  // bytes that were not data, beyond those that the chunks may have
+	overhead  int64  // bytes that were not data, beyond those that the chunks are allowed
 	err       error
 }
 
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// readLine reads a line without its end, which must be CR LF: other readers may not take a bare LF for a line end.
+// readLine reads a line without its end, which must be CR LF: other readers may not accept a bare LF as a line end.
 func (c *chunkReader) readLine() ([]byte, error) {
 	line, err := c.reader.ReadSlice('\n')
 	switch {
@@ -99,7 +99,7 @@
 	return line, nil
 }
 
-// chunkWriter writes each piece as a chunk. Close writes the last chunk, but not the empty line behind the trailers.
+// chunkWriter writes each piece as a chunk. Close writes the last chunk, but not the empty line after the trailers.
 type chunkWriter struct{ writer io.Writer }
 
 func (c *chunkWriter) Write(p []byte) (int, error) {
--- a/internal/sidecar/clientconns.go
+++ b/internal/sidecar/clientconns.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	acceptRetryDelay = 5 * time.Millisecond // after a connection could not be accepted
-	evictionMargin   = 8                    // below the limit by so many connections, idle ones are closed for new ones
+	acceptRetryDelay = 5 * time.Millisecond // after accepting a connection failed
+	evictionMargin   = 8                    // with fewer free connections than this, idle ones are closed for new ones
 )
 
 // clientConn is one connection of a client.
@@ -21,20 +21,20 @@
 	reader       *bufio.Reader
 	conns        *clientConns
 	idleElement  *list.Element // in a list of idle connections, while no request is open
-	hasCarried   bool          // a request
-	drainsItself bool          // it ends by itself when the frontend drains
+	hasCarried   bool          // it has carried a request
+	drainsItself bool          // the gRPC server ends it when the frontend drains
 	// While a body is read by the goroutine of the connection:
 	bodyIdleTimeout time.Duration // between two parts; 0 while no body is read
 	bodyDeadline    time.Time
 }
 
-// setReadDeadline sets the deadline for reading. Its error is that of a closed connection, which the next read returns.
+// setReadDeadline sets the deadline for reading. It only fails on a closed connection, which the next read reports.
 func (c *clientConn) setReadDeadline(deadline time.Time) { _ = c.SetReadDeadline(deadline) }
 
-// setWriteDeadline is setReadDeadline for writing.
+// setWriteDeadline sets the deadline for writing. It only fails on a closed connection, which the next write reports.
 func (c *clientConn) setWriteDeadline(deadline time.Time) { _ = c.SetWriteDeadline(deadline) }
 
-// setDeadline is both.
+// setDeadline sets the deadlines for reading and writing.
 func (c *clientConn) setDeadline(deadline time.Time) { _ = c.SetDeadline(deadline) }
 
 // startBody sets the limits for reading a body of a length; negative if it is unknown.
@@ -71,7 +71,7 @@
 	return text
 }
 
-// CloseWrite closes our side, if the connection can be closed by sides.
+// CloseWrite closes the sending side, if the connection supports half-close.
 func (c *clientConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -81,7 +81,7 @@
 
 // clientConns holds the connections of clients. Near the limit, connections without an open request are closed for new ones:
 // first those that never carried a request, and among them those that were idle longest. So clients that hold connections
-// without using them, or stop in the middle of a request, keep none out.
+// without using them, or stop in the middle of a request, do not lock out others.
 type clientConns struct {
 	maxConns   int
 	mu         sync.Mutex
@@ -110,7 +110,8 @@
 	cs.idleListOf(c).MoveToBack(c.idleElement) // no effect while a request is open
 }
 
-// evict closes the connection that can be spared best; false if there is none. The mutex is held.
+// evict closes the connection that was idle longest, one that carried no request if possible; false if there is none. The mutex is
+// held.
 func (cs *clientConns) evict() bool {
 	for _, l := range []*list.List{cs.idleUnused, cs.idleUsed} {
 		if e := l.Front(); e != nil {
@@ -121,14 +122,14 @@
 	return false
 }
 
-// serve accepts connections until the listener is closed. Each is served by serveConn, which conns counts.
+// serve accepts connections until the listener is closed. Each is served by serveConn, in a goroutine that conns counts.
 func (cs *clientConns) serve(ln net.Listener, serveConn func(*clientConn), conns *sync.WaitGroup) {
 	for {
 		conn, err := ln.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // no descriptor is left, or the client has left already
+		case err != nil: // no descriptor is free, or the client has disconnected already
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -141,7 +142,7 @@
 	}
 }
 
-// add adds a connection. Over the limit it is closed: its client can tell that from a lost request.
+// add adds a connection. Over the limit it is closed before a request is read, so that its client knows that none was lost.
 func (cs *clientConns) add(conn net.Conn) *clientConn {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/sidecar/commonhead.go
+++ b/internal/sidecar/commonhead.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// parseCommonHead parses a head in the form of nearly all: lines that end in CR LF, names of token characters before a colon, no
-// folding and no control characters. It returns false for any other, which parseHead decides on. If it succeeds, its result is
-// that of parseHead (FuzzPlainHead).
+// parseCommonHead parses a head in the most common form: lines that end in CR LF, names of token characters before a colon, no
+// folding and no control characters. It returns false for a head in any other form, which parseHead has to parse. If it succeeds,
+// its result is that of parseHead (FuzzPlainHead).
 func parseCommonHead(text []byte) (first string, header http.Header, ok bool) {
 	s := string(text) // its parts are not copied again
 	first, rest, ok := cutLine(s)
@@ -88,7 +88,7 @@
 			continue
 		}
 		for _, v := range values {
-			// Values are checked when they are read or made. A line break that was overlooked must not end the head.
+			// Values are validated when they are read or created. This keeps a line break that was overlooked from ending the head.
 			if strings.IndexByte(v, '\n') >= 0 || strings.IndexByte(v, '\r') >= 0 {
 				v = strings.NewReplacer("\n", " ", "\r", " ").Replace(v)
 			}
--- a/internal/sidecar/conn.go
+++ b/internal/sidecar/conn.go
@@ -20,16 +20,17 @@
 	reader       *bufio.Reader
 	endpoint     *endpoint
 	idleSince    time.Time             // zero if it has not been idle
-	exchange     exchange.Exchange     // the present one, or the last
+	exchange     exchange.Exchange     // the current one, or the last
 	recentIDs    [recentIDCount]string // of the latest requests
 	requestCount int                   // requests carried so far
 	mux          *h2.Conn
 	// Of a connection with a mux, guarded by upstream.mu:
-	inUse   int  // attempts on it
-	counted bool // among the open connections
+	inUse   int  // attempts that use it
+	counted bool // it is counted among the open connections
 }
 
-// recentIDCount is after how many other requests a request may be sent again over the same connection.
+// recentIDCount is the number of request ids that are remembered. A request may be sent again over the same connection only after
+// this many others.
 const recentIDCount = 8
 
 // recordID records the id of a request that the connection carries.
@@ -39,7 +40,7 @@
 }
 
 // hasCarried reports whether the connection has carried a request of this id recently: a repeated response to it could not be
-// told from the response to the request sent again.
+// distinguished from the response to the request sent again.
 func (c *conn) hasCarried(id string) bool { return id != "" && slices.Contains(c.recentIDs[:], id) }
 
 // apply applies an event to the exchange.
@@ -76,8 +77,8 @@
 	return c.completeBody()
 }
 
-// completeBody does the same once the head was recorded. Bytes after a valid response do not invalidate it, but no response that
-// is read after them can be trusted.
+// completeBody is completeResponse for a response whose head was recorded before. Bytes after a valid response do not invalidate
+// it, but no response that is read after them can be trusted.
 func (c *conn) completeBody() bool {
 	c.apply(exchange.ResponseCompleted)
 	if c.exchange.Reusable() && (c.reader.Buffered() > 0 || !isOpen(c.Conn)) {
--- a/internal/sidecar/connbudget.go
+++ b/internal/sidecar/connbudget.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// connBudget counts the connections to servers over all pools, so that they never exceed the limit together, also while a reload
+// connBudget counts the connections to servers over all pools, so that together they never exceed the limit, even while a reload
 // moves descriptors from one pool to another. The limit of each pool reserves the shares of the others. A nil connBudget has no
 // limit.
 type connBudget struct{ limit, used atomic.Int64 }
--- a/internal/sidecar/connpool.go
+++ b/internal/sidecar/connpool.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// closeIdleLocked is closeIdleConns under the mutex.
+// closeIdleLocked closes the idle connections to a server. u.mu is held.
 func (u *upstream) closeIdleLocked(e *endpoint) {
 	for _, c := range e.idle {
 		c.Close()
@@ -31,7 +31,7 @@
 	u.retireMuxes(e)
 }
 
-// errNoDescriptor says that all connections are in use.
+// errNoDescriptor is returned if all connections are in use.
 var errNoDescriptor = errors.New("no descriptor left for a connection")
 
 // connect returns an idle connection that is still open, or a new one.
@@ -57,7 +57,7 @@
 	return &conn{Conn: raw, reader: bufio.NewReader(raw), endpoint: e}, nil
 }
 
-// dial opens a connection within the limits. The error is errNoDescriptor if they are reached.
+// dial opens a connection within the limits on connections. The error is errNoDescriptor if they are reached.
 func (u *upstream) dial(ctx context.Context, e *endpoint, deadline time.Time) (net.Conn, error) {
 	if !u.reserveConn() {
 		return nil, errNoDescriptor
@@ -83,7 +83,7 @@
 	}
 	c := e.idle[n]
 	e.idle[n], e.idle = nil, e.idle[:n]
-	if time.Since(c.idleSince) > u.idleLimit { // and so have the others, which are older
+	if time.Since(c.idleSince) > u.idleLimit { // the others are older and have expired too
 		e.idle = append(e.idle, c)
 		u.closeIdleLocked(e)
 		return nil
@@ -105,7 +105,7 @@
 	return true
 }
 
-// closeOldestIdle closes the connection that was idle longest; false if there is none.
+// closeOldestIdle closes the connection that was idle longest; false if there is none. u.mu is held.
 func (u *upstream) closeOldestIdle() bool {
 	var oldest *endpoint
 	for _, e := range u.endpoints {
@@ -136,7 +136,7 @@
 	return u.capacity()
 }
 
-// close closes all idle connections, keeps none from now on, and waits for connections with a mux.
+// close closes all idle connections, stops keeping connections idle, and waits for connections with a mux.
 func (u *upstream) close() {
 	u.mu.Lock()
 	for _, e := range u.endpoints {
--- a/internal/sidecar/describe.go
+++ b/internal/sidecar/describe.go
@@ -14,7 +14,7 @@
 
 const badDeadlineMessage = "X-Deadline is no time"
 
-// parseDeadline returns how many seconds the client waits, if it says so. It returns ok = false if the header is invalid.
+// parseDeadline returns how many seconds the client waits, if it has sent that. It returns ok = false if the header is invalid.
 func parseDeadline(h http.Header) (left float64, given, ok bool) {
 	text := h.Get("X-Deadline")
 	if text == "" {
@@ -24,8 +24,7 @@
 	return left, true, err == nil && left > 0 && !math.IsInf(left, 0)
 }
 
-// newRequestEvent returns the event of a request for the decision module, with the tenant, the cost hint and the key that its head
-// names.
+// newRequestEvent returns the event of a request for the decision module, with the tenant, the cost hint and the key from its head.
 func newRequestEvent(class uint16, h http.Header, tenants map[string]uint16) balancer.Event {
 	hint, err := strconv.ParseFloat(h.Get("X-Cost-Hint"), 64)
 	if err != nil {
@@ -44,7 +43,8 @@
 	return ev
 }
 
-// keyError says what is wrong with the key that a request of a class needs; "" if it is valid. Noun is what the text calls requests.
+// keyError describes what is wrong with the key that a request of a class needs; "" if it is valid. Noun is the word for requests in
+// the text.
 func (p *pool) keyError(class uint16, h http.Header, noun string) string {
 	spec := &p.settings.Classes[class]
 	if spec.Effect != balancer.Keyed {
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	defaultWatchTimeout  = 4500 * time.Millisecond // a watch sends a line every 2 s: two are missing then
-	watchCallTimeout     = 6 * time.Second         // for the response to a call
+	defaultWatchTimeout  = 4500 * time.Millisecond // a watch sends a line every 2 s, so that two are overdue
+	watchCallTimeout     = 6 * time.Second         // for the response to the request of a watch
 	discoveryDialTimeout = 2 * time.Second
-	minWatchBackoff      = 200 * time.Millisecond // between watches of an agent that pushes; it doubles, with jitter
+	minWatchBackoff      = 200 * time.Millisecond // between watches of a pushed list; it doubles, with jitter
 	maxWatchBackoff      = 3 * time.Second
 	initialListLine      = 16 << 10 // bytes of one line of a watch
 	maxListLine          = 8 << 20
@@ -50,7 +50,7 @@
 	State    string  `json:"state"`
 	Weight   float64 `json:"capacity_hint"`
 	BootMS   float64 `json:"boot_ms"`
-	Backup   bool    `json:"-"` // of an operator file
+	Backup   bool    `json:"-"` // set by operator files only
 }
 
 // The states of a target.
@@ -73,7 +73,7 @@
 	}
 	for i, t := range l.Targets {
 		if _, ok := serverStates[t.State]; !ok || t.UID == "" {
-			return l, fmt.Errorf("targets[%d]: uid %q or state %q is unknown", i, t.UID, t.State)
+			return l, fmt.Errorf("targets[%d]: uid %q must not be empty, and state %q must be Ready, Terminating or Gone", i, t.UID, t.State)
 		}
 		if _, _, err := net.SplitHostPort(t.Endpoint); err != nil && serverStates[t.State] != balancer.Removed {
 			return l, fmt.Errorf("targets[%d]: endpoint: %w", i, err)
@@ -82,8 +82,8 @@
 	return l, nil
 }
 
-// serverIDs numbers servers for the decision module. A uid hashes to the same id at every sidecar, as the division of servers among
-// replicas needs; of two uids with the same hash, one gets another id.
+// serverIDs numbers servers for the decision module. A uid hashes to the same id at every sidecar, which the division of servers
+// among replicas requires; of two uids with the same hash, one gets another id.
 type serverIDs struct {
 	zones, kinds []string
 	ids          map[string]uint32
@@ -109,7 +109,8 @@
 	return id
 }
 
-// serverEntry converts a target for the decision module. A zone that the settings do not name is none of a replica's own.
+// serverEntry converts a target for the decision module. A zone that the settings do not list gets an index that no replica has as
+// its own.
 func (d *serverIDs) serverEntry(t *Target) balancer.ServerEntry {
 	zone, kind := slices.Index(d.zones, t.Zone), slices.Index(d.kinds, t.Kind)
 	if zone < 0 {
@@ -121,7 +122,7 @@
 	}
 }
 
-// forget drops servers that are not listed any more, as new uids come for as long as a sidecar runs.
+// forget drops servers that are not listed any more, as new uids keep arriving while a sidecar runs.
 func (d *serverIDs) forget(listed func(id uint32) bool) {
 	for uid, id := range d.ids {
 		if !listed(id) {
@@ -131,9 +132,9 @@
 	}
 }
 
-// discovery watches the list of servers. If the list is requested, the decision module says when to watch; if it is pushed by an
-// agent, the watch is renewed by itself. A new watch replaces the active one once it has been answered, so that a change of the
-// address leaves no gap.
+// discovery watches the list of servers. If the list is requested, the decision module decides when to watch; if an agent pushes it,
+// the watch is renewed automatically. A new watch replaces the active one once the server has responded to it, so that a change of
+// the address leaves no gap.
 type discovery struct {
 	watchTimeout time.Duration // without a line
 	onList       func(List)    // called with each list or change
@@ -143,11 +144,11 @@
 	addr         string
 	rev          int64  // version of the latest list
 	latestWatch  int    // number of the latest watch
-	activeWatch  int    // number of the watch whose lists count
-	cancelActive func() // ends that watch
+	activeWatch  int    // number of the watch whose lists are applied
+	cancelActive func() // ends the active watch
 }
 
-// newDiscovery returns a discovery for a loop that has the list of a version; 0 for none.
+// newDiscovery returns a discovery for an event loop that has the list of version rev; 0 for no list.
 func newDiscovery(l *eventLoop, addr string, rev int64) *discovery {
 	return &discovery{
 		addr: addr, rev: rev, watchTimeout: defaultWatchTimeout,
@@ -196,7 +197,7 @@
 	}
 }
 
-// watchOnce watches until the watch ends, and reports that unless a later watch has been started meanwhile.
+// watchOnce watches until the watch ends, and reports its end unless a later watch has been started meanwhile.
 func (d *discovery) watchOnce(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -214,7 +215,7 @@
 	}
 }
 
-var errSuperseded = errors.New("a later watch has been answered")
+var errSuperseded = errors.New("superseded by a later watch")
 
 // forActive calls f for a watch, which becomes the active one. It fails if a later watch is active.
 func (d *discovery) forActive(number int, cancel func(), f func()) error {
@@ -231,7 +232,7 @@
 	return nil
 }
 
-// watch makes one call and applies the lists that are received by forActive. It returns when the watch has ended.
+// watch sends one request and applies the lists that it receives through forActive. It returns when the watch has ended.
 func (d *discovery) watch(ctx context.Context, addr string, rev int64, forActive func(func()) error) error {
 	dialer := net.Dialer{Timeout: discoveryDialTimeout}
 	c, err := dialer.DialContext(ctx, "tcp", addr)
@@ -256,7 +257,7 @@
 		return err
 	}
 	defer func() {
-		c.Close() // first, as the body is read to its end when it is closed
+		c.Close() // first, as closing the body reads it to its end
 		response.Body.Close()
 	}()
 	if response.StatusCode != http.StatusOK {
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -10,7 +10,7 @@
 
 const drainPollInterval = 5 * time.Millisecond
 
-// drainingListener is a listener that is being drained, with what serves its connections.
+// drainingListener is a listener that is being drained, with the servers of its connections.
 type drainingListener struct {
 	frontend *frontend
 	listener net.Listener
@@ -19,7 +19,7 @@
 
 // drainFrontends ends listeners gracefully. New connections are accepted for acceptTime. Requests are accepted on the open
 // connections for as long as there is time to finish them, and then only those that are open are finished. After drainTime
-// answerAll is called for what is left. Both times count from the call.
+// answerAll is called to answer the remaining requests. Both times count from the call of drainFrontends.
 func drainFrontends(listeners []drainingListener, clients *clientConns, acceptTime, drainTime time.Duration, answerAll func()) {
 	startedAt := time.Now()
 	for _, l := range listeners {
@@ -62,7 +62,7 @@
 	}
 }
 
-// closeIdle closes the connections without an open request, except those that drain by themselves. It returns how many
+// closeIdle closes the connections without an open request, except those that the gRPC server ends. It returns how many
 // connections are open.
 func (cs *clientConns) closeIdle() (open int) {
 	cs.mu.Lock()
--- a/internal/sidecar/errorpage.go
+++ b/internal/sidecar/errorpage.go
@@ -25,11 +25,11 @@
 	firstCall *call           // it holds the body
 }
 
-// replacement is what replaces a response: another response, or that of a call that is made first.
+// replacement replaces a response, either by another response or by that of a call that is made first.
 type replacement struct {
 	response *response
 	next     *intakeResult
-	isPage   bool // next is a request of its own
+	isPage   bool // next is a separate request, for a page
 	status   int  // see vhost.Outcome
 }
 
@@ -39,7 +39,8 @@
 	return p.settings.Classes[p.classes[out.Class]].Effect
 }
 
-// removeRequestFields removes what belongs to the request whose response a page replaces: its conditions, its range and its body.
+// removeRequestFields removes the headers that apply only to the request whose response a page replaces: its conditions, its range
+// and its body.
 func removeRequestFields(h http.Header) {
 	for _, name := range []string{
 		"Range", "If-Range", "If-Match", "If-None-Match", "If-Modified-Since", "If-Unmodified-Since", "Idempotency-Key", "Expect",
@@ -65,11 +66,11 @@
 	return nil
 }
 
-// replace returns what replaces a response; nil for nothing. A request is sent to a named location only as its class allows: once
+// replace returns the replacement of a response; nil for none. A request is sent to a named location only as its class allows: once
 // it may have been executed, only if it is safe in both pools. It never gets more attempts than a request may have, nor more time
 // than its client waits.
 func (h *errorPageHandler) replace(r *response) *replacement {
-	if h.outcome.Status != 0 { // the call was itself for a page
+	if h.outcome.Status != 0 { // the call was itself a request for a page
 		return h.replacePageStatus(r)
 	}
 	out, ok := h.outcome.Recover(h.statuses(r)...)
@@ -147,7 +148,7 @@
 	return true
 }
 
-// replaceResponse returns the final response to a request whose response may be replaced; false if the client leaves before.
+// replaceResponse returns the final response to a request whose response may be replaced; false if the client disconnects first.
 func (f *frontend) replaceResponse(c *clientConn, t *intakeResult, r response) (response, bool) {
 	s := t.replace(&r)
 	if s == nil {
@@ -172,8 +173,8 @@
 	return r, true
 }
 
-// replacedBy returns the replacement of a response, with the status that it is to have. The status of a rejection comes with its
-// Retry-After.
+// replacedBy returns the replacement of a response, with the status that it is to have. With the status of a rejection
+// it also gets the Retry-After.
 func (r *response) replacedBy(next response, status int) response {
 	switch status {
 	case vhost.Own:
@@ -183,7 +184,7 @@
 	default:
 		next.status = status
 	}
-	if next.length == lengthUnknown && next.stream == nil { // it had no body by its own status
+	if next.length == lengthUnknown && next.stream == nil { // it had no body because of its own status
 		next.noBody = false
 	}
 	return next
--- a/internal/sidecar/explain.go
+++ b/internal/sidecar/explain.go
@@ -10,7 +10,7 @@
 
 // Explain says in one line where a request is sent by a table of routes, and by sites (nil for none) if no route matches:
 // pool=NAME class=NAME route=NAME path=PATH, with site=NAME location=NAME in place of the route if a site decides, or
-// status=CODE, with location=URL for a redirect. It reads the target as a listener does.
+// status=CODE, with location=URL for a redirect. It parses the target like a listener.
 func Explain(t *route.Table, sites *vhost.Table, method, target string, h http.Header) string {
 	req, own, status, _ := readTarget(&message{startLine: method + " " + target + " " + versionFor(h), header: h})
 	if status != 0 {
@@ -30,7 +30,7 @@
 	return "HTTP/1.1"
 }
 
-// ExplainGRPC does the same for a gRPC call of a method, as /package.Service/Method, by a table of gRPC routes.
+// ExplainGRPC is Explain for a gRPC call of a method, as /package.Service/Method, by a table of gRPC routes.
 func ExplainGRPC(t *route.Table, method string, h http.Header) string {
 	req, why := routeRequest(http.MethodPost, method, h.Get("Host"), h)
 	if why != "" {
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -10,16 +10,16 @@
 	"milletmast/internal/operator"
 )
 
-// fleetView is what pools need to know of the fleet to shed load together with the other replicas (package loadshed).
+// fleetView holds what pools need to shed load together with the other replicas (package loadshed).
 type fleetView struct {
 	name        string
 	incarnation uint64
-	broadcast   func(pool string, s loadshed.Summary) // it must not block
-	members     []string                              // whose summaries count; nil while there is no agreement
+	broadcast   func(pool string, s loadshed.Summary) // must not block
+	members     []string                              // replicas whose summaries are used; nil while the replicas have not agreed on them
 }
 
-// JoinFleet has the pools with the setting allot shed load together with the other replicas. Broadcast sends a summary to them and
-// must not block. It holds for the pools of later files too.
+// JoinFleet makes the pools with the setting allot shed load together with the other replicas. Broadcast sends a summary to them and
+// must not block. JoinFleet also applies to the pools of files that are loaded later.
 func (i *Instance) JoinFleet(name string, incarnation uint64, broadcast func(pool string, s loadshed.Summary)) {
 	i.reloadMu.Lock()
 	defer i.reloadMu.Unlock()
@@ -29,7 +29,7 @@
 	}
 }
 
-// SetMembers sets the members whose summaries count from now on; none if there are no names.
+// SetMembers sets the members whose summaries are used from now on; none if names is empty.
 func (i *Instance) SetMembers(names []string) {
 	i.reloadMu.Lock()
 	defer i.reloadMu.Unlock()
@@ -59,19 +59,19 @@
 	})
 }
 
-// setFleet sets the fleet, or its present members.
+// setFleet sets the fleet, or its current members.
 func (p *pool) setFleet(f *fleetView) {
 	spec := p.spec
 	p.loop.post(func() { p.loop.setFleetShedding(&spec, f) })
 }
 
-// fleetShedding is the part of a pool in the load shedding of all replicas. The loop owns it.
+// fleetShedding is the state of a pool in the load shedding of all replicas. The event loop owns it.
 type fleetShedding struct {
 	pool     string
 	fleet    *fleetView
 	shedder  *loadshed.Shedder
 	loggedAt time.Time // when isActive was logged
-	isActive bool      // something is shed
+	isActive bool      // calls are being shed
 }
 
 // setFleetShedding starts or ends load shedding with the other replicas, or sets their members.
@@ -89,7 +89,7 @@
 		}
 		shedder, err := loadshed.NewShedder(loadshed.DefaultConfig(f.name, weights))
 		if err != nil {
-			slog.Error("create load shedder", "pool", p.Name, "err", err) // not for a file that was checked
+			slog.Error("create load shedder", "pool", p.Name, "err", err) // cannot happen for a file that was validated
 			return
 		}
 		a = &fleetShedding{pool: p.Name, shedder: shedder}
@@ -101,7 +101,7 @@
 	a.shedder.SetMembers(f.members)
 }
 
-// scheduleExchange schedules exchangeSummaries, as long as the state is in use.
+// scheduleExchange schedules exchangeSummaries, which runs only if a is still the state in use.
 func (l *eventLoop) scheduleExchange(a *fleetShedding, after time.Duration) {
 	heap.Push(&l.timers, &timedTask{at: l.now() + inMillis(after), run: func() {
 		if l.fleetShedding == a {
@@ -110,7 +110,7 @@
 	}})
 }
 
-// exchangeSummaries sends the summary of this replica to the others, and decides what is shed from now on.
+// exchangeSummaries sends the summary of this replica to the others, and decides which calls are shed from now on.
 func (l *eventLoop) exchangeSummaries() {
 	a, now := l.fleetShedding, time.Now()
 	s := a.shedder.Update(a.fleet.incarnation, l.balancer.MeanLatency, now)
@@ -126,10 +126,10 @@
 	l.scheduleExchange(a, loadshed.Interval)
 }
 
-// minShedLogInterval is the least time between two log lines on the shedding of a pool.
+// minShedLogInterval is the minimum time between two log lines on the shedding of a pool.
 const minShedLogInterval = time.Second
 
-// admitByFleet applies the decision of all replicas to a call that no level has shed. A call without a caller is drawn.
+// admitByFleet applies the decision of all replicas to a call that no level has shed. A call without a caller gets a random one.
 func (l *eventLoop) admitByFleet(c *call) {
 	a := l.fleetShedding
 	if a == nil || c.event.Shed {
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -28,25 +28,25 @@
 
 // Times of a graceful shutdown.
 const (
-	acceptTime         = 600 * time.Millisecond  // new connections come for up to 0.4 s after SIGTERM
-	platformFinishTime = 1300 * time.Millisecond // before the end, from which each response closes its connection
-	finalWriteTime     = 150 * time.Millisecond  // for the responses to requests that are given up at the end
+	acceptTime         = 600 * time.Millisecond  // after SIGTERM; clients may open new connections for up to 0.4 s
+	platformFinishTime = 1300 * time.Millisecond // before the end of the drain; from then on each response closes its connection
+	finalWriteTime     = 150 * time.Millisecond  // for the responses to requests that are abandoned at the end
 	acceptQueueTime    = 100 * time.Millisecond  // for connections that are queued at a listener that was replaced
-	finalIdleTime      = 500 * time.Millisecond  // before the end, from which a replaced process closes idle connections
+	finalIdleTime      = 500 * time.Millisecond  // before the end; from then on a replaced process closes idle connections
 )
 
-// frontend accepts HTTP/1.1 requests from clients and responds to them. Its intake decides what a request is and which loop
-// executes it: there is one for the platform's protocol, one for listeners of an operator file and one for a Port.
+// frontend accepts HTTP/1.1 requests from clients and responds to them. Its intake decides what a request is and which event
+// loop executes it. There is one intake for the platform's protocol, one for listeners of an operator file and one for a Port.
 type frontend struct {
-	loop         *eventLoop // of the platform's protocol; else the intake chooses one
+	loop         *eventLoop // of the platform's protocol; otherwise the intake chooses one
 	settings     *balancer.Settings
 	classes      map[string]uint16
 	tenants      map[string]uint16
 	intake       func(*clientConn, *message) intakeResult
-	isUsable     func() bool // whether there is a server to send requests to; nil if readiness is not asked for here
+	isUsable     func() bool // whether there is a server to send requests to; nil if the frontend has no readiness check
 	clients      *clientConns
 	conns        sync.WaitGroup
-	draining     atomic.Bool   // not ready any more
+	draining     atomic.Bool   // reports that it is not ready any more
 	closing      atomic.Bool   // every response closes its connection
 	acceptTime   time.Duration // from SIGTERM until no new connection is accepted
 	idleTimeout  time.Duration // see defaultIdleTimeout
@@ -54,8 +54,8 @@
 	uploadBounds streamLimits  // of the platform's requests
 }
 
-// intakeResult is what an intake makes of the head of a request: a call and the loop that executes it, a response, or a server
-// for the request with its body.
+// intakeResult is the decision of an intake on the head of a request: a call and the event loop that executes it, a response, or a
+// server for the request with its body.
 type intakeResult struct {
 	call *call
 	loop *eventLoop
@@ -65,12 +65,12 @@
 
 	response     *response                    // the final response; the connection is kept
 	streamBounds *streamLimits                // of bodies over maxBufferedBody; nil if they are not streamed
-	bodyUnread   bool                         // with response: a client that waits for a 100 Continue sends no body
+	bodyUnread   bool                         // used with response: a client that waits for a 100 Continue sends no body
 	release      func()                       // called once the request is over; may be nil
 	dropBody     bool                         // the body is read and not forwarded
-	replace      func(*response) *replacement // returns what replaces a response, nil for nothing; nil if nothing ever does
+	replace      func(*response) *replacement // returns the replacement of a response, nil for none; the function is nil if there never is one
 	serve        bodyServer                   // serves the request with its complete body
-	maxBody      int64                        // with serve, in bytes
+	maxBody      int64                        // used with serve, in bytes
 }
 
 // newPlatformFrontend returns the frontend of the platform's protocol, with at most maxConns connections.
@@ -93,7 +93,7 @@
 // serve accepts connections until the listener is closed.
 func (f *frontend) serve(ln net.Listener) { f.clients.serve(ln, f.serveConn, &f.conns) }
 
-// serveConn serves the requests of one connection, one after the other, while both sides keep it.
+// serveConn serves the requests of one connection, one after the other, until either side closes it.
 func (f *frontend) serveConn(c *clientConn) {
 	for keep := true; keep; {
 		c.setReadDeadline(time.Now().Add(f.idleTimeout))
@@ -123,7 +123,7 @@
 }
 
 // handleRequest handles one request whose head has been read. It returns false if the connection has to end; it clears keep if
-// the response has said that it ends.
+// the response has announced that it ends.
 func (f *frontend) handleRequest(c *clientConn, m *message, keep *bool) bool {
 	expectsContinue := m.length != 0 && m.hasToken("Expect", "100-continue")
 	t := f.intake(c, m)
@@ -144,7 +144,7 @@
 		return false
 	}
 	if expectsContinue {
-		_ = c.writeContinue() // an error shows when the body is read
+		_ = c.writeContinue() // an error is reported when the body is read
 	}
 	if !f.receiveBody(c, m, &t) {
 		return false
@@ -173,7 +173,7 @@
 	return true
 }
 
-// executeCall has a call executed and writes the response. It returns false if the connection has to end.
+// executeCall executes a call and writes the response. It returns false if the connection has to end.
 func (f *frontend) executeCall(c *clientConn, t *intakeResult, keep *bool) bool {
 	request := &t.call.http
 	r, ok := f.awaitResponse(c, t)
@@ -183,7 +183,7 @@
 	if !ok {
 		return false
 	}
-	if up := request.upload; up != nil && !up.isWhole() { // the client still sends: a next request could not be found
+	if up := request.upload; up != nil && !up.isWhole() { // the client is still sending the body, so its next request cannot be found
 		c.respondAndClose(&r)
 		return false
 	}
@@ -198,7 +198,8 @@
 	return err == nil
 }
 
-// rejectUnreadable responds to what cannot be read as a request. A connection that fell silent or broke is just closed.
+// rejectUnreadable responds to bytes that cannot be read as a request. A connection that timed out or broke is closed without a
+// response.
 func (f *frontend) rejectUnreadable(c *clientConn, err error) {
 	var netErr net.Error
 	switch {
@@ -210,7 +211,8 @@
 	}
 }
 
-// readyStatus returns the status of the readiness check: 200 if the loop has a server to send to, and is not ending.
+// readyStatus returns the status of the readiness check: 200 if there is a server to send requests to, and the frontend
+// is not draining.
 func (f *frontend) readyStatus() int {
 	if f.draining.Load() || !f.isUsable() {
 		return http.StatusServiceUnavailable
@@ -224,8 +226,8 @@
 	drainFrontends(listeners, f.clients, f.acceptTime, drainTime, func() { f.loop.post(f.loop.answerAll) })
 }
 
-// handOver ends the frontend after another process has taken over: that one gets the new connections, and each response here
-// closes its connection. Idle connections are kept open while there is time, as a close could cross with a request.
+// handOver ends the frontend after another process has taken over, which gets the new connections. Each response of this process
+// closes its connection. Idle connections are kept open while there is time, as a client may send a request while one is closed.
 func (f *frontend) handOver(ln net.Listener, drainTime time.Duration) {
 	startedAt := time.Now()
 	f.draining.Store(true)
--- a/internal/sidecar/generation.go
+++ b/internal/sidecar/generation.go
@@ -8,7 +8,7 @@
 	"milletmast/internal/operator"
 )
 
-// generation is one loaded file. All but refs is immutable.
+// generation is one loaded file. All fields except refs are immutable.
 type generation struct {
 	number    uint64
 	cfg       *operator.Config
@@ -18,15 +18,15 @@
 	refs      int                        // requests, connections of removed listeners, and 1 while current; guarded by Instance.mu
 }
 
-// pendingGeneration is a generation that is being built, with what has to be undone if that fails.
+// pendingGeneration is a generation that is being built, with the resources that are released if that fails.
 type pendingGeneration struct {
 	*generation
 	previous *generation          // nil at the start
-	opened   map[string]*listener // that the previous one does not have, by key
-	newPools []*pool              // likewise; not started
+	opened   map[string]*listener // listeners that the previous generation does not have, by key
+	newPools []*pool              // pools that the previous generation does not have; not started
 }
 
-// install builds a generation and replaces the current one. All that can fail comes before the replacement. The reload mutex is
+// install builds a generation and replaces the current one. Every step that can fail comes before the replacement. The reload mutex is
 // held.
 func (i *Instance) install(cfg *operator.Config) error {
 	next, err := i.buildGeneration(cfg)
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// buildGeneration opens the new listeners of a file and makes its pools. If it fails, nothing is left of them.
+// buildGeneration opens the new listeners of a file and makes its pools. If it fails, it releases all of them.
 func (i *Instance) buildGeneration(cfg *operator.Config) (*pendingGeneration, error) {
 	next := &pendingGeneration{
 		generation: &generation{number: 1, cfg: cfg, pools: map[string]*pool{}, routers: map[string]*listenerRouter{}, refs: 1},
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// makePools makes the pools of a generation, or takes those of the previous one whose module has the same settings.
+// makePools makes the pools of a generation, or reuses those of the previous one whose decision module has the same settings.
 func (i *Instance) makePools(next *pendingGeneration) error {
 	cfg := next.cfg
 	_, servers := cfg.DivideDescriptors()
@@ -141,7 +141,7 @@
 	return g.previous.pools[name]
 }
 
-// startPool starts a new pool with what the pool that it replaces has learned, or an earlier process.
+// startPool starts a new pool with the state learned by the pool that it replaces, or by an earlier process.
 func (i *Instance) startPool(p *pool, next *pendingGeneration) {
 	var levels *degradation.Controller
 	replaced := next.previousPool(p.name)
@@ -261,7 +261,7 @@
 	}
 }
 
-// acquireGeneration returns the generation that a request of a listener belongs to. It stays until it is released.
+// acquireGeneration returns the generation that a request of a listener belongs to. It is kept until it is released.
 func (i *Instance) acquireGeneration(l *listener) *generation {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -273,7 +273,7 @@
 	return g
 }
 
-// releaseGeneration releases a generation. With the last reference, the pools that no other generation uses end.
+// releaseGeneration releases a generation. The last release ends the pools that no other generation uses.
 func (i *Instance) releaseGeneration(g *generation) {
 	i.mu.Lock()
 	g.refs--
@@ -307,7 +307,7 @@
 	p.stop()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	delete(i.pools, p) // together with adding its counts, or a status could miss them
+	delete(i.pools, p) // under the same lock as the counts, or a status could miss them
 	i.endedPools.Served += p.loop.served
 	i.endedPools.Refused += p.loop.refused
 	i.endedPools.Failed += p.loop.failures
--- a/internal/sidecar/grpc_bench_test.go
+++ b/internal/sidecar/grpc_bench_test.go
@@ -6,8 +6,8 @@
 	"milletmast/internal/fakeserver"
 )
 
-// BenchmarkRPCUnary makes unary calls through an instance. Callers and servers are in the process too; for the sidecar's own
-// part use go run ./internal/bench grpc.
+// BenchmarkRPCUnary makes unary calls through an instance. Clients and servers run in the same process and are measured too; to
+// measure the sidecar alone, use go run ./internal/bench grpc.
 func BenchmarkRPCUnary(b *testing.B) {
 	s, err := fakeserver.NewServer("a")
 	if err != nil {
--- a/internal/sidecar/grpcrequest.go
+++ b/internal/sidecar/grpcrequest.go
@@ -21,17 +21,17 @@
 // The names of the header of package budget and of outcomeHeader as metadata.
 var contextName, outcomeName = strings.ToLower(budget.Header), strings.ToLower(outcomeHeader)
 
-// headerHoldTime is how long a header list without a message is held, as an error that follows it can still be retried.
+// headerHoldTime is how long a header list without a message is held back, as an error that follows it can still be retried.
 const headerHoldTime = 100 * time.Millisecond
 
-// grpcRequest is a gRPC call, as its attempts send it.
+// grpcRequest is a gRPC call in the form that its attempts send.
 type grpcRequest struct {
 	header          []h2.Field // all but grpc-timeout
 	body            [][]byte
 	stream          *grpcfront.RequestStream // the rest of the request; nil for none
 	notRepeatable   bool                     // see grpcfront.Request
-	isStreaming     bool                     // its class is one of streams
-	deadline        time.Time                // of a call that is unbounded
+	isStreaming     bool                     // its class is for streams
+	deadline        time.Time                // used if the call is unbounded
 	streamTime      time.Duration            // of a response that is streamed
 	stallTimeout    time.Duration            // of its client
 	notExecutedMark string                   // see operator.Pool.NotRun
@@ -40,7 +40,7 @@
 	claimed bool
 }
 
-// claim gives a request that can be sent only once to an attempt; false if another attempt has it.
+// claim assigns a request that can be sent only once to an attempt; false if another attempt has it.
 func (r *grpcRequest) claim() bool {
 	if r.stream == nil && !r.notRepeatable {
 		return true
@@ -137,7 +137,7 @@
 	for {
 		chunk, err := r.stream.Recv(a.ctx)
 		if errors.Is(err, io.EOF) {
-			_ = s.SendEnd(nil) // its error is that of the stream, which the response shows
+			_ = s.SendEnd(nil) // its error is that of the stream, which reading the response reports
 			return
 		}
 		if err != nil { // the client has left, or the request is invalid
@@ -145,18 +145,18 @@
 			return
 		}
 		if s.Send(a.ctx, chunk) != nil {
-			return // likewise
+			return // the error is that of the stream too
 		}
 	}
 }
 
 var (
-	errHoldExpired = errors.New("the head was held for long enough")
-	errNoStatus    = errors.New("the answer ended without a status")
+	errHoldExpired = errors.New("no message followed the header list within the hold time")
+	errBadResponse = errors.New("the response has invalid framing or no gRPC status")
 )
 
-// readResponse reads a response: as a whole if it is short and has one message, else up to its first message. A header list alone
-// is held for headerHoldTime.
+// readResponse reads a response: as a whole if it is short and has one message, else up to its first message. It waits for
+// headerHoldTime for a message after the header list.
 func (r *grpcRequest) readResponse(ctx context.Context, s *h2.Stream) (*grpcfront.Response, error) {
 	got := &grpcfront.Response{}
 	if ended, err := readHeader(ctx, s, got); err != nil || ended {
@@ -170,7 +170,7 @@
 		chunk, err := recvHeld(ctx, s, bytes == 0)
 		if errors.Is(err, io.EOF) {
 			if got.Trailers = s.Trailers(); got.Trailers == nil {
-				return nil, errNoStatus
+				return nil, errBadResponse
 			}
 			return got, nil
 		}
@@ -181,7 +181,7 @@
 			return nil, err
 		}
 		if framing.Add(chunk) != nil {
-			return nil, errNoStatus
+			return nil, errBadResponse
 		}
 		got.Body = append(got.Body, chunk)
 		bytes += len(chunk)
@@ -190,7 +190,7 @@
 	return got, nil
 }
 
-// readHeader reads the header list of a response, and the interim ones before it. It reports whether nothing follows.
+// readHeader reads the header list of a response, and the interim ones before it. Ended reports that nothing follows.
 func readHeader(ctx context.Context, s *h2.Stream, got *grpcfront.Response) (ended bool, err error) {
 	for {
 		fields, end, err := s.RecvHeader(ctx)
@@ -250,7 +250,8 @@
 	return balancer.OK, result
 }
 
-// streamResponse hands a response that is streamed to the loop, and waits until the client has read it, or will not.
+// streamResponse passes a streamed response to the event loop, and waits until the client has read it or has disconnected, or the
+// stream has failed.
 func (r *grpcRequest) streamResponse(a *attempt, got *grpcfront.Response) (balancer.Outcome, *response) {
 	done := make(chan error, 1)
 	got.OnEnd = func(err error) { done <- err }
--- a/internal/sidecar/grpcrouting.go
+++ b/internal/sidecar/grpcrouting.go
@@ -31,7 +31,7 @@
 	return routed, nil
 }
 
-// IsServing reports whether calls are welcome.
+// IsServing reports whether the instance is ready for calls.
 func (d *grpcRouter) IsServing() bool { return !d.instance.notReady.Load() }
 
 // routedCall is a call with its pool and class (grpcfront.RoutedCall).
@@ -45,7 +45,7 @@
 	release    func()
 }
 
-// IsStreaming reports whether the class of the call is one of streams.
+// IsStreaming reports whether the class of the call is for streams.
 func (p *routedCall) IsStreaming() bool { return p.call.grpc.isStreaming }
 
 // RequestTimeout returns the time that is left for the request.
@@ -57,7 +57,7 @@
 // Close releases the generation of the call.
 func (p *routedCall) Close() { p.release() }
 
-// routeGRPC makes a call of the header list of a gRPC call, or returns its final response.
+// routeGRPC creates a call from the header list of a gRPC call, or returns its final response.
 func (d *listenerRouter) routeGRPC(c *grpcfront.Call) (*routedCall, *grpcfront.Response) {
 	req, rule, final := d.matchGRPC(c)
 	if final != nil {
@@ -129,7 +129,7 @@
 	return req, rule, nil
 }
 
-// toGRPC returns the final response to a call that is rejected for its context.
+// toGRPC returns the final response to a call that is rejected because of its context.
 func (e *contextError) toGRPC() *grpcfront.Response {
 	r := &grpcfront.Response{Status: e.status, Message: e.text}
 	if e.outcome != "" {
@@ -166,7 +166,7 @@
 	return header
 }
 
-// Execute has the loop of the pool execute the call.
+// Execute executes the call in the event loop of its pool.
 func (p *routedCall) Execute(ctx context.Context, r *grpcfront.Request) *grpcfront.Response {
 	k, loop := p.call, p.pool.loop
 	k.grpc.body, k.grpc.stream, k.grpc.notRepeatable = r.Body, r.Stream, r.NotRepeatable
--- a/internal/sidecar/httprequest.go
+++ b/internal/sidecar/httprequest.go
@@ -13,13 +13,13 @@
 	"milletmast/internal/exchange"
 )
 
-// httpRequest is a request over HTTP/1.1, as each of its attempts sends it, without the remaining time.
+// httpRequest is a request over HTTP/1.1 in the form that each of its attempts sends, without the remaining time.
 type httpRequest struct {
 	start           string // request line and Host
 	header          http.Header
 	body            []byte
 	upload          *uploadStream // the rest of a streamed body; nil for none
-	fromListener    bool          // from a listener of an operator file: responses of all statuses are passed on, and long ones streamed
+	fromListener    bool          // from a listener of an operator file: responses of all statuses are forwarded, and long ones streamed
 	noBody          bool          // its response has no body, as for HEAD
 	http10          bool          // its client speaks HTTP/1.0, without chunked encoding
 	streamBounds    *streamLimits // of a streamed response
@@ -43,7 +43,7 @@
 	outcome, got, keep := u.sendHTTP1(a, c, r, until)
 	if got != nil && got.stream != nil {
 		outcome, keep = u.streamResponse(a, c, got)
-		got = nil // the client has it
+		got = nil // it has been passed to the client
 	}
 	if !stop() || !keep {
 		u.discard(c)
@@ -129,7 +129,7 @@
 		return outcome, reusable, true
 	}
 	if by := time.Now().Add(request.responseTimeout); by.Before(deadline) {
-		_ = c.SetDeadline(by) // as above
+		_ = c.SetDeadline(by) // fails on a closed connection only, which the read reports
 		if a.ctx.Err() != nil {
 			c.apply(exchange.RequestCanceled)
 			return balancer.Canceled, false, true
@@ -153,5 +153,5 @@
 // isSpent reports whether the request cannot be sent again.
 func (r *httpRequest) isSpent() bool { return r.upload != nil && r.upload.isClaimed() }
 
-// isUnbounded is false: a response of HTTP/1.1 starts when its server has it.
+// isUnbounded returns false, as the start of a response over HTTP/1.1 depends on the server only.
 func (r *httpRequest) isUnbounded() bool { return false }
--- a/internal/sidecar/idlelimit.go
+++ b/internal/sidecar/idlelimit.go
@@ -11,11 +11,11 @@
 
 const (
 	minIdleLimit    = 100 * time.Millisecond
-	idleLimitGrowth = 1.02 // by each connection that was still open when idle for nearly as long
+	idleLimitGrowth = 1.02 // factor for each connection that was still open after being idle for nearly the limit
 )
 
-// learnIdleLimit learns for how long servers keep idle connections open. A connection that broke after it was idle may have been
-// closed by its server; the price is a request that may have run.
+// learnIdleLimit learns for how long servers keep idle connections open. If a connection breaks after it was idle, its server may
+// have closed it, and the request on it may have run.
 func (u *upstream) learnIdleLimit(idleFor time.Duration, outcome exchange.Outcome) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/sidecar/instance.go
+++ b/internal/sidecar/instance.go
@@ -13,18 +13,18 @@
 )
 
 // Instance is a sidecar under an operator file: listeners, routes and pools, in generations. A generation is one loaded file.
-// It is built as a whole beside the current one and replaces it at once. A request belongs to the generation that accepted it
+// It is built completely before it replaces the current one, in one step. A request belongs to the generation that accepted it
 // until it is answered, and a pool ends when no generation that uses it has a request left.
 type Instance struct {
 	clients     *clientConns
 	serverConns *connBudget // of all pools
-	openCalls   *connBudget // counts the gRPC calls of all listeners
+	openCalls   *connBudget // limits the gRPC calls of all listeners
 
 	applyLimits func(operator.Limits)
-	notReady    atomic.Bool // by command; requests that come are served all the same
+	notReady    atomic.Bool // set by command; requests are served nevertheless
 
-	reloadMu sync.Mutex // held during a reload; guards the next three
-	replicas int        // of the fleet, as its members agree on; 0 until they do
+	reloadMu sync.Mutex // held during a reload; guards replicas, rank and fleet
+	replicas int        // of the fleet, as agreed on by its members; 0 until they agree
 	rank     int        // of this replica, from 0
 	fleet    *fleetView // nil without members
 
@@ -33,26 +33,26 @@
 	mu          sync.Mutex
 	current     *generation
 	listeners   map[string]*listener // by key
-	retiring    map[*listener]bool   // removed, and their address not free yet
+	retiring    map[*listener]bool   // removed listeners whose address is not free yet
 	draining    bool
 	endedPools  PoolStatus     // counts of the pools that have ended
-	pools       map[*pool]bool // that run
+	pools       map[*pool]bool // that are running
 	background  sync.WaitGroup // goroutines that Run waits for
-	drained     chan struct{}  // closed once every request is answered or given up
+	drained     chan struct{}  // closed once every request is answered or abandoned
 	persistence *Persistence   // nil if nothing is kept over a restart
-	stateWriter *state.Writer  // likewise
-	startedWarm atomic.Bool    // a pool started with what an earlier process had learned
-	learnedAge  atomic.Int64   // greatest age of that, in ns; a reload may add such a pool
+	stateWriter *state.Writer  // nil if nothing is kept over a restart
+	startedWarm atomic.Bool    // a pool started with the state that an earlier process had learned
+	learnedAge  atomic.Int64   // greatest age of such state, in ns; a reload may add a pool that has some
 }
 
-// NewInstance opens the listeners of a file, starts its pools and accepts requests. Run has to be called to end it. Apply puts
-// the limits of the process into force, with each file; it may be nil.
+// NewInstance opens the listeners of a file, starts its pools and accepts requests. Run has to be called to end it. Apply
+// applies the limits of the process for each file that is loaded; it may be nil.
 func NewInstance(cfg *operator.Config, apply func(operator.Limits)) (*Instance, error) {
 	return NewPersistentInstance(cfg, apply, nil)
 }
 
-// NewPersistentInstance is NewInstance for one that keeps its state over restarts, and starts with what was kept. Persistence
-// may be nil.
+// NewPersistentInstance is NewInstance for an instance that keeps its state over restarts, and starts with the state that was kept.
+// Persistence may be nil.
 func NewPersistentInstance(cfg *operator.Config, apply func(operator.Limits), persistence *Persistence) (*Instance, error) {
 	maxClients, _ := cfg.DivideDescriptors()
 	i := &Instance{
@@ -83,7 +83,7 @@
 var errShuttingDown = errors.New("the instance is ending")
 
 // Reload replaces the current file as a whole, or fails and changes nothing. It returns the number of the generation once new
-// requests are accepted under it. A file that is the same changes nothing either.
+// requests are accepted under it. A file that has not changed has no effect.
 func (i *Instance) Reload(cfg *operator.Config) (uint64, error) {
 	i.reloadMu.Lock()
 	defer i.reloadMu.Unlock()
@@ -99,14 +99,14 @@
 	if err := i.install(cfg); err != nil {
 		return current.number, err
 	}
-	if err := i.saveLastGood(cfg); err != nil { // the file is in force all the same
+	if err := i.saveLastGood(cfg); err != nil { // the file is in use nevertheless
 		slog.Error("save last good configuration", "err", err)
 	}
 	return current.number + 1, nil
 }
 
-// SetReplicas sets, for the pools that go by members, among how many replicas their servers are shared, and the rank of this one
-// from 0. It holds for the pools of later files too.
+// SetReplicas sets, for the pools that depend on the members, among how many replicas their servers are shared, and the rank of this
+// one, from 0. It also applies to the pools of files that are loaded later.
 func (i *Instance) SetReplicas(replicas, rank int) {
 	i.reloadMu.Lock()
 	defer i.reloadMu.Unlock()
@@ -139,7 +139,7 @@
 	})
 	i.saveFinalSnapshot()
 	close(i.drained)
-	i.clients.closeAll() // streams that are left break off, as their callers can tell
+	i.clients.closeAll() // the remaining streams are cut off, which their clients can detect
 	for _, l := range draining {
 		l.frontend.conns.Wait()
 	}
@@ -157,7 +157,7 @@
 	}
 }
 
-// SetNotReady has the instance report that it is not ready, or that it is again. Requests that come all the same are served.
+// SetNotReady makes the instance report that it is not ready, or that it is ready again. Requests are served nevertheless.
 func (i *Instance) SetNotReady(notReady bool) {
 	i.notReady.Store(notReady)
 	i.mu.Lock()
--- a/internal/sidecar/levels.go
+++ b/internal/sidecar/levels.go
@@ -21,7 +21,7 @@
 	maxPinTime    = 24 * time.Hour
 )
 
-// levelState is the level of reduced service of a pool (package degradation). The loop owns it.
+// levelState is the state of a pool with levels of reduced service (package degradation). The event loop owns it.
 type levelState struct {
 	pool       string
 	controller *degradation.Controller
@@ -30,9 +30,9 @@
 	coldStarts []float64  // start times of the ready servers that may be cold
 }
 
-// setLevels applies the levels of a pool. If there were none, before is the controller of the pool that this one replaces; nil
-// for none.
-func (l *eventLoop) setLevels(p *operator.Pool, before *degradation.Controller) {
+// setLevels applies the levels of a pool. If it had none, previous is the controller of the pool that this one replaces; nil for
+// none.
+func (l *eventLoop) setLevels(p *operator.Pool, previous *degradation.Controller) {
 	ladder, now := p.Ladder(), time.Now()
 	if len(ladder) == 0 {
 		if s := l.levels; s != nil {
@@ -52,8 +52,8 @@
 		return
 	}
 	s := &levelState{pool: p.Name, meter: degradation.NewMeter(window, len(p.Classes), now), waiting: list.New()}
-	if before != nil {
-		s.controller = before
+	if previous != nil {
+		s.controller = previous
 		s.controller.SetLadder(ladder, now)
 	} else {
 		s.controller = degradation.NewController(ladder, now)
@@ -63,7 +63,8 @@
 	l.updateLevels()
 }
 
-// setCallerHeader has callers told apart if something decides by caller: levels do, by address if no header is set.
+// setCallerHeader enables or disables the distinction of callers. Levels need it, and use the address if no header is set. The
+// shedding together with other replicas uses it only if a header is set.
 func (l *eventLoop) setCallerHeader(p *operator.Pool) {
 	l.callerHeader.Store(nil)
 	if len(p.Levels) > 0 || p.Allot && p.LevelCaller != "" {
@@ -71,7 +72,7 @@
 	}
 }
 
-// updateLevels updates the level by the signals, and schedules itself.
+// updateLevels updates the level by the signals, and schedules its next run.
 func (l *eventLoop) updateLevels() {
 	s := l.levels
 	if s == nil {
@@ -84,7 +85,7 @@
 		r[degradation.UsableRatio] = usable / float64(len(l.listed))
 	}
 	if usable > 0 {
-		r[degradation.WarmRatio] = max(0, usable-l.coldness()) / usable
+		r[degradation.WarmRatio] = max(0, usable-l.warmUpShortfall()) / usable
 	}
 	if s.controller.Update(now, r, s.meter.Demand(now)) {
 		st := s.controller.Status(0)
@@ -118,9 +119,9 @@
 	}
 }
 
-// coldness returns the missing capacity of cold servers, in servers. Like the decision module, it takes a server to warm up
-// linearly.
-func (l *eventLoop) coldness() float64 {
+// warmUpShortfall returns the capacity that cold servers lack, as a number of servers. Like the decision module, it assumes that a
+// server warms up linearly.
+func (l *eventLoop) warmUpShortfall() float64 {
 	s, f := l.levels, &l.settings.Safety
 	cold, kept := 0.0, s.coldStarts[:0]
 	for _, began := range s.coldStarts {
@@ -156,7 +157,7 @@
 	c.queueElement = s.waiting.PushBack(c)
 }
 
-// weightOf returns the worth of a call: that of its call context, or of its class.
+// weightOf returns the priority weight of a call: that of its call context, or of its class.
 func (l *eventLoop) weightOf(c *call) float64 {
 	if c.event.PriorityWeight > 0 {
 		return c.event.PriorityWeight
@@ -199,7 +200,8 @@
 	s.meter.CountResult(time.Now(), r, l.weightOf(c), took)
 }
 
-// callerOf returns the hash of a caller: of the header that the pool names, or of its address.
+// callerOf returns the hash of a caller: of the header that the pool sets, or of its address. It is 0 if callers are not
+// distinguished.
 func (p *pool) callerOf(h http.Header, remote func() string) uint64 {
 	by := p.loop.callerHeader.Load()
 	if by == nil {
@@ -221,7 +223,7 @@
 	ErrNoLevels    = errors.New("the pool has no levels")
 )
 
-// Pin keeps a pool at a level for a time, whatever its signals say. The error is degradation.ErrUnknownLevel, ErrUnknownPool,
+// Pin keeps a pool at a level for a time, regardless of its signals. The error is degradation.ErrUnknownLevel, ErrUnknownPool,
 // ErrNoLevels, or that of an invalid time.
 func (i *Instance) Pin(pool, name string, ttl time.Duration) error {
 	if err := i.pin(pool, name, ttl); err != nil {
@@ -264,7 +266,7 @@
 	if p == nil {
 		return fmt.Errorf("%w: %q", ErrUnknownPool, name)
 	}
-	err := fmt.Errorf("%w: %q", ErrUnknownPool, name) // if it has just ended
+	err := fmt.Errorf("%w: %q", ErrUnknownPool, name) // if the pool has just ended
 	p.loop.do(func() {
 		if p.loop.levels == nil {
 			err = fmt.Errorf("%w: %q", ErrNoLevels, name)
@@ -275,7 +277,7 @@
 	return err
 }
 
-// levelStatus returns the status of the levels; nil for none. It is called by the loop.
+// levelStatus returns the status of the levels; nil for none. It is called by the event loop.
 func (l *eventLoop) levelStatus() *degradation.Status {
 	if l.levels == nil {
 		return nil
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -11,18 +11,18 @@
 // retireDelay is how long a listener that a reload removes still accepts the connections that are queued for it.
 const retireDelay = 100 * time.Millisecond
 
-// listener is an open address. It is kept over generations while its address stays the same.
+// listener is a listening socket. It is kept over generations while its address stays the same.
 type listener struct {
 	key            string
 	listener       net.Listener
 	frontend       *frontend
-	grpc           *grpcfront.Server // of gRPC callers, if the listener accepts any
+	grpc           *grpcfront.Server // of gRPC clients, if the listener accepts any
 	acceptDone     chan struct{}     // closed when no more connections are accepted
 	closed         chan struct{}     // closed when the address is free again
-	lastGeneration *generation       // the last that has the listener, once a reload has removed it; guarded by Instance.mu
+	lastGeneration *generation       // the last one with the listener, set when a reload removes it; guarded by Instance.mu
 }
 
-// listenerKey returns what identifies a listener over two files: its address, with its name if the port is any.
+// listenerKey returns the key that identifies a listener across files: its address, with its name if any port is allowed.
 func listenerKey(l *operator.Listener) string {
 	if _, port, _ := net.SplitHostPort(l.Address); port == "0" {
 		return l.Name + "@" + l.Address
@@ -30,7 +30,7 @@
 	return l.Address
 }
 
-// newListener returns a listener whose requests are decided on by the current generation.
+// newListener returns a listener whose requests the current generation routes.
 func (i *Instance) newListener(key string, ln net.Listener) *listener {
 	l := &listener{key: key, listener: ln, acceptDone: make(chan struct{}), closed: make(chan struct{})}
 	l.grpc = grpcfront.New(&grpcRouter{i, l}, grpcfront.Options{
@@ -54,7 +54,8 @@
 	return l
 }
 
-// listen opens an address. One that an earlier reload has removed may not be free for a moment yet.
+// listen opens an address. If it is in use, it may belong to a listener that an earlier reload has removed, so that listen waits for
+// these to close.
 func (i *Instance) listen(address string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", address)
 	if err == nil {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -18,7 +18,7 @@
 // waits for a socket.
 type eventLoop struct {
 	start         time.Time
-	startMS       float64 // the same as Unix time
+	startMS       float64 // start as Unix time
 	balancer      *balancer.Balancer
 	actions       []balancer.Action // reused
 	posted        chan func()
@@ -26,7 +26,7 @@
 	stopped       chan struct{}  // closed once no posted function runs any more
 	attempts      sync.WaitGroup // goroutines of attempts
 	upstream      *upstream
-	startWatch    func() // has the list of servers watched
+	startWatch    func() // starts to watch the list of servers
 	calls         map[uint32]*call
 	openIDs       map[string]bool // the clients' ids of open calls
 	lastID        uint32
@@ -37,18 +37,18 @@
 	listed        map[uint32]bool   // the servers that the module knows, and whether they are ready
 	usable        int               // servers that are ready
 	targets       map[string]Target // the list as it was received, by uid
-	overrides     override.Set      // servers that operators hold out
+	overrides     override.Set      // servers that operators have taken out of use
 	counts        *loopCounters
 	settings      *balancer.Settings
 	levels        *levelState            // nil without levels of reduced service
 	subset        *serverSubset          // nil if requests are sent to all servers
-	replicas      int                    // that send to these servers, as members agree on; 0 for the number of the settings
+	replicas      int                    // that send to these servers, as agreed on by the members; 0 for the number of the settings
 	rank          int                    // of this replica, if replicas is set
 	fleetShedding *fleetShedding         // nil if replicas do not shed load together
-	callerHeader  atomic.Pointer[string] // the header that names a caller; nil if callers are not told apart
+	callerHeader  atomic.Pointer[string] // the header that names a caller; nil if callers are not distinguished
 
 	served, refused, failures uint64    // calls by their final response
-	recentLatencies           []float32 // in ms, of the latest calls of operators' listeners that were served; a ring
+	recentLatencies           []float32 // in ms, of the latest served calls of operator listeners; a ring buffer
 	latencyCount              int
 }
 
@@ -78,7 +78,7 @@
 	}
 	settings := cfg.Site.Settings
 	l.settings = &settings
-	settings.Limits.CanProbe = false // this sidecar sends none
+	settings.Limits.CanProbe = false // this sidecar sends no probes
 	settings.Limits.ConnIdleTimeout = inMillis(up.idleLimit)
 	if capacity := up.capacity(); settings.Limits.MaxRequests == 0 || settings.Limits.MaxRequests > capacity {
 		settings.Limits.MaxRequests = capacity // each open request may need a connection, or a stream of one
@@ -88,7 +88,7 @@
 	return l, err
 }
 
-// post has the loop run f, unless the loop ends before. It waits while the queue is full, but not for f.
+// post makes the event loop run f, unless the event loop ends before. It waits while the queue is full, but not for f.
 func (l *eventLoop) post(f func()) {
 	select {
 	case l.posted <- f:
@@ -96,7 +96,7 @@
 	}
 }
 
-// tryPost has the loop run f, unless the queue is full.
+// tryPost makes the event loop run f, unless the queue is full.
 func (l *eventLoop) tryPost(f func()) {
 	select {
 	case l.posted <- f:
@@ -104,13 +104,13 @@
 	}
 }
 
-// do has the loop run f and waits for its end. It returns false if the loop has stopped, and f never runs.
+// do makes the event loop run f and waits for its end. It returns false if the event loop has stopped and f never runs.
 func (l *eventLoop) do(f func()) bool { return l.doContext(context.Background(), f) == nil }
 
-// errLoopStopped is why a function was not run.
+// errLoopStopped is returned if a function was not run because the event loop has stopped.
 var errLoopStopped = errors.New("it has ended")
 
-// doContext is do until ctx ends. Then f may still run later, so that the caller must not read what f writes.
+// doContext is like do, but returns when ctx ends. Then f may still run later, so that the caller must not read what f writes.
 func (l *eventLoop) doContext(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	select {
@@ -135,8 +135,8 @@
 	}
 }
 
-// pollResponse returns the response that a call has got. It is for the moment when the loop has stopped, or may be about to: the
-// response may have come at the same time.
+// pollResponse returns the response to a call, if there is one already. It is used when the event loop has stopped or a wait was
+// interrupted, as the response may have been sent at the same time.
 func pollResponse(responded <-chan response) (response, bool) {
 	select {
 	case r := <-responded:
@@ -177,7 +177,7 @@
 	}
 }
 
-// handle gives the decision module an event and executes its actions.
+// handle passes an event to the decision module and executes the resulting actions.
 func (l *eventLoop) handle(ev *balancer.Event) {
 	l.actions = l.balancer.Handle(l.now(), ev, l.actions[:0])
 	for i := range l.actions {
