--- a/internal/sidecar/bulk_test.go
+++ b/internal/sidecar/bulk_test.go
@@ -16,7 +16,7 @@
 	"milletmast/balancer"
 )
 
-// pattern is a body of a length that no other place of it repeats soon.
+// pattern is a body of the given length. Its parts differ, so that missing or repeated parts change its hash.
 type pattern struct{ at, length int }
 
 func (p *pattern) Read(b []byte) (int, error) {
@@ -31,8 +31,8 @@
 	return n, nil
 }
 
-// sum tells a body's length and hash.
-func sum(t *testing.T, r io.Reader) (int64, uint64) {
+// hashBody returns the length and the hash of a body.
+func hashBody(t *testing.T, r io.Reader) (int64, uint64) {
 	t.Helper()
 	h := fnv.New64a()
 	n, err := io.Copy(h, r)
@@ -42,15 +42,16 @@
 	return n, h.Sum64()
 }
 
-func patternSum(length int) uint64 {
+// patternHash returns the hash of a pattern of the given length.
+func patternHash(length int) uint64 {
 	h := fnv.New64a()
 	_, _ = io.Copy(h, &pattern{length: length})
 	return h.Sum64()
 }
 
-const big = 8 << 20
+const longBodySize = 8 << 20 // bytes, more than is buffered
 
-// ask sends a request for reading and reads the head of the answer.
+// ask sends a request of class read and reads the head of the response.
 func (c *client) ask(t *testing.T) *http.Response {
 	t.Helper()
 	c.send("GET", "read", "")
@@ -62,35 +63,35 @@
 	return res
 }
 
-// Long answers of every framing come whole, and the connection goes on behind them.
-func TestLongAnswers(t *testing.T) {
+// Long responses of every framing must arrive complete, and the client's connection must stay usable after them.
+func TestLongResponses(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		write func(c net.Conn)
-		more  bool // the endpoint keeps its connection
+		more  bool // the server keeps the connection open
 	}{
 		{"length", func(c net.Conn) {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", big)
-			_, _ = io.Copy(c, &pattern{length: big})
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longBodySize)
+			_, _ = io.Copy(c, &pattern{length: longBodySize})
 		}, true},
 		{"chunks", func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-			body := &pattern{length: big}
-			for size := 1; body.at < big; size = size*3%70001 + 1 {
-				n := min(size, big-body.at)
+			body := &pattern{length: longBodySize}
+			for size := 1; body.at < longBodySize; size = size*3%70001 + 1 {
+				n := min(size, longBodySize-body.at)
 				fmt.Fprintf(c, "%x;note=\"x\"\r\n", n)
 				_, _ = io.CopyN(c, body, int64(n))
 				_, _ = io.WriteString(c, "\r\n")
 			}
 			_, _ = io.WriteString(c, "0\r\nX-Trailer: 1\r\n\r\n")
 		}, true},
-		{"the connection's end", func(c net.Conn) {
+		{"end of the connection", func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
-			_, _ = io.Copy(c, &pattern{length: big})
+			_, _ = io.Copy(c, &pattern{length: longBodySize})
 		}, false},
-		{"the connection's end, by its version", func(c net.Conn) {
+		{"end of the connection of HTTP/1.0", func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.0 200 OK\r\n\r\n")
-			_, _ = io.Copy(c, &pattern{length: big})
+			_, _ = io.Copy(c, &pattern{length: longBodySize})
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -98,16 +99,16 @@
 				c.write(conn)
 				return c.more
 			}).Addr().String()))
-			caller := dial(t, s)
-			want := patternSum(big)
+			c := dial(t, s)
+			want := patternHash(longBodySize)
 			for i := range 2 {
-				caller.id = fmt.Sprint(i)
-				res := caller.ask(t)
-				if n, got := sum(t, res.Body); res.StatusCode != 200 || n != big || got != want {
-					t.Fatalf("answer %d: status %d, %d bytes with the sum %x, want %d with %x", i, res.StatusCode, n, got, big, want)
+				c.id = fmt.Sprint(i)
+				res := c.ask(t)
+				if n, got := hashBody(t, res.Body); res.StatusCode != 200 || n != longBodySize || got != want {
+					t.Fatalf("response %d: status %d, %d bytes with the hash %x, want %d with %x", i, res.StatusCode, n, got, longBodySize, want)
 				}
 			}
-			eventually(t, "counted", func() bool {
+			eventually(t, "both requests are counted as completed", func() bool {
 				f := s.Stats()
 				return f.Classes[0].Completed == 2 && f.Pending == 0
 			})
@@ -115,8 +116,8 @@
 	}
 }
 
-// Long answers and bodies cost the same few buffers, however long they are and however slowly their readers take them.
-func TestLongAnswersCostLittle(t *testing.T) {
+// The memory that a long response takes must not depend on its length or on how slowly the client reads it.
+func TestLongResponsesBoundMemory(t *testing.T) {
 	const readers, endpoints = 10, 4
 	var addrs []string
 	for range endpoints {
@@ -137,48 +138,48 @@
 	for range readers {
 		c := dial(t, s)
 		c.id = newID()
-		eventually(t, "it is served", func() bool { // the room of a module that has measured nothing grows
+		eventually(t, "the request is served", func() bool { // the limit of a new decision module starts low and grows
 			res := c.ask(t)
 			return res.StatusCode == 200 && res.ContentLength == 32<<20
 		})
 	}
 	if after := heap(); after > before+readers*(256<<10) {
-		t.Errorf("%d answers that nobody reads on hold %d bytes of heap", readers, after-before)
+		t.Errorf("%d responses that no client reads hold %d bytes of heap", readers, after-before)
 	}
 	if f := s.Stats(); f.Pending != readers {
 		t.Errorf("%d pending, want %d", f.Pending, readers)
 	}
 }
 
-// An answer that breaks off after it has begun is one that its caller can tell to be cut, and is not sent for again.
-func TestLongAnswerBreaksOff(t *testing.T) {
-	for _, head := range []string{fmt.Sprintf("Content-Length: %d", big), "Transfer-Encoding: chunked"} {
-		asked := make(chan struct{}, 10)
+// If a response breaks off after it has started, the client must be able to detect that, and the request must not be retried.
+func TestLongResponseBreaksOff(t *testing.T) {
+	for _, head := range []string{fmt.Sprintf("Content-Length: %d", longBodySize), "Transfer-Encoding: chunked"} {
+		requests := make(chan struct{}, 10)
 		s := start(t, config(t, script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-			asked <- struct{}{}
+			requests <- struct{}{}
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", head)
 			if strings.HasPrefix(head, "T") {
-				fmt.Fprintf(conn, "%x\r\n", big)
+				fmt.Fprintf(conn, "%x\r\n", longBodySize)
 			}
-			_, _ = io.CopyN(conn, &pattern{length: big}, big/2)
+			_, _ = io.CopyN(conn, &pattern{length: longBodySize}, longBodySize/2)
 			return false
 		}).Addr().String()))
 		res := dial(t, s).ask(t)
-		if n, err := io.Copy(io.Discard, res.Body); err == nil || n > big/2 {
+		if n, err := io.Copy(io.Discard, res.Body); err == nil || n > longBodySize/2 {
 			t.Errorf("%s: read %d bytes, %v, want an error", head, n, err)
 		}
 		eventually(t, "counted as failed", func() bool {
 			f := s.Stats()
 			return f.Classes[0].Failed == 1 && f.Classes[0].Completed == 0 && f.Pending == 0
 		})
-		if n := len(asked); n != 1 {
+		if n := len(requests); n != 1 {
 			t.Errorf("%s: %d attempts", head, n)
 		}
 	}
 }
 
-// What an endpoint writes is passed on at once, not held until more has come.
-func TestLongAnswerInPieces(t *testing.T) {
+// The parts of a streamed response must be forwarded as they arrive, not held back until more has arrived.
+func TestLongResponseInPieces(t *testing.T) {
 	next := make(chan string)
 	s := start(t, config(t, script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBufferedBody+6)
@@ -210,15 +211,15 @@
 	}
 }
 
-// received is a request's body as an endpoint got it.
-type received struct {
-	n   int64
-	sum uint64
+// receivedBody is the length and the hash of a request body that a server received.
+type receivedBody struct {
+	n    int64
+	hash uint64
 }
 
-// sink is an endpoint that answers each request which comes whole, and tells of it.
-func sink(t *testing.T) (addr string, came chan received) {
-	came = make(chan received, 10)
+// startBodyServer starts a server that responds to each complete request and reports its body.
+func startBodyServer(t *testing.T) (addr string, bodies chan receivedBody) {
+	bodies = make(chan receivedBody, 10)
 	ln := listen(t)
 	go func() {
 		for {
@@ -239,22 +240,22 @@
 					if err != nil {
 						return
 					}
-					came <- received{n, h.Sum64()}
+					bodies <- receivedBody{n, h.Sum64()}
 					_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
 				}
 			}()
 		}
 	}()
-	return ln.Addr().String(), came
+	return ln.Addr().String(), bodies
 }
 
-// Long bodies of requests stream to one endpoint, once, and the answer is that endpoint's.
+// A long request body must be streamed to one server, once, and the response of that server must be forwarded.
 func TestLongRequests(t *testing.T) {
-	addr, came := sink(t)
+	addr, bodies := startBodyServer(t)
 	s := start(t, config(t, addr))
 	c := dial(t, s)
 	_ = c.SetDeadline(time.Now().Add(long))
-	for i, framing := range []string{fmt.Sprintf("Content-Length: %d", big), "Transfer-Encoding: chunked"} {
+	for i, framing := range []string{fmt.Sprintf("Content-Length: %d", longBodySize), "Transfer-Encoding: chunked"} {
 		expect := []string{"", "Expect: 100-continue\r\n"}[i]
 		fmt.Fprintf(c, "POST /pay/x HTTP/1.1\r\nHost: h\r\nX-Class: pay\r\nX-Request-Id: %d\r\n%s%s\r\n\r\n", i, expect, framing)
 		if expect != "" {
@@ -263,12 +264,12 @@
 				t.Fatalf("%q, %v, %v", line, err, rest)
 			}
 		}
-		body := &pattern{length: big}
+		body := &pattern{length: longBodySize}
 		if i == 0 {
 			_, _ = io.Copy(c, body)
 		} else {
-			for body.at < big {
-				n := min(50021, big-body.at)
+			for body.at < longBodySize {
+				n := min(50021, longBodySize-body.at)
 				fmt.Fprintf(c, "%x\r\n", n)
 				_, _ = io.CopyN(c, body, int64(n))
 				_, _ = io.WriteString(c, "\r\n")
@@ -278,8 +279,8 @@
 		if res, text := c.answer(t); res.StatusCode != 200 || text != "hi" {
 			t.Fatalf("%s: status %d, %q", framing, res.StatusCode, text)
 		}
-		if g := <-came; g.n != big || g.sum != patternSum(big) {
-			t.Errorf("%s: the endpoint got %d bytes with the sum %x", framing, g.n, g.sum)
+		if g := <-bodies; g.n != longBodySize || g.hash != patternHash(longBodySize) {
+			t.Errorf("%s: the server got %d bytes with the hash %x", framing, g.n, g.hash)
 		}
 	}
 	if f := s.Stats(); f.Attempts != 2 || f.Classes[1].Completed != 2 {
@@ -287,9 +288,10 @@
 	}
 }
 
-// A caller that stops in the middle of a long body is told, its endpoint's part is not answered, and nothing is sent again.
+// If a client stops in the middle of a long body, it must not get a successful response, its server must not take the first part
+// for a request, and the request must not be retried.
 func TestLongRequestStops(t *testing.T) {
-	addr, reached := sink(t)
+	addr, bodies := startBodyServer(t)
 	s, err := New(config(t, addr))
 	if err != nil {
 		t.Fatal(err)
@@ -297,19 +299,19 @@
 	s.frontend.uploadBounds.idleTimeout = 50 * time.Millisecond
 	go func() { _ = s.Run(t.Context()) }()
 	c := dial(t, s)
-	fmt.Fprintf(c, "POST /pay/x HTTP/1.1\r\nHost: h\r\nX-Class: pay\r\nX-Request-Id: 1\r\nContent-Length: %d\r\n\r\n%s", big, strings.Repeat("x", maxBufferedBody))
+	fmt.Fprintf(c, "POST /pay/x HTTP/1.1\r\nHost: h\r\nX-Class: pay\r\nX-Request-Id: 1\r\nContent-Length: %d\r\n\r\n%s", longBodySize, strings.Repeat("x", maxBufferedBody))
 	_ = c.SetReadDeadline(time.Now().Add(long))
 	if text, err := io.ReadAll(c.reader); err != nil || strings.Contains(string(text), " 200 ") {
-		t.Errorf("told %q, %v", text, err)
+		t.Errorf("response %q, %v", text, err)
 	}
-	eventually(t, "nothing is open", func() bool { return s.Stats().Pending == 0 })
-	if len(reached) > 0 {
-		t.Error("the endpoint took half a body for a request")
+	eventually(t, "no request is open", func() bool { return s.Stats().Pending == 0 })
+	if len(bodies) > 0 {
+		t.Error("the server took half a body for a request")
 	}
 }
 
-// Heads that come in pieces are waited for, and forms of HTTP/1.1 that are seldom seen are read.
-func TestForms(t *testing.T) {
+// Heads that arrive in pieces and rarely used forms of HTTP/1.1 must be accepted.
+func TestRequestForms(t *testing.T) {
 	s := start(t, config(t, script(t, echo).Addr().String()))
 	const rest = "Host: other\r\nX-Class: read\r\nX-Request-Id: 1\r\n"
 	for _, c := range []struct{ name, text, want string }{
@@ -321,20 +323,20 @@
 		{"HTTP/1.0", "GET /read/x HTTP/1.0\r\n" + rest + "\r\n", "GET /read/x 1 "},
 	} {
 		for _, size := range []int{len(c.text), 1} {
-			caller := dial(t, s)
+			client := dial(t, s)
 			for at := 0; at < len(c.text); at += size {
-				_, _ = io.WriteString(caller, c.text[at:min(at+size, len(c.text))])
+				_, _ = io.WriteString(client, c.text[at:min(at+size, len(c.text))])
 			}
-			if res, body := caller.answer(t); res.StatusCode != 200 || body != c.want {
+			if res, body := client.answer(t); res.StatusCode != 200 || body != c.want {
 				t.Errorf("%s in pieces of %d: status %d, %q, want %q", c.name, size, res.StatusCode, body, c.want)
 			}
 		}
 	}
 }
 
-// Connections that never carry a request give way before those that do, however many they are, also where half a request
-// came on them.
-func TestUnprovenConnectionsGiveWay(t *testing.T) {
+// Near the limit, connections that never carried a request must be evicted before those that did, however many there are, even if
+// part of a request was received on them.
+func TestUnusedConnectionsAreEvicted(t *testing.T) {
 	cfg := config(t, script(t, echo).Addr().String())
 	cfg.Sockets = MinSockets
 	s := start(t, cfg)
@@ -346,7 +348,7 @@
 		if res, _ := kept.answer(t); res.StatusCode != 200 || res.Close {
 			t.Fatalf("status %d, close %v", res.StatusCode, res.Close)
 		}
-		_, _ = io.WriteString(slow, piece) // what it sends keeps it ahead of those that stopped
+		_, _ = io.WriteString(slow, piece) // as it keeps sending, others are evicted before it
 		var idle *client
 		for range s.frontend.clients.maxConns / 3 {
 			idle = dial(t, s)
@@ -354,7 +356,7 @@
 				_, _ = io.WriteString(idle, "GET /read/x HT")
 			}
 		}
-		eventually(t, "the last one is taken in, and so all are", func() bool {
+		eventually(t, "the last connection is accepted, and thus all of them", func() bool {
 			s.frontend.clients.mu.Lock()
 			defer s.frontend.clients.mu.Unlock()
 			for e := s.frontend.clients.idleUnused.Front(); e != nil; e = e.Next() {
@@ -367,16 +369,16 @@
 	}
 	_, _ = io.WriteString(slow, "\r\n")
 	if res, _ := slow.answer(t); res.StatusCode != 200 {
-		t.Errorf("a slow one: status %d", res.StatusCode)
+		t.Errorf("the slow client: status %d", res.StatusCode)
 	}
 }
 
-// An endpoint that says that it closes its connection behind a long answer is not sent a next request on it.
+// If a server announces that it closes its connection after a long response, no other request may be sent on that connection.
 func TestConnectionNotKept(t *testing.T) {
 	u := pooled(script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", maxBufferedBody+1)
 		_, _ = conn.Write(bytes.Repeat([]byte("x"), maxBufferedBody+1))
-		return true // and yet it does not
+		return true // the server does not close it in fact
 	}).Addr().String(), 4)
 	if got, _ := attemptOn(u, long); got != balancer.OK {
 		t.Fatalf("outcome %v", got)
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -31,7 +31,7 @@
 	grpc      *grpcRequest
 	forwarded *forwardedRequest
 
-	respond         func(response) // takes the one final response
+	respond         func(response) // receives the one final response
 	backstop        *timedTask
 	ended           bool      // it has its final response, or its client has left
 	isStreaming     bool      // its response is streamed: the end of its attempt is that of the call
--- a/internal/sidecar/calltree.go
+++ b/internal/sidecar/calltree.go
@@ -55,17 +55,17 @@
 
 // treeCall is a call as part of a tree.
 type treeCall struct {
-	trees        *callTrees
-	rule         *route.Rule
-	context      budget.Context // as received, or as created by this sidecar
-	budget       *budget.RetryBudget
-	traced       bool
-	traceID      string // of this call
+	trees          *callTrees
+	rule           *route.Rule
+	context        budget.Context // as received, or as created by this sidecar
+	budget         *budget.RetryBudget
+	traced         bool
+	traceID        string // of this call
 	reportsOutcome bool   // the outcome is reported to the previous tier in outcomeHeader
-	leaf         bool   // no retries are delegated to the next tier
-	arrivedAt    time.Time
-	retryWindow  time.Duration // in which a keyed call that is a retry must end; 0 for no such limit
-	outOfRetries bool          // an attempt was not made as there was no retry left
+	leaf           bool   // no retries are delegated to the next tier
+	arrivedAt      time.Time
+	retryWindow    time.Duration // in which a keyed call that is a retry must end; 0 for no such limit
+	outOfRetries   bool          // an attempt was not made as there was no retry left
 }
 
 // contextError describes why a call is rejected because of its context.
--- a/internal/sidecar/calltree_test.go
+++ b/internal/sidecar/calltree_test.go
@@ -26,20 +26,22 @@
 	"milletmast/internal/trace"
 )
 
+// innerText is a listener that trusts call contexts.
 const innerText = "\n[[listener]]\nname = \"in\"\naddress = \"127.0.0.1:0\"\ninner = true\n"
 
-// contextText is the part of a file that has calls carry a context.
+// contextText is the section of an operator file that enables call contexts.
 func contextText(id string, retries int, more string) string {
 	return fmt.Sprintf("\n[context]\nid = %q\nretries = %d\n%s\n", id, retries, more)
 }
 
-// at is the text of a server at an address.
-func at(addr string) string { return fmt.Sprintf("[[pool.server]]\naddress = %q\n", addr) }
+// serverText is a server of an operator file.
+func serverText(addr string) string { return fmt.Sprintf("[[pool.server]]\naddress = %q\n", addr) }
 
-func newApp(t testing.TB, next string, fan int, passes bool, lose func() bool) *fakeserver.App {
+// newApp starts an app that makes calls to next for each request. With forwardsContext it passes call contexts on.
+func newApp(t testing.TB, next string, calls int, forwardsContext bool, loseResponse func() bool) *fakeserver.App {
 	t.Helper()
-	o := fakeserver.AppOptions{Next: next, Calls: fan, LoseResponse: lose, FinalHeaders: []string{outcomeHeader}, PassHeaders: []string{"X-Call", "Idempotency-Key"}}
-	if passes {
+	o := fakeserver.AppOptions{Next: next, Calls: calls, LoseResponse: loseResponse, FinalHeaders: []string{outcomeHeader}, PassHeaders: []string{"X-Call", "Idempotency-Key"}}
+	if forwardsContext {
 		o.PassHeaders = append(o.PassHeaders, budget.Header)
 	}
 	a, err := fakeserver.NewApp(o)
@@ -50,8 +52,8 @@
 	return a
 }
 
-// seeded gives true for a share of the draws.
-func seeded(seed uint64, share float64) func() bool {
+// randomBools returns a function that returns true for a share of its calls.
+func randomBools(seed uint64, share float64) func() bool {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 9))
 	return func() bool {
@@ -61,19 +63,20 @@
 	}
 }
 
-// failing has a share of what a server is sent fail after it has run.
-func failing(s *fakeserver.Server, seed uint64, share float64) {
-	draw := seeded(seed, share)
+// failShare makes a share of the requests to a server fail after they were executed.
+func failShare(s *fakeserver.Server, seed uint64, share float64) {
+	fails := randomBools(seed, share)
 	s.SetFaultFunc(func(r *http.Request) fakeserver.Fault {
-		if r != nil && draw() {
+		if r != nil && fails() {
 			return fakeserver.Error500
 		}
 		return fakeserver.NoFault
 	})
 }
 
-// chain runs tiers of sidecars, with an app between each two, over servers of the last tier; it gives the first's address.
-func chain(t *testing.T, tiers, fan, retries int, passes bool, pool string, lose func() bool, last ...*fakeserver.Server) string {
+// startTiers runs tiers of sidecars with an app between each two, in front of the servers of the last tier. It returns the address
+// of the first tier.
+func startTiers(t *testing.T, tiers, fan, retries int, withContexts bool, pool string, lose func() bool, last ...*fakeserver.Server) string {
 	t.Helper()
 	addr := ""
 	plain := pool
@@ -82,15 +85,15 @@
 		if tier == tiers {
 			pool += "leaf = true\n"
 			for _, s := range last {
-				servers += at(s.Addr())
+				servers += serverText(s.Addr())
 			}
 		} else {
 			for range 3 {
-				servers += at(newApp(t, addr, fan, passes, lose).Addr())
+				servers += serverText(newApp(t, addr, fan, withContexts, lose).Addr())
 			}
 		}
 		text, in := "", innerText
-		if passes {
+		if withContexts {
 			text = contextText(fmt.Sprint("tier", tier), retries, "")
 		} else {
 			in = inText
@@ -104,8 +107,8 @@
 	return addr
 }
 
-// play makes requests, a few at a time, and gives how many were served.
-func playRoots(t *testing.T, addr string, count int) (served int) {
+// sendRootRequests sends requests from outside, three at a time, and returns how many were served.
+func sendRootRequests(t *testing.T, addr string, count int) (served int) {
 	t.Helper()
 	transport := &http.Transport{MaxIdleConnsPerHost: 8}
 	defer transport.CloseIdleConnections()
@@ -118,14 +121,14 @@
 			for n := range next {
 				r, _ := http.NewRequest("GET", "http://"+addr+"/x", nil)
 				r.Header.Set("X-Call", fmt.Sprint(n))
-				answer, err := client.Do(r)
+				res, err := client.Do(r)
 				if err != nil {
 					t.Error(err)
 					continue
 				}
-				answer.Body.Close()
+				res.Body.Close()
 				mu.Lock()
-				if answer.StatusCode == http.StatusOK {
+				if res.StatusCode == http.StatusOK {
 					served++
 				}
 				mu.Unlock()
@@ -140,8 +143,8 @@
 	return served
 }
 
-// byRoot counts what reached the last tier for each request of the outside.
-func byRoot(servers []*fakeserver.Server) (total, most int) {
+// countByRoot returns how many requests reached the last tier, in total and at most for one request from outside.
+func countByRoot(servers []*fakeserver.Server) (total, most int) {
 	count := map[string]int{}
 	for _, s := range servers {
 		for _, r := range s.Records() {
@@ -155,71 +158,73 @@
 	return total, most
 }
 
-const unthrottled = "attempts = 4\nretry_window = \"1s\"\nretry_share = 1.0\nretry_free = 100000\n"
+// unlimitedRetries is the part of a pool that lifts its own limits on retries.
+const unlimitedRetries = "attempts = 4\nretry_window = \"1s\"\nretry_share = 1.0\nretry_free = 100000\n"
 
-// TestTreeStaysWithinItsBound lets servers fail and answers get lost, with nothing else to hold retries back: no request of the
-// outside may cause more than (1+R)*F attempts at the last tier. Without contexts the same does.
-func TestTreeStaysWithinItsBound(t *testing.T) {
+// With call contexts, no request from outside may cause more than (1+R)*F attempts at the last tier, even if servers fail, responses
+// get lost and nothing else limits retries. Without contexts the same faults must exceed that bound.
+func TestTreeRetryBound(t *testing.T) {
 	for _, c := range []struct{ tiers, fan, retries, roots int }{{2, 1, 2, 100}, {2, 3, 3, 60}, {3, 2, 2, 40}} {
 		t.Run(fmt.Sprintf("%d tiers, fan-out %d, R=%d", c.tiers, c.fan, c.retries), func(t *testing.T) {
-			for _, passes := range []bool{true, false} {
+			for _, withContexts := range []bool{true, false} {
 				last := servers(t, "a", "b", "c", "d")
 				for n, s := range last {
-					failing(s, uint64(n), 0.5)
+					failShare(s, uint64(n), 0.5)
 				}
-				addr := chain(t, c.tiers, c.fan, c.retries, passes, unthrottled, seeded(7, 0.2), last...)
-				playRoots(t, addr, c.roots)
-				total, most := byRoot(last)
+				addr := startTiers(t, c.tiers, c.fan, c.retries, withContexts, unlimitedRetries, randomBools(7, 0.2), last...)
+				sendRootRequests(t, addr, c.roots)
+				total, most := countByRoot(last)
 				calls := 1
 				for range c.tiers - 1 {
 					calls *= c.fan
 				}
 				bound := (1 + c.retries) * calls
-				t.Logf("contexts %v: %d attempts at the last tier, most for a root %d, bound %d", passes, total, most, bound)
-				if passes && most > bound {
+				t.Logf("contexts %v: %d attempts at the last tier, most for one root request %d, bound %d", withContexts, total, most, bound)
+				if withContexts && most > bound {
 					t.Errorf("%d attempts for one request, over %d", most, bound)
 				}
-				if !passes && most <= bound {
-					t.Errorf("%d attempts without contexts: the bound was not tried", most)
+				if !withContexts && most <= bound {
+					t.Errorf("%d attempts without contexts: the faults did not exercise the bound", most)
 				}
 			}
 		})
 	}
 }
 
-// TestWorkAtTheLastTier has its servers fail every second attempt, with the retry budgets as they come.
-func TestWorkAtTheLastTier(t *testing.T) {
+// If the servers of the last tier fail every second attempt, retries with call contexts and the default retry budgets must cause less
+// than 1.2 attempts for each request there, and less than unlimited retries without contexts.
+func TestAttemptsAtLastTier(t *testing.T) {
 	const roots = 300
-	work := map[bool]float64{}
-	for _, passes := range []bool{true, false} {
+	attempts := map[bool]float64{}
+	for _, withContexts := range []bool{true, false} {
 		last := servers(t, "a", "b", "c", "d")
 		for n, s := range last {
-			failing(s, uint64(n), 0.5) // each alike: none can be left out
+			failShare(s, uint64(n), 0.5) // all alike, so that none is avoided
 		}
 		pool := "attempts = 4\n"
-		if !passes {
-			pool = unthrottled
+		if !withContexts {
+			pool = unlimitedRetries
 		}
-		addr := chain(t, 2, 1, 2, passes, pool, func() bool { return false }, last...)
-		served := playRoots(t, addr, roots)
-		total, _ := byRoot(last)
-		work[passes] = float64(total) / roots
-		t.Logf("contexts %v: %.3f attempts at the last tier for each request, %d of %d served", passes, work[passes], served, roots)
+		addr := startTiers(t, 2, 1, 2, withContexts, pool, func() bool { return false }, last...)
+		served := sendRootRequests(t, addr, roots)
+		total, _ := countByRoot(last)
+		attempts[withContexts] = float64(total) / roots
+		t.Logf("contexts %v: %.3f attempts at the last tier for each request, %d of %d served", withContexts, attempts[withContexts], served, roots)
 	}
-	if work[true] >= 1.2 || work[true] >= work[false] {
-		t.Errorf("work %v with contexts, %v without", work[true], work[false])
+	if attempts[true] >= 1.2 || attempts[true] >= attempts[false] {
+		t.Errorf("%v attempts for each request with contexts, %v without", attempts[true], attempts[false])
 	}
 }
 
-// TestLoopIsCaught leads two sidecars to each other.
-func TestLoopIsCaught(t *testing.T) {
+// If two sidecars route calls to each other, the call must be rejected with the path of the loop.
+func TestCallLoopIsRejected(t *testing.T) {
 	for _, front := range []string{"http", "grpc"} {
 		t.Run(front, func(t *testing.T) {
 			addrs := []string{freeport.AddressForTest(t), freeport.AddressForTest(t)}
 			for n := range 2 {
 				in := strings.Replace(innerText, "127.0.0.1:0", addrs[n], 1) + fmt.Sprintf("front = %q\n", front)
 				pool := poolText("p", fmt.Sprintf("protocol = %q\n", front))
-				launch(t, parse(t, contextText(fmt.Sprint("side-", n), 2, ""), in, pool, at(addrs[1-n]), routeText("circle", "/", "p", "read", "")))
+				launch(t, parse(t, contextText(fmt.Sprint("side-", n), 2, ""), in, pool, serverText(addrs[1-n]), routeText("circle", "/", "p", "read", "")))
 			}
 			if front == "grpc" {
 				cc := dialRPC(t, addrs[0])
@@ -233,41 +238,42 @@
 				return
 			}
 			for range 100 {
-				answer, err := http.Get("http://" + addrs[0] + "/x")
+				res, err := http.Get("http://" + addrs[0] + "/x")
 				if err != nil {
 					t.Fatal(err)
 				}
-				text, _ := io.ReadAll(answer.Body)
-				answer.Body.Close()
+				text, _ := io.ReadAll(res.Body)
+				res.Body.Close()
 				want := fmt.Sprintf("loop: %s > %s > %s (side-0), by route circle\n", hashHopID("side-0"), hashHopID("side-1"), hashHopID("side-0"))
-				if answer.StatusCode != http.StatusLoopDetected || string(text) != want {
-					t.Fatalf("%d %q, want %q", answer.StatusCode, text, want)
+				if res.StatusCode != http.StatusLoopDetected || string(text) != want {
+					t.Fatalf("%d %q, want %q", res.StatusCode, text, want)
 				}
 			}
 		})
 	}
 }
 
-// TestContextsAreBelievedInside sends contexts to an outer and an inner listener, and looks at what the server gets.
-func TestContextsAreBelievedInside(t *testing.T) {
+// A listener with inner = true must trust received contexts up to its limits and reject invalid ones. Any other listener must replace
+// them, but still reject a call that has passed the sidecar before.
+func TestContextsAreTrustedOnInnerListeners(t *testing.T) {
 	s := servers(t, "a")[0]
 	outer := strings.Replace(inText, "name = \"in\"", "name = \"out\"", 1)
 	i, _ := launch(t, parse(t, contextText("me", 2, ""), innerText, "max_worth = 20\n", outer, poolText("p", "", s), routeText("r", "/", "p", "read", "")))
-	sound := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 12, TimeLeft: 900 * time.Millisecond, Retries: 1, Path: []string{"aaaaaaaa"}}
-	greedy := sound
-	greedy.Worth, greedy.Retries, greedy.Attempt = 1e6, 99, "89abcdef"
-	ask := func(listener string, values ...string) (int, *budget.Context) {
+	valid := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 12, TimeLeft: 900 * time.Millisecond, Retries: 1, Path: []string{"aaaaaaaa"}}
+	excessive := valid
+	excessive.Worth, excessive.Retries, excessive.Attempt = 1e6, 99, "89abcdef"
+	send := func(listener string, values ...string) (int, *budget.Context) {
 		t.Helper()
 		r, _ := http.NewRequest("GET", "http://"+i.Addresses()[listener]+"/x", nil)
 		r.Header[budget.Header] = values
-		answer, err := http.DefaultClient.Do(r)
+		res, err := http.DefaultClient.Do(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer.Body.Close()
+		res.Body.Close()
 		records := s.Records()
-		if answer.StatusCode != http.StatusOK {
-			return answer.StatusCode, nil
+		if res.StatusCode != http.StatusOK {
+			return res.StatusCode, nil
 		}
 		last := records[len(records)-1].Header[budget.Header]
 		if len(last) != 1 {
@@ -277,24 +283,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return answer.StatusCode, c
+		return res.StatusCode, c
 	}
-	if _, c := ask("in", sound.String()); c.Root != sound.Root || c.Attempt == sound.Attempt || c.Worth != 12 || c.Retries != 1 ||
+	if _, c := send("in", valid.String()); c.Root != valid.Root || c.Attempt == valid.Attempt || c.Worth != 12 || c.Retries != 1 ||
 		c.TimeLeft > 900*time.Millisecond || c.TimeLeft < 500*time.Millisecond || fmt.Sprint(c.Path) != fmt.Sprint([]string{"aaaaaaaa", hashHopID("me")}) {
-		t.Errorf("believed: %+v", c)
+		t.Errorf("trusted: %+v", c)
 	}
-	if _, c := ask("in", greedy.String()); c.Worth != 20 || c.Retries != 1 {
-		t.Errorf("over what is allowed: %+v", c)
+	if _, c := send("in", excessive.String()); c.Worth != 20 || c.Retries != 1 {
+		t.Errorf("over the limits: %+v", c)
 	}
-	if _, c := ask("out", sound.String()); c.Root == sound.Root || c.Worth != 1 || c.Retries != 1 || c.Hops() != 1 || c.TimeLeft < time.Second {
+	if _, c := send("out", valid.String()); c.Root == valid.Root || c.Worth != 1 || c.Retries != 1 || c.Hops() != 1 || c.TimeLeft < time.Second {
 		t.Errorf("from outside: %+v", c)
 	}
 	reached := len(s.Records())
-	for _, bad := range [][]string{{sound.String()[:30]}, {sound.String(), sound.String()}, {strings.Repeat("x", 8<<10)}, {""}, {"2" + sound.String()[1:]}} {
-		if code, _ := ask("in", bad...); code != http.StatusBadRequest {
+	for _, bad := range [][]string{{valid.String()[:30]}, {valid.String(), valid.String()}, {strings.Repeat("x", 8<<10)}, {""}, {"2" + valid.String()[1:]}} {
+		if code, _ := send("in", bad...); code != http.StatusBadRequest {
 			t.Errorf("%.60q: %d", bad, code)
 		}
-		if code, c := ask("out", bad...); code != http.StatusOK || c.Hops() != 1 {
+		if code, c := send("out", bad...); code != http.StatusOK || c.Hops() != 1 {
 			t.Errorf("%.60q from outside: %d", bad, code)
 		}
 	}
@@ -302,25 +308,25 @@
 		t.Errorf("%d requests reached the server", n-reached)
 	}
 	if n := i.current.callTrees.invalidContexts.Load(); n != 5 {
-		t.Errorf("%d bad contexts are counted", n)
+		t.Errorf("%d invalid contexts are counted", n)
 	}
-	if code, _ := ask("out", strings.Replace(sound.String(), "aaaaaaaa", hashHopID("me"), 1)); code != http.StatusLoopDetected {
+	if code, _ := send("out", strings.Replace(valid.String(), "aaaaaaaa", hashHopID("me"), 1)); code != http.StatusLoopDetected {
 		t.Errorf("%d for a call that has come back from outside", code)
 	}
-	full := sound
+	full := valid
 	full.Path = strings.Split(strings.Repeat("aaaaaaaa ", budget.MaxHops)[:budget.MaxHops*9-1], " ")
-	if code, _ := ask("in", full.String()); code != http.StatusLoopDetected {
+	if code, _ := send("in", full.String()); code != http.StatusLoopDetected {
 		t.Errorf("%d after %d hops", code, budget.MaxHops)
 	}
 }
 
-// TestTierBehindHasTheLastWord has the tier behind say that a call ran, or that its retries are spent: it is not sent again.
-func TestTierBehindHasTheLastWord(t *testing.T) {
-	for _, c := range []struct{ answer, class string }{
+// If the next tier reports that a call was executed, or that its retries are used up, the call must not be retried.
+func TestOutcomeOfNextTierIsFinal(t *testing.T) {
+	for _, c := range []struct{ response, class string }{
 		{"HTTP/1.1 502 Bad Gateway\r\nX-Call-Outcome: ran\r\nContent-Length: 0\r\n\r\n", "read"},
 		{"HTTP/1.1 502 Bad Gateway\r\nX-Call-Outcome: spent\r\nContent-Length: 0\r\n\r\n", "read"},
 		{"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nX-Call-Outcome: spent\r\nContent-Length: 0\r\n\r\n", "pay"},
-		{"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", ""}, // one that says nothing is tried again
+		{"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n", ""}, // without an outcome it is retried
 	} {
 		var mu sync.Mutex
 		count := 0
@@ -345,29 +351,29 @@
 						mu.Lock()
 						count++
 						mu.Unlock()
-						_, _ = io.WriteString(conn, c.answer)
+						_, _ = io.WriteString(conn, c.response)
 					}
 				})
 			}
 		})
-		class, want := c.class, 1
+		class, wantAttempts := c.class, 1
 		if class == "" {
-			class, want = "read", 2 // of two retries one was handed down
+			class, wantAttempts = "read", 2 // one of the two retries is delegated to the next tier
 		}
-		i, stop := launch(t, parse(t, contextText("me", 2, ""), innerText, poolText("p", ""), at(ln.Addr().String()), routeText("r", "/", "p", class, "")))
-		answer, err := http.Get("http://" + i.Addresses()["in"] + "/x")
+		i, stop := launch(t, parse(t, contextText("me", 2, ""), innerText, poolText("p", ""), serverText(ln.Addr().String()), routeText("r", "/", "p", class, "")))
+		res, err := http.Get("http://" + i.Addresses()["in"] + "/x")
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer.Body.Close()
+		res.Body.Close()
 		mu.Lock()
-		if count != want || answer.StatusCode < 500 {
-			t.Errorf("%q: %d attempts, answered %d", c.answer, count, answer.StatusCode)
+		if count != wantAttempts || res.StatusCode < 500 {
+			t.Errorf("%q: %d attempts, status %d", c.response, count, res.StatusCode)
 		}
 		mu.Unlock()
-		word, notRun := answer.Header.Get(outcomeHeader), answer.Header.Get("X-Not-Run")
-		if class == "pay" && (word != "" || notRun != "1") || class == "read" && word != "ran" {
-			t.Errorf("%q: the tier before is told %q, not run %q", c.answer, word, notRun)
+		outcome, notRun := res.Header.Get(outcomeHeader), res.Header.Get("X-Not-Run")
+		if class == "pay" && (outcome != "" || notRun != "1") || class == "read" && outcome != "ran" {
+			t.Errorf("%q: the previous tier receives outcome %q, X-Not-Run %q", c.response, outcome, notRun)
 		}
 		stop()
 		ln.Close()
@@ -375,9 +381,9 @@
 	}
 }
 
-// TestNothingRunsTwiceBehind has the tier before send calls again that may have run: those that must not run twice are not sent,
-// whatever this tier remembers.
-func TestNothingRunsTwiceBehind(t *testing.T) {
+// If the previous tier retries a call that may have been executed, the call must be sent only if its class allows a second execution
+// on any server.
+func TestRetryOfPreviousTier(t *testing.T) {
 	s := servers(t, "a")[0]
 	pool := poolText("p", "", s) + "[[pool.class]]\nname = \"everywhere\"\naim = \"1s\"\ngive_up = \"2s\"\neffect = \"keyed\"\ngroup = \"all\"\nwindow = \"10s\"\n"
 	text := ""
@@ -399,28 +405,28 @@
 		r, _ := http.NewRequest("POST", "http://"+i.Addresses()["in"]+"/"+c.class, nil)
 		r.Header.Set(budget.Header, k.String())
 		r.Header.Set("Idempotency-Key", "7")
-		answer, err := http.DefaultClient.Do(r)
+		res, err := http.DefaultClient.Do(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer.Body.Close()
+		res.Body.Close()
 		sent := len(s.Records()) > before
-		if sent != c.sent || !sent && (answer.StatusCode != statusFailed || answer.Header.Get(outcomeHeader) != "ran") {
-			t.Errorf("%+v: sent %v, answered %d %v", c, sent, answer.StatusCode, answer.Header)
+		if sent != c.sent || !sent && (res.StatusCode != statusFailed || res.Header.Get(outcomeHeader) != "ran") {
+			t.Errorf("%+v: sent %v, status %d %v", c, sent, res.StatusCode, res.Header)
 		}
 		if sent {
 			records := s.Records()
 			got, err := budget.Parse(records[len(records)-1].Header.Get(budget.Header))
 			if err != nil || got.MayHaveExecuted != c.again || got.FirstSentAgo < c.since || got.FirstSentAgo > c.since+time.Second {
-				t.Errorf("%+v: it goes on as %+v, %v", c, got, err)
+				t.Errorf("%+v: the server received %+v, %v", c, got, err)
 			}
 		}
 	}
 }
 
-// TestLostAnswerDoesNotRunTwice loses the answer of a middle tier: the front sends the keyed call again within its group, and
-// the calls that it makes behind, which may not run twice, reach the last tier once.
-func TestLostAnswerDoesNotRunTwice(t *testing.T) {
+// If the response of a middle tier is lost, the first tier retries the keyed call within its group. The unsafe calls that it causes
+// must reach the last tier only once.
+func TestLostResponseIsNotExecutedTwice(t *testing.T) {
 	last := servers(t, "a")[0]
 	back, _ := launch(t, parse(t, contextText("back", 2, ""), innerText, poolText("p", "leaf = true\n", last), routeText("r", "/", "p", "pay", "")))
 	first := true
@@ -432,21 +438,21 @@
 		first = false
 		return lost
 	})
-	front, _ := launch(t, parse(t, contextText("front", 2, ""), inText, poolText("q", ""), at(a.Addr()), routeText("r", "/", "q", "add", "")))
+	front, _ := launch(t, parse(t, contextText("front", 2, ""), inText, poolText("q", ""), serverText(a.Addr()), routeText("r", "/", "q", "add", "")))
 	r, _ := http.NewRequest("GET", "http://"+front.Addresses()["in"]+"/x", nil)
 	r.Header.Set("Idempotency-Key", "7")
-	answer, err := http.DefaultClient.Do(r)
+	res, err := http.DefaultClient.Do(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer.Body.Close()
-	if n := len(last.Records()); n != 1 || a.Requests() != 2 || answer.StatusCode != statusFailed {
-		t.Errorf("%d calls reached the last tier, %d the middle; answered %d", n, a.Requests(), answer.StatusCode)
+	res.Body.Close()
+	if n := len(last.Records()); n != 1 || a.Requests() != 2 || res.StatusCode != statusFailed {
+		t.Errorf("%d calls reached the last tier, %d the middle one; status %d", n, a.Requests(), res.StatusCode)
 	}
 }
 
-// TestTimeOfTheTierBefore has a server hang: the call ends by the time that the tier before has, not by its class's.
-func TestTimeOfTheTierBefore(t *testing.T) {
+// If a server does not respond, a call must end by the remaining time of the previous tier, not by the timeout of its class.
+func TestTimeoutOfPreviousTier(t *testing.T) {
 	s := servers(t, "a")[0]
 	s.SetFault(fakeserver.NoResponse)
 	i, _ := launch(t, parse(t, contextText("me", 2, ""), innerText, poolText("p", "", s), routeText("r", "/", "p", "pay", "")))
@@ -454,30 +460,30 @@
 	r, _ := http.NewRequest("GET", "http://"+i.Addresses()["in"]+"/x", nil)
 	r.Header.Set(budget.Header, k.String())
 	begun := time.Now()
-	answer, err := http.DefaultClient.Do(r)
+	res, err := http.DefaultClient.Do(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer.Body.Close()
-	if took := time.Since(begun); answer.StatusCode != statusFailed || took > time.Second || took < 200*time.Millisecond {
-		t.Errorf("%d after %v", answer.StatusCode, took)
+	res.Body.Close()
+	if took := time.Since(begun); res.StatusCode != statusFailed || took > time.Second || took < 200*time.Millisecond {
+		t.Errorf("%d after %v", res.StatusCode, took)
 	}
 }
 
-// TestCancelGoesDown has the caller of the first tier leave while the last one works: the attempts of both tiers end.
-func TestCancelGoesDown(t *testing.T) {
+// If the client of the first tier disconnects while the last one works, the attempts of both tiers must end.
+func TestCancelReachesAllTiers(t *testing.T) {
 	s := servers(t, "a")[0]
 	s.SetFault(fakeserver.NoResponse)
 	back, _ := launch(t, parse(t, contextText("back", 2, ""), innerText, poolText("p", "leaf = true\n", s), routeText("r", "/", "p", "read", "")))
 	a := newApp(t, back.Addresses()["in"], 1, true, nil)
-	front, _ := launch(t, parse(t, contextText("front", 2, ""), inText, poolText("q", ""), at(a.Addr()), routeText("r", "/", "q", "read", "")))
+	front, _ := launch(t, parse(t, contextText("front", 2, ""), inText, poolText("q", ""), serverText(a.Addr()), routeText("r", "/", "q", "read", "")))
 	ctx, cancel := context.WithCancel(context.Background())
 	r, _ := http.NewRequestWithContext(ctx, "GET", "http://"+front.Addresses()["in"]+"/x", nil)
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		if answer, err := http.DefaultClient.Do(r); err == nil {
-			answer.Body.Close()
+		if res, err := http.DefaultClient.Do(r); err == nil {
+			res.Body.Close()
 		}
 	}()
 	wait := func(what string, done func() bool) {
@@ -493,18 +499,18 @@
 	<-left
 	begun := time.Now()
 	wait("a call stays open", func() bool { return front.Status().Pools[0].Open+back.Status().Pools[0].Open == 0 })
-	if took := time.Since(begun); took > 500*time.Millisecond { // the class would give up after 2 s
-		t.Errorf("open for %v more", took)
+	if took := time.Since(begun); took > 500*time.Millisecond { // the timeout of the class is 2 s
+		t.Errorf("the calls stayed open for %v", took)
 	}
 }
 
-// TestOldSidecarBetween has one between two that knows no contexts: it passes them on.
-func TestOldSidecarBetween(t *testing.T) {
+// A sidecar that does not support contexts, between two that do, must forward them.
+func TestSidecarWithoutContextsBetweenTiers(t *testing.T) {
 	s := servers(t, "a")[0]
 	back, _ := launch(t, parse(t, contextText("back", 2, ""), innerText, poolText("p", "", s), routeText("r", "/", "p", "read", "")))
-	old, _ := launch(t, parse(t, inText, poolText("p", ""), at(back.Addresses()["in"]), routeText("r", "/", "p", "read", "")))
-	front, _ := launch(t, parse(t, contextText("front", 2, ""), inText, poolText("p", ""), at(old.Addresses()["in"]), routeText("r", "/", "p", "read", "")))
-	if n := playRoots(t, front.Addresses()["in"], 3); n != 3 {
+	old, _ := launch(t, parse(t, inText, poolText("p", ""), serverText(back.Addresses()["in"]), routeText("r", "/", "p", "read", "")))
+	front, _ := launch(t, parse(t, contextText("front", 2, ""), inText, poolText("p", ""), serverText(old.Addresses()["in"]), routeText("r", "/", "p", "read", "")))
+	if n := sendRootRequests(t, front.Addresses()["in"], 3); n != 3 {
 		t.Fatalf("%d served", n)
 	}
 	for _, r := range s.Records() {
@@ -515,7 +521,7 @@
 	}
 }
 
-// TestRPCContext carries a context in metadata.
+// A gRPC call must carry its context in metadata.
 func TestRPCContext(t *testing.T) {
 	s := newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) { _ = p.WriteRSTStream(id, http2.ErrCodeRefusedStream) })
 	i, _ := launch(t, parse(t, contextText("me", 1, ""), strings.Replace(rpcText, "max_body", "inner = true\nmax_body", 1), rpcPool("p", "attempts = 4\nleaf = true\n"), s.server(), rpcRoutes("p")))
@@ -527,7 +533,7 @@
 	if err := cc.Invoke(ctx, "/pay.S/M", &in, &out); status.Code(err) != codes.Unavailable {
 		t.Error(err)
 	}
-	if s.count() != 2 { // one, and one for the only retry
+	if s.count() != 2 { // the first one, and the only retry
 		t.Errorf("%d attempts", s.count())
 	}
 	got, err := budget.Parse(fakeserver.FieldValue(s.heads[:1], s.heads[0].Stream, contextName))
@@ -536,17 +542,17 @@
 	}
 }
 
-// TestTraceJoinsTiers reads the traces of two tiers as one tree.
+// The traces of two tiers must join to one tree.
 func TestTraceJoinsTiers(t *testing.T) {
 	s := servers(t, "a")[0]
-	failing(s, 3, 0.5)
+	failShare(s, 3, 0.5)
 	dir := t.TempDir()
 	files := []string{filepath.Join(dir, "front"), filepath.Join(dir, "back")}
 	sampled := func(n int) string { return fmt.Sprintf("sample = 1.0\ntrace = %q\n", files[n]) }
-	back, stopBack := launch(t, parse(t, contextText("back", 3, sampled(1)), innerText, poolText("p", unthrottled, s), routeText("r", "/", "p", "read", "")))
+	back, stopBack := launch(t, parse(t, contextText("back", 3, sampled(1)), innerText, poolText("p", unlimitedRetries, s), routeText("r", "/", "p", "read", "")))
 	a := newApp(t, back.Addresses()["in"], 2, true, func() bool { return false })
-	front, stopFront := launch(t, parse(t, contextText("front", 3, sampled(0)), inText, poolText("q", unthrottled), at(a.Addr()), routeText("r", "/", "q", "read", "")))
-	playRoots(t, front.Addresses()["in"], 20)
+	front, stopFront := launch(t, parse(t, contextText("front", 3, sampled(0)), inText, poolText("q", unlimitedRetries), serverText(a.Addr()), routeText("r", "/", "q", "read", "")))
+	sendRootRequests(t, front.Addresses()["in"], 20)
 	stopFront()
 	stopBack()
 	var all []trace.Attempt
@@ -583,8 +589,8 @@
 	}
 }
 
-// narrow has a server work on one request after the other, and tell what it will take at its arrival.
-func narrow(s *fakeserver.Server, each time.Duration) {
+// processSerially makes a server process one request after the other, each for the given time.
+func processSerially(s *fakeserver.Server, each time.Duration) {
 	var mu sync.Mutex
 	var free time.Time
 	s.SetWorkFunc(func() time.Duration {
@@ -599,18 +605,18 @@
 	})
 }
 
-// TestWorthIsProtectedBehind overloads a last tier with calls of one class that stem from requests worth 12 and 1. With the
-// worth carried it serves more worth than without, on each seed.
-func TestWorthIsProtectedBehind(t *testing.T) {
+// If the last tier is overloaded with calls that stem from requests of priority weights 12 and 1, it must serve a higher total weight
+// with the weight in the call context than without, on each seed.
+func TestPriorityWeightCrossesTiers(t *testing.T) {
 	const seeds = 5
-	worth := [seeds][2]float64{}
+	servedWeight := [seeds][2]float64{}
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	for seed := range seeds {
 		for carried := range 2 {
 			list := servers(t, "a", "b")
 			for _, s := range list {
-				narrow(s, 20*time.Millisecond) // 100 a second together
+				processSerially(s, 20*time.Millisecond) // 100 a second in total
 			}
 			i, _ := launch(t, parse(t, contextText("me", 0, ""), innerText, poolText("p", "attempts = 1\n", list...), routeText("r", "/", "p", "read", "")))
 			all.Go(func() {
@@ -632,15 +638,15 @@
 						}
 						q, _ := http.NewRequest("GET", "http://"+i.Addresses()["in"]+"/x", nil)
 						q.Header.Set(budget.Header, c.String())
-						answer, err := client.Do(q)
+						res, err := client.Do(q)
 						if err != nil {
 							t.Error(err)
 							return
 						}
-						answer.Body.Close()
-						if answer.StatusCode == http.StatusOK {
+						res.Body.Close()
+						if res.StatusCode == http.StatusOK {
 							mu.Lock()
-							worth[seed][carried] += w
+							servedWeight[seed][carried] += w
 							mu.Unlock()
 						}
 					})
@@ -650,10 +656,10 @@
 		}
 	}
 	all.Wait()
-	for seed, w := range worth {
-		t.Logf("seed %d: worth served %.0f without, %.0f with worth carried", seed, w[0], w[1])
+	for seed, w := range servedWeight {
+		t.Logf("seed %d: weight served %.0f without, %.0f with the weight in the context", seed, w[0], w[1])
 		if w[1] <= w[0] {
-			t.Errorf("seed %d: worth %.0f without, %.0f with", seed, w[0], w[1])
+			t.Errorf("seed %d: weight served %.0f without, %.0f with the weight in the context", seed, w[0], w[1])
 		}
 	}
 }
--- a/internal/sidecar/chunks_test.go
+++ b/internal/sidecar/chunks_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// What is written is read again, here and by the library's reader, and what the library writes is read here, whatever the pieces.
-func TestChunksThereAndBack(t *testing.T) {
+// The chunk writer must write what net/http/httputil writes, and the chunk reader must read it back, for pieces of any size.
+func TestChunksRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pieces := rapid.SliceOf(rapid.SliceOfN(rapid.Byte(), 0, 300)).Draw(t, "pieces")
 		want := bytes.Join(pieces, nil)
@@ -36,13 +36,14 @@
 			t.Fatalf("%v, %q, want %q", err, got, want)
 		}
 		if rest, _ := io.ReadAll(from); string(rest) != "\r\nnext" {
-			t.Fatalf("behind it is %q", rest)
+			t.Fatalf("after the body: %q", rest)
 		}
 	})
 }
 
-// What the library refuses is refused, and what it reads is read alike; a body that ends early is no whole one.
-func TestChunksThatCannotBeRead(t *testing.T) {
+// The chunk reader must reject what net/http/httputil rejects and otherwise read the same data. A body that ends early must not be
+// reported as complete.
+func TestChunksAgainstHTTPUtil(t *testing.T) {
 	for _, text := range []string{
 		"3\r\nabc\r\n0\r\n", "3;x=y\r\nabc\r\n0\r\n", "3 \r\nabc\r\n0\r\n", "0a\r\n0123456789\r\n0\r\n", "A\r\n0123456789\r\n0\r\n",
 		"", "3", "3\r\n", "3\r\nab", "3\r\nabc", "3\r\nabc\r\n", "3\r\nabcd\r\n0\r\n", "3\r\nabc0\r\n", "3\nabc\r\n0\r\n", "3\r\nabc\n0\r\n",
@@ -50,13 +51,13 @@
 		"ffffffffffffffff\r\nabc", "3;" + strings.Repeat("x", 5000) + "\r\nabc\r\n0\r\n",
 		strings.Repeat("1;"+strings.Repeat("x", 100)+"\r\na\r\n", 1000) + "0\r\n", strings.Repeat("1\r\na\r\n", 20000) + "0\r\n",
 	} {
-		want, wrong := io.ReadAll(httputil.NewChunkedReader(bufio.NewReader(strings.NewReader(text))))
+		want, wantErr := io.ReadAll(httputil.NewChunkedReader(bufio.NewReader(strings.NewReader(text))))
 		got, err := io.ReadAll(newChunkReader(bufio.NewReader(strings.NewReader(text))))
-		if (err == nil) != (wrong == nil) || err == nil && !bytes.Equal(got, want) {
-			t.Errorf("%.40q: %v, %d bytes; the library: %v, %d bytes", text, err, len(got), wrong, len(want))
+		if (err == nil) != (wantErr == nil) || err == nil && !bytes.Equal(got, want) {
+			t.Errorf("%.40q: %v, %d bytes; the library: %v, %d bytes", text, err, len(got), wantErr, len(want))
 		}
 		if errors.Is(err, io.EOF) {
-			t.Errorf("%.40q ends as a whole body", text)
+			t.Errorf("%.40q is reported as a complete body", text)
 		}
 	}
 }
--- a/internal/sidecar/commonhead.go
+++ b/internal/sidecar/commonhead.go
@@ -10,7 +10,7 @@
 
 // parseCommonHead parses a head in the most common form: lines that end in CR LF, names of token characters before a colon, no
 // folding and no control characters. It returns false for a head in any other form, which parseHead has to parse. If it succeeds,
-// its result is that of parseHead (FuzzPlainHead).
+// its result is that of parseHead (FuzzParseCommonHead).
 func parseCommonHead(text []byte) (first string, header http.Header, ok bool) {
 	s := string(text) // its parts are not copied again
 	first, rest, ok := cutLine(s)
--- a/internal/sidecar/errorpage_test.go
+++ b/internal/sidecar/errorpage_test.go
@@ -59,7 +59,7 @@
 headers = [{ name = "X-Spare", value = "1" }]
 `
 
-// errorSite runs an instance with three pools of one server each, and one that counts what reached them.
+// errorSite runs an instance with three pools of one server each.
 func errorSite(t *testing.T, more string) (p, spare, pages *fakeserver.Server, ask func(method, text string) (*http.Response, string)) {
 	s := servers(t, "p", "spare", "pages")
 	i, _ := run(t, parse(t, inText, poolText("p", more, s[0]), poolText("spare", more, s[1]), poolText("pages", "", s[2]), errorSiteText))
@@ -73,22 +73,23 @@
 	}
 }
 
-// fail has a server misbehave. One that refuses connections is not there at all: what is reset could have been written before.
+// fail sets the fault of a server. For ResetConnection the server is closed, as a request on a connection that is reset may have
+// been written before.
 func fail(s *fakeserver.Server, f fakeserver.Fault) {
 	if s.SetFault(f); f == fakeserver.ResetConnection {
 		s.Close()
 	}
 }
 
-// A request goes on to a named location only as far as its class allows: what may have run goes on only if it is safe.
-func TestNamedLocationWithinItsClass(t *testing.T) {
+// A request may be sent to a named location only as its class allows: once it may have been executed, only if it is safe.
+func TestNamedLocationRespectsClass(t *testing.T) {
 	const get, post = "GET /shop/x?q HTTP/1.1\r\nHost: h\r\n\r\n", "POST /shop/x HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi"
 	for _, k := range []struct {
-		name          string
-		fault, behind fakeserver.Fault
-		method, text  string
-		status, spare int // attempts at the spare server
-		refused       bool
+		name              string
+		fault, spareFault fakeserver.Fault
+		method, text      string
+		status, spare     int // spare counts the attempts at the spare server
+		rejected          bool
 	}{
 		{"safe, not reached", fakeserver.ResetConnection, fakeserver.NoFault, "GET", get, 200, 1, false},
 		{"safe, may have run", fakeserver.ResetAfterRequest, fakeserver.NoFault, "GET", get, 200, 1, false},
@@ -97,14 +98,14 @@
 		{"unsafe, may have run", fakeserver.ResetAfterRequest, fakeserver.NoFault, "POST", post, 502, 0, false},
 		{"unsafe, the spare may have run it", fakeserver.ResetConnection, fakeserver.ResetAfterRequest, "POST", post, 502, 1, false},
 		{"unsafe, none reached", fakeserver.ResetConnection, fakeserver.ResetConnection, "POST", post, 503, 0, true},
-		{"the server's own word stays", fakeserver.Error500, fakeserver.NoFault, "POST", post, 500, 0, false},
+		{"the response of the server is kept", fakeserver.Error500, fakeserver.NoFault, "POST", post, 500, 0, false},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			p, spare, _, ask := errorSite(t, "attempts = 2")
 			fail(p, k.fault)
-			fail(spare, k.behind)
+			fail(spare, k.spareFault)
 			res, body := ask(k.method, k.text)
-			if res.StatusCode != k.status || (res.Header.Get("Retry-After") != "") != k.refused {
+			if res.StatusCode != k.status || (res.Header.Get("Retry-After") != "") != k.rejected {
 				t.Errorf("status %d, Retry-After %q, %q", res.StatusCode, res.Header.Get("Retry-After"), body)
 			}
 			list := spare.Records()
@@ -112,22 +113,23 @@
 				t.Fatalf("%d attempts at the spare server, want %d", len(list), k.spare)
 			}
 			if k.spare > 0 && k.method == "POST" && list[0].BodyBytes != 2 {
-				t.Errorf("%d bytes of the body came along", list[0].BodyBytes)
+				t.Errorf("the spare server received %d bytes of the body", list[0].BodyBytes)
 			}
 			if k.spare > 0 && (list[0].Header.Get("X-Spare") != "1" || !strings.HasPrefix(list[0].URI, "/shop/x")) {
-				t.Errorf("it got %s with %v", list[0].URI, list[0].Header)
+				t.Errorf("the spare server received %s with %v", list[0].URI, list[0].Header)
 			}
 		})
 	}
 }
 
-// A page stands in with the status of the error, and a refusal's time to come back; it is a GET of its own.
-func TestPagesStandIn(t *testing.T) {
+// An error page must replace the body of an error and keep its status, and the Retry-After of a rejection. It must be requested by a
+// separate GET.
+func TestErrorPages(t *testing.T) {
 	p, _, pages, ask := errorSite(t, "")
 	last := func() fakeserver.Record {
 		list := pages.Records()
 		if len(list) == 0 {
-			t.Fatal("no page was asked for")
+			t.Fatal("no page was requested")
 		}
 		return list[len(list)-1]
 	}
@@ -156,7 +158,7 @@
 			t.Errorf("%q: status %d, Retry-After %q, %q", k.text, res.StatusCode, res.Header.Get("Retry-After"), body)
 		}
 		if got := len(pages.Records()) - before; got != min(len(k.uri), 1) {
-			t.Fatalf("%q: %d pages asked for", k.text, got)
+			t.Fatalf("%q: %d pages requested", k.text, got)
 		}
 		if k.uri == "" {
 			continue
@@ -172,14 +174,14 @@
 			t.Errorf("%q: %s %s with %d bytes, Range %q", k.text, r.Method, r.URI, r.BodyBytes, r.Header.Get("Range"))
 		}
 	}
-	// With no page to be had the error itself is the answer, with its promise.
+	// If the page cannot be obtained, the error itself is the response, with its Retry-After.
 	pages.SetFault(fakeserver.ResetAfterRequest)
 	if res, body := ask("POST", "POST /paged/e HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi"); res.StatusCode != 503 || res.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, %q", res.StatusCode, body)
 	}
 }
 
-// Over both pools a request has four attempts at most, and what its caller said of its time.
+// The limit of four attempts and the deadline that the client has sent must hold over both pools.
 func TestNamedLocationWithinAttemptsAndTime(t *testing.T) {
 	p, spare, _, ask := errorSite(t, "attempts = 3")
 	p.SetFault(fakeserver.ResetAfterRequest)
@@ -200,17 +202,18 @@
 	for _, r := range spare.Records()[before:] {
 		left := 0.0
 		if _, err := fmt.Sscan(r.Header.Get("X-Deadline"), &left); err != nil || left > 0.1 {
-			t.Errorf("the spare server was told %q", r.Header.Get("X-Deadline"))
+			t.Errorf("the spare server received X-Deadline %q", r.Header.Get("X-Deadline"))
 		}
 	}
 }
 
-// A long error of a server is not read to its end for a page. With no page to be had it is told by its status alone.
+// A long error response of a server must not be read to its end for a page. If the page cannot be obtained, the response consists of
+// the status only.
 func TestLongErrorWithoutItsPage(t *testing.T) {
 	_, _, pages, ask := errorSite(t, "")
 	pages.SetFault(fakeserver.ResetAfterRequest)
 	res, body := ask("GET", "GET /paged/a?status=404&bytes=400000 HTTP/1.1\r\nHost: h\r\n\r\n")
 	if res.StatusCode != 404 || body != "" || len(pages.Records()) == 0 {
-		t.Errorf("status %d, %d bytes, pages asked for %d times", res.StatusCode, len(body), len(pages.Records()))
+		t.Errorf("status %d, %d bytes, pages requested %d times", res.StatusCode, len(body), len(pages.Records()))
 	}
 }
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -15,12 +15,12 @@
 	"time"
 )
 
-// serving is a sidecar before one endpoint that counts what reaches it.
-func serving(t *testing.T, change func(*Sidecar)) (*Sidecar, chan string) {
+// startWithCountingServer runs a sidecar with one server, and returns a channel of the ids of the requests that reach the server.
+func startWithCountingServer(t *testing.T, change func(*Sidecar)) (*Sidecar, chan string) {
 	t.Helper()
-	came := make(chan string, 1000)
+	requestIDs := make(chan string, 1000)
 	s, err := New(config(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
-		came <- r.Header.Get("X-Request-Id")
+		requestIDs <- r.Header.Get("X-Request-Id")
 		return echo(n, c, r)
 	}).Addr().String()))
 	if err != nil {
@@ -30,7 +30,7 @@
 		change(s)
 	}
 	go func() { _ = s.Run(t.Context()) }()
-	return s, came
+	return s, requestIDs
 }
 
 // ends waits for the sidecar to close a connection and returns all that it wrote.
@@ -45,42 +45,42 @@
 	return string(text)
 }
 
-// What can be read in two ways, or not at all, is answered and goes nowhere, and its connection ends: behind it, a
-// request may hide that no client sent.
-func TestWhatCannotBeReadEndsTheConnection(t *testing.T) {
-	s, came := serving(t, nil)
+// A request that is ambiguous or invalid must be rejected, must not be forwarded, and must end its connection: the bytes after it may
+// be taken for a request that no client sent (request smuggling).
+func TestInvalidRequestEndsConnection(t *testing.T) {
+	s, requestIDs := startWithCountingServer(t, nil)
 	hidden := "GET /read/x HTTP/1.1\r\nHost: b\r\nX-Class: read\r\nX-Request-Id: hidden\r\n\r\n"
 	pay := "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: 1\r\n"
 	for name, c := range map[string]struct {
 		text string
 		want int
 	}{
-		"length and chunks":   {pay + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden, 400},
-		"chunks and length":   {pay + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden, 400},
-		"space before colon":  {pay + "Content-Length : 5\r\n\r\n" + hidden, 400},
-		"two codings":         {pay + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + hidden, 400},
-		"huge length":         {pay + "Content-Length: 99999999999999999999\r\n\r\n" + hidden, 400},
-		"long length":         {pay + "Content-Length: 60000000\r\n\r\n" + hidden, 413},
-		"chunks that are not": {pay + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + hidden, 400},
-		"noise":               {"\x16\x03\x01\x00\xa5\r\n\r\n" + hidden, 400},
-		"head without end":    {pay + strings.Repeat("X-Pad: p\r\n", maxHeadBytes/10+1), 413},
-		"another protocol":    {"GET /read/x HTTP/2.0\r\nHost: b\r\nX-Class: read\r\nX-Request-Id: 1\r\n\r\n" + hidden, 400},
-		"no class":            {"GET /nothing HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\n\r\n" + hidden, 404},
+		"length and chunks":  {pay + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden, 400},
+		"chunks and length":  {pay + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden, 400},
+		"space before colon": {pay + "Content-Length : 5\r\n\r\n" + hidden, 400},
+		"two codings":        {pay + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + hidden, 400},
+		"huge length":        {pay + "Content-Length: 99999999999999999999\r\n\r\n" + hidden, 400},
+		"long length":        {pay + "Content-Length: 60000000\r\n\r\n" + hidden, 413},
+		"invalid chunks":     {pay + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + hidden, 400},
+		"a TLS record":       {"\x16\x03\x01\x00\xa5\r\n\r\n" + hidden, 400},
+		"head without end":   {pay + strings.Repeat("X-Pad: p\r\n", maxHeadBytes/10+1), 413},
+		"another protocol":   {"GET /read/x HTTP/2.0\r\nHost: b\r\nX-Class: read\r\nX-Request-Id: 1\r\n\r\n" + hidden, 400},
+		"no class":           {"GET /nothing HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\n\r\n" + hidden, 404},
 	} {
 		k := dial(t, s)
 		_, _ = io.WriteString(k, c.text)
 		if got := k.ends(t); !strings.HasPrefix(got, fmt.Sprint("HTTP/1.1 ", c.want)) || strings.Count(got, "HTTP/1.1") != 1 {
-			t.Errorf("%s: answer %q, want one of status %d", name, got, c.want)
+			t.Errorf("%s: response %q, want one with status %d", name, got, c.want)
 		}
 	}
-	if len(came) > 0 {
-		t.Errorf("request %q reached the endpoint", <-came)
+	if len(requestIDs) > 0 {
+		t.Errorf("request %q reached the server", <-requestIDs)
 	}
 }
 
-// An error must reach a caller that goes on sending, and its sending must end.
-func TestErrorReachesASendingCaller(t *testing.T) {
-	s, _ := serving(t, nil)
+// An error response must reach a client that is still sending its body, and the connection must be closed so that the client stops.
+func TestErrorReachesSendingClient(t *testing.T) {
+	s, _ := startWithCountingServer(t, nil)
 	c := dial(t, s)
 	go func() {
 		fmt.Fprint(c, "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: 1\r\nContent-Length: 60000000\r\n\r\n")
@@ -92,13 +92,14 @@
 	}()
 	_ = c.SetReadDeadline(time.Now().Add(long))
 	if res, err := http.ReadResponse(c.reader, nil); err != nil || res.StatusCode != 413 {
-		t.Errorf("answer %v, error %v", res, err)
+		t.Errorf("response %v, error %v", res, err)
 	}
 }
 
-// Callers that say nothing, send half a request, or keep a connection for good must not hold it.
-func TestQuietConnectionsEnd(t *testing.T) {
-	s, came := serving(t, func(s *Sidecar) { s.frontend.idleTimeout = 20 * time.Millisecond })
+// Connections on which a client sends nothing or half a request, and connections that stay idle after a response, must be closed
+// after the idle timeout.
+func TestIdleConnectionsEnd(t *testing.T) {
+	s, requestIDs := startWithCountingServer(t, func(s *Sidecar) { s.frontend.idleTimeout = 20 * time.Millisecond })
 	for name, text := range map[string]string{
 		"silent":    "",
 		"half head": "POST /pay/x HTTP/1.1\r\nHost:",
@@ -107,11 +108,11 @@
 		c := dial(t, s)
 		_, _ = io.WriteString(c, text)
 		if got := c.ends(t); got != "" {
-			t.Errorf("%s: answer %q", name, got)
+			t.Errorf("%s: response %q", name, got)
 		}
 	}
-	if len(came) > 0 {
-		t.Error("half a request went on")
+	if len(requestIDs) > 0 {
+		t.Error("half a request was forwarded")
 	}
 	c := dial(t, s)
 	c.send("GET", "read", "")
@@ -122,21 +123,21 @@
 	s.frontend.clients.mu.Lock()
 	defer s.frontend.clients.mu.Unlock()
 	if n := s.frontend.clients.idleUsed.Len(); n > s.frontend.clients.open {
-		t.Errorf("%d connections are held quiet of %d open", n, s.frontend.clients.open)
+		t.Errorf("%d connections are listed as idle, but only %d are open", n, s.frontend.clients.open)
 	}
 }
 
-// An id tells a request from all others: a second one that takes it while it is open must not get in its way.
-func TestIDOfAnOpenRequest(t *testing.T) {
-	release, came := make(chan struct{}), make(chan struct{}, 10)
+// A request with the id of an open request must be rejected without affecting the open one.
+func TestIDOfOpenRequest(t *testing.T) {
+	release, requests := make(chan struct{}), make(chan struct{}, 10)
 	s := start(t, config(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
-		came <- struct{}{}
+		requests <- struct{}{}
 		<-release
 		return echo(n, c, r)
 	}).Addr().String()))
 	first, second := dial(t, s), dial(t, s)
 	first.send("GET", "read", "")
-	<-came
+	<-requests
 	second.send("GET", "read", "")
 	if res, _ := second.answer(t); res.StatusCode != http.StatusConflict || !res.Close {
 		t.Errorf("status %d, close %v", res.StatusCode, res.Close)
@@ -145,18 +146,18 @@
 	if res, _ := first.answer(t); res.StatusCode != 200 {
 		t.Errorf("status %d for the first", res.StatusCode)
 	}
-	first.send("GET", "read", "") // and the id is free again
+	first.send("GET", "read", "") // the id can be used again
 	if res, _ := first.answer(t); res.StatusCode != 200 {
-		t.Errorf("status %d after it", res.StatusCode)
+		t.Errorf("status %d for the same id after the first", res.StatusCode)
 	}
 }
 
-// A request that an endpoint cannot use is at fault itself: tried elsewhere, it costs every endpoint work and makes
-// each look broken.
+// A request that a server rejects with 400 must not be retried: on other servers it would cause work and make each of them look
+// faulty.
 func TestUnusableRequestIsTriedOnce(t *testing.T) {
-	came := make(chan struct{}, 10)
+	requests := make(chan struct{}, 10)
 	unusable := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
-		came <- struct{}{}
+		requests <- struct{}{}
 		_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
@@ -168,14 +169,14 @@
 			t.Errorf("status %d, close %v", res.StatusCode, res.Close)
 		}
 	}
-	if len(came) != 5 {
-		t.Errorf("%d attempts for 5 requests", len(came))
+	if len(requests) != 5 {
+		t.Errorf("%d attempts for 5 requests", len(requests))
 	}
 }
 
-// What has ended is not kept until its time would have been up: a long day would hold every body for seconds.
+// Ended calls must be removed at once. If they were kept until their deadlines, their bodies would use memory for seconds.
 func TestEndedCallsAreForgotten(t *testing.T) {
-	s, _ := serving(t, nil)
+	s, _ := startWithCountingServer(t, nil)
 	c := dial(t, s)
 	for range 20 {
 		c.send("POST", "pay", "body")
@@ -191,14 +192,14 @@
 			}
 		})
 		if time.Now().After(end) {
-			t.Fatalf("%d things kept", left)
+			t.Fatalf("%d calls, ids and timers are left", left)
 		}
 	}
 }
 
-// A caller that waits for leave to send its body gets it.
+// A client that sends Expect: 100-continue must get the interim response.
 func TestExpectContinue(t *testing.T) {
-	s, _ := serving(t, nil)
+	s, _ := startWithCountingServer(t, nil)
 	c := dial(t, s)
 	fmt.Fprint(c, "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: 1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	_ = c.SetReadDeadline(time.Now().Add(long))
@@ -212,7 +213,7 @@
 	}
 }
 
-// Whatever a head holds that we take, net/http reads in the same way: nothing hides in it.
+// net/http must read the same body from every message that readMessage accepts, so that no request can be hidden in it.
 func FuzzReadMessage(f *testing.F) {
 	for _, text := range []string{
 		"GET /a HTTP/1.1\r\nHost: b\r\n\r\n", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc",
@@ -240,7 +241,7 @@
 		}
 		req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(string(text))))
 		if err != nil {
-			return // stricter still
+			return // net/http is stricter
 		}
 		want, err := io.ReadAll(req.Body)
 		if err != nil || string(want) != string(body) {
@@ -249,8 +250,8 @@
 	})
 }
 
-// Where the quick reader of heads tells anything, the slow one tells the same; and what is written is read again as it was.
-func FuzzPlainHead(f *testing.F) {
+// Where parseCommonHead succeeds, parseHead must return the same, also for the head as writeHeader writes it.
+func FuzzParseCommonHead(f *testing.F) {
 	for _, text := range []string{
 		"GET / HTTP/1.1\r\nHost: a\r\nX-y:  b \t\r\nx-Y: c\r\n\r\n", "A\r\nB: c\n d\r\n\r\n", "A\n\n", "\r\n", "A\r\n: x\r\n\r\n",
 		"A\r\nB : c\r\n\r\n", "A\r\n B: c\r\n\r\n", "A\r\nB: c\x00\r\n\r\n", "A\rB\r\nC: \r\n\r\n", "A\r\nB: \xff\xc3\r\n\r\n", "A\r\nB\r\n\r\n",
@@ -296,8 +297,9 @@
 	}
 }
 
-// Nothing that an endpoint can write may make its answer larger than it may be, or be taken for one that tells no end.
-func FuzzReadAnswer(f *testing.F) {
+// Whatever a server sends, the first part of its response must not exceed the buffer limit, and a response whose end is not defined
+// must not be accepted.
+func FuzzReadResponse(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", "HTTP/1.1 103 E\r\n\r\nHTTP/1.1 204 N\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", "HTTP/1.1 2x0\r\n\r\n", "ICY 200 OK\r\n\r\n",
--- a/internal/sidecar/grpc_test.go
+++ b/internal/sidecar/grpc_test.go
@@ -40,7 +40,7 @@
 
 const rpcText = "\n[[listener]]\nname = \"in\"\naddress = \"127.0.0.1:0\"\nfront = \"grpc\"\nmax_body = \"4MiB\"\n"
 
-// raw is a codec that passes bytes.
+// raw is a gRPC codec that passes messages as bytes.
 type raw struct{}
 
 func (raw) Marshal(v any) ([]byte, error) { return *v.(*[]byte), nil }
@@ -72,7 +72,7 @@
 
 const patience = 10 * time.Second
 
-// rpcRoutes lead to the classes of a pool by the first part of the method.
+// rpcRoutes returns routes to the classes of a pool, chosen by the first part of the method.
 func rpcRoutes(pool string) string {
 	text := ""
 	for _, class := range []string{"read", "pay", "add", "stream"} {
@@ -81,14 +81,14 @@
 	return text
 }
 
-// rpcScript is a server whose connections are played frame by frame. For each call that has come whole, or with early at its
-// head, play is called with the number of the call, from 1.
-type rpcScript struct {
+// scriptedRPCServer is a server whose frames a test writes. It calls play with the number of the call, from 1, for each call that it
+// has received completely, or with early as soon as it has received the headers.
+type scriptedRPCServer struct {
 	ln    net.Listener
 	early bool
 	play  func(p *fakeserver.FrameConn, id uint32, n int)
 
-	writing sync.Mutex // of what a connection is sent; held while play runs
+	writing sync.Mutex // held while frames are written and while play runs
 
 	mu     sync.Mutex
 	calls  int
@@ -99,13 +99,16 @@
 	wake   chan struct{}
 }
 
-func newScript(t testing.TB, early bool, play func(p *fakeserver.FrameConn, id uint32, n int), settings ...http2.Setting) *rpcScript {
+// newScript starts a scriptedRPCServer.
+func newScript(
+	t testing.TB, early bool, onCall func(p *fakeserver.FrameConn, id uint32, n int), settings ...http2.Setting,
+) *scriptedRPCServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &rpcScript{ln: ln, early: early, play: play, wake: make(chan struct{}, 1)}
+	s := &scriptedRPCServer{ln: ln, early: early, play: onCall, wake: make(chan struct{}, 1)}
 	var running sync.WaitGroup
 	running.Go(func() {
 		for {
@@ -132,7 +135,7 @@
 	return s
 }
 
-func (s *rpcScript) serve(c net.Conn, settings []http2.Setting) {
+func (s *scriptedRPCServer) serve(c net.Conn, settings []http2.Setting) {
 	p := fakeserver.NewFrameConn(c)
 	if p.ServerHandshake(settings...) != nil {
 		return
@@ -166,19 +169,19 @@
 	}
 }
 
-// write has something written while nothing else is.
-func (s *rpcScript) write(f func()) {
+// write calls f, which writes frames, while no other frames are written.
+func (s *scriptedRPCServer) write(f func()) {
 	s.writing.Lock()
 	defer s.writing.Unlock()
 	f()
 }
 
-// until waits for a frame that fits.
-func (s *rpcScript) until(t testing.TB, what string, fits func(fakeserver.Frame) bool) {
+// until waits for a frame for which match returns true.
+func (s *scriptedRPCServer) until(t testing.TB, what string, match func(fakeserver.Frame) bool) {
 	t.Helper()
 	for end := time.After(patience); ; {
 		s.mu.Lock()
-		found := slices.ContainsFunc(s.frames, fits)
+		found := slices.ContainsFunc(s.frames, match)
 		s.mu.Unlock()
 		if found {
 			return
@@ -186,50 +189,50 @@
 		select {
 		case <-s.wake:
 		case <-end:
-			t.Fatal("never came: ", what)
+			t.Fatal("not received: ", what)
 		}
 	}
 }
 
-func (s *rpcScript) count() int {
+func (s *scriptedRPCServer) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-func (s *rpcScript) server() string {
+func (s *scriptedRPCServer) server() string {
 	return fmt.Sprintf("[[pool.server]]\naddress = %q\n", s.ln.Addr())
 }
 
-// well answers a call with one message.
-func well(p *fakeserver.FrameConn, id uint32) {
+// respondOK responds to a call with one message.
+func respondOK(p *fakeserver.FrameConn, id uint32) {
 	_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
 	_ = p.WriteData(id, false, fakeserver.GRPCMessage("well"))
 	_ = p.SendHeaders(id, true, "grpc-status", "0")
 }
 
-// trailersOnly answers a call with a status and nothing more.
+// trailersOnly responds to a call with a status and no message.
 func trailersOnly(p *fakeserver.FrameConn, id uint32, pairs ...string) {
 	_ = p.SendHeaders(id, true, append([]string{":status", "200", "content-type", "application/grpc"}, pairs...)...)
 }
 
-// TestRPCOutcomes plays each way in which an attempt can end, for an unsafe and for a safe call, and counts the attempts that
-// followed and what the caller was told.
+// For each way in which an attempt can end, for unsafe and for safe calls, the number of attempts and the status and retry pushback
+// that the client receives must be right: a call that may have been executed must not be retried unless it is safe.
 func TestRPCOutcomes(t *testing.T) {
 	const never, may = true, false
 	noWindow := []http2.Setting{{ID: http2.SettingInitialWindowSize, Val: 0}}
 	for _, c := range []struct {
 		name     string
 		settings []http2.Setting
-		play     func(p *fakeserver.FrameConn, id uint32)
-		ran      bool       // never: the protocol proves that it has not
+		onCall   func(p *fakeserver.FrameConn, id uint32)
+		ran      bool       // never: the protocol proves that the call was not executed
 		code     codes.Code // of an unsafe call that may have run
 	}{
 		{"refused stream", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteRSTStream(id, http2.ErrCodeRefusedStream) }, never, 0},
-		{"GOAWAY below", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteGoAway(id-1, http2.ErrCodeNo, nil) }, never, 0},
+		{"GOAWAY that excludes the stream", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteGoAway(id-1, http2.ErrCodeNo, nil) }, never, 0},
 		{"GOAWAY between HEADERS and DATA", noWindow, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteGoAway(id-1, http2.ErrCodeNo, nil) }, never, 0},
-		{"closed before it was written whole", noWindow, func(p *fakeserver.FrameConn, id uint32) { p.Close() }, never, 0},
-		{"reset NO_ERROR before it was written whole", noWindow, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteRSTStream(id, http2.ErrCodeNo) }, never, 0},
+		{"closed before the request was complete", noWindow, func(p *fakeserver.FrameConn, id uint32) { p.Close() }, never, 0},
+		{"reset NO_ERROR before the request was complete", noWindow, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteRSTStream(id, http2.ErrCodeNo) }, never, 0},
 		{"marked not run", nil, func(p *fakeserver.FrameConn, id uint32) { trailersOnly(p, id, "grpc-status", "14", "x-not-run", "1") }, never, 0},
 		{"marked, with another code", nil, func(p *fakeserver.FrameConn, id uint32) { trailersOnly(p, id, "grpc-status", "13", "x-not-run", "1") }, may, codes.Internal},
 		{"marked in trailers", nil, func(p *fakeserver.FrameConn, id uint32) {
@@ -241,14 +244,14 @@
 		}, may, codes.Unknown},
 		{"reset INTERNAL", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteRSTStream(id, http2.ErrCodeInternal) }, may, codes.Unknown},
 		{"reset CANCEL", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteRSTStream(id, http2.ErrCodeCancel) }, may, codes.Unknown},
-		{"refused behind a head", nil, func(p *fakeserver.FrameConn, id uint32) {
+		{"refused after headers", nil, func(p *fakeserver.FrameConn, id uint32) {
 			_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
 			_ = p.WriteRSTStream(id, http2.ErrCodeRefusedStream)
 		}, may, codes.Unknown},
 		{"closed", nil, func(p *fakeserver.FrameConn, id uint32) { p.Close() }, may, codes.Unknown},
-		{"GOAWAY that took it, then closed", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteGoAway(id, http2.ErrCodeNo, nil); _ = p.Close() }, may, codes.Unknown},
+		{"GOAWAY that includes the stream, then closed", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.WriteGoAway(id, http2.ErrCodeNo, nil); _ = p.Close() }, may, codes.Unknown},
 		{"no status", nil, func(p *fakeserver.FrameConn, id uint32) { trailersOnly(p, id) }, may, codes.Unknown},
-		{"ends behind its message", nil, func(p *fakeserver.FrameConn, id uint32) {
+		{"ends after its message", nil, func(p *fakeserver.FrameConn, id uint32) {
 			_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
 			_ = p.WriteData(id, true, fakeserver.GRPCMessage("well"))
 		}, may, codes.Unknown},
@@ -257,7 +260,7 @@
 		{"HTTP 503", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.SendHeaders(id, true, ":status", "503") }, may, codes.Unknown},
 		{"HTTP 500", nil, func(p *fakeserver.FrameConn, id uint32) { _ = p.SendHeaders(id, true, ":status", "500") }, may, codes.Internal},
 		{"INTERNAL", nil, func(p *fakeserver.FrameConn, id uint32) { trailersOnly(p, id, "grpc-status", "13") }, may, codes.Internal},
-		{"INTERNAL behind a head", nil, func(p *fakeserver.FrameConn, id uint32) {
+		{"INTERNAL after headers", nil, func(p *fakeserver.FrameConn, id uint32) {
 			_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
 			_ = p.SendHeaders(id, true, "grpc-status", "13", "x-more", "1")
 		}, may, codes.Internal},
@@ -267,7 +270,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, class := range []string{"pay", "read"} {
-				s := newScript(t, c.settings != nil, func(p *fakeserver.FrameConn, id uint32, n int) { c.play(p, id) }, c.settings...)
+				s := newScript(t, c.settings != nil, func(p *fakeserver.FrameConn, id uint32, n int) { c.onCall(p, id) }, c.settings...)
 				i, stop := run(t, parse(t, rpcText, rpcPool("p", "attempts = 3\nnot_run = \"x-not-run\"\n"), s.server(), rpcRoutes("p")))
 				cc := dialRPC(t, i.Addresses()["in"])
 				var trailer metadata.MD
@@ -287,8 +290,8 @@
 	}
 }
 
-// TestRPCServersWord passes the statuses of a server on that tell of the caller's own doing: at once, as they came.
-func TestRPCServersWord(t *testing.T) {
+// Statuses of a server that blame the client's request must be forwarded unchanged, after one attempt.
+func TestRPCServerStatusIsForwarded(t *testing.T) {
 	var code int
 	s := newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) {
 		trailersOnly(p, id, "grpc-status", strconv.Itoa(code), "grpc-message", "a%20word", "x-bin", "AAEC")
@@ -308,14 +311,14 @@
 	}
 }
 
-// TestRPCSilentServer waits for a server that never answers: the call fails in its time, and not earlier than it must.
-func TestRPCSilentServer(t *testing.T) {
+// If a server never responds, a call must fail at its deadline, not much earlier or later.
+func TestRPCUnresponsiveServer(t *testing.T) {
 	s := newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) {})
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", ""), s.server(), rpcRoutes("p")))
 	cc := dialRPC(t, i.Addresses()["in"])
 	for _, c := range []struct {
-		timeout time.Duration // of the metadata
-		told    time.Duration // what the server must be told at most: the lesser of this and the class's 2 s
+		timeout time.Duration // that the client sets
+		longest time.Duration // the longest timeout that the server may receive: the lesser of timeout and the class's 2 s
 	}{{300 * time.Millisecond, 300 * time.Millisecond}, {time.Minute, 2 * time.Second}} {
 		begun := time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
@@ -323,23 +326,23 @@
 		err := cc.Invoke(ctx, "/pay.S/M", &in, &out)
 		cancel()
 		took := time.Since(begun)
-		if status.Code(err) != codes.DeadlineExceeded || took < c.told*8/10 || took > c.told+500*time.Millisecond {
+		if status.Code(err) != codes.DeadlineExceeded || took < c.longest*8/10 || took > c.longest+500*time.Millisecond {
 			t.Errorf("%v: %v after %v", c.timeout, err, took)
 		}
 		s.mu.Lock()
 		head := s.heads[len(s.heads)-1]
 		s.mu.Unlock()
 		left := fakeserver.FieldValue([]fakeserver.Frame{head}, head.Stream, "grpc-timeout")
-		if d := rpcTimeout(t, left); d > c.told || d < c.told*8/10 {
-			t.Errorf("the server was told %q", left)
+		if d := rpcTimeout(t, left); d > c.longest || d < c.longest*8/10 {
+			t.Errorf("the server received grpc-timeout %q", left)
 		}
 	}
-	s.until(t, "the reset of a call that was given up", func(f fakeserver.Frame) bool {
+	s.until(t, "the reset of a call that timed out", func(f fakeserver.Frame) bool {
 		return f.Type == http2.FrameRSTStream && f.Code == http2.ErrCodeCancel
 	})
 }
 
-// rpcTimeout reads a grpc-timeout of the units that are sent.
+// rpcTimeout parses a grpc-timeout in the units that the sidecar sends.
 func rpcTimeout(t testing.TB, text string) time.Duration {
 	t.Helper()
 	units := map[string]time.Duration{"n": 1, "u": time.Microsecond, "m": time.Millisecond, "S": time.Second}
@@ -350,7 +353,7 @@
 	return time.Duration(n) * units[text[len(text)-1:]]
 }
 
-// TestRPCCancel has either side leave a stream: the other hears of it at once.
+// If either side resets a stream, the other side must be notified at once.
 func TestRPCCancel(t *testing.T) {
 	s := newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {
 		_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
@@ -370,7 +373,7 @@
 		t.Fatal(err)
 	}
 	cancel()
-	s.until(t, "the caller's reset", func(f fakeserver.Frame) bool { return f.Type == http2.FrameRSTStream && f.Code == http2.ErrCodeCancel })
+	s.until(t, "the client's reset", func(f fakeserver.Frame) bool { return f.Type == http2.FrameRSTStream && f.Code == http2.ErrCodeCancel })
 
 	ctx, cancel = context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -389,13 +392,14 @@
 	}
 }
 
-// TestRPCHalfClosedWhenItsServerDrains is the hard case: the caller has sent all, the server drains, and goes on answering.
+// A stream must stay with its server while that drains, even if the client has closed its side and only the server still sends. New
+// calls must go to the other server.
 func TestRPCHalfClosedWhenItsServerDrains(t *testing.T) {
 	drained := make(chan struct{})
-	var a *rpcScript
+	var a *scriptedRPCServer
 	a = newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) {
 		if n > 1 {
-			well(p, id)
+			respondOK(p, id)
 			return
 		}
 		_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
@@ -408,7 +412,7 @@
 			})
 		}()
 	})
-	b := newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) { well(p, id) })
+	b := newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) { respondOK(p, id) })
 	file := filepath.Join(t.TempDir(), "servers.toml")
 	list := func(state string) {
 		writeFile(t, file, fmt.Sprintf("[[server]]\nid = \"a\"\naddress = %q\nstate = %q\n", a.ln.Addr(), state)+
@@ -437,13 +441,13 @@
 			t.Fatal(text, err)
 		}
 	}
-	told := a.count()
+	before := a.count()
 	for range 20 {
 		if text, err := unary(cc, "/read.S/M", "x"); err != nil || text != "well" {
 			t.Error(text, err)
 		}
 	}
-	if a.count() != told {
+	if a.count() != before {
 		t.Error("the draining server got a new call")
 	}
 	close(drained)
@@ -455,11 +459,11 @@
 	}
 }
 
-// TestRPCDrain ends an instance under open calls: GOAWAY comes twice, streams that end in time are whole, and the others
-// get one final status at the bound.
+// If an instance is stopped with open calls, it must send GOAWAY twice, let streams end in time, and send the others one final status
+// when the drain time is over.
 func TestRPCDrain(t *testing.T) {
 	finish := make(chan struct{})
-	var s *rpcScript
+	var s *scriptedRPCServer
 	s = newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {
 		_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
 		_ = p.WriteData(id, false, fakeserver.GRPCMessage("first"))
@@ -480,7 +484,7 @@
 	for _, id := range []uint32{1, 3, 5} {
 		path := "/stream.S/M"
 		if id == 5 {
-			path = "/pay.S/M" // held until its message has come, which it never does
+			path = "/pay.S/M" // not forwarded before its message is received, which never happens
 		}
 		_ = peer.SendCall(id, path, false)
 	}
@@ -531,7 +535,7 @@
 	}
 }
 
-// TestRPCAutoAndTLS speaks both protocols on one port, without and with TLS.
+// A listener with front = "auto" must serve both protocols on one port, without and with TLS.
 func TestRPCAutoAndTLS(t *testing.T) {
 	list := servers(t, "a")
 	dir := t.TempDir()
@@ -556,20 +560,20 @@
 		if text, err := unary(cc, "/x.Y/Z", "hello"); err != nil || !strings.Contains(text, "uri=/x.Y/Z") {
 			t.Error(name, text, err)
 		}
-		answer, err := (&http.Client{Transport: transport}).Get(scheme + "://" + addr + "/x")
+		res, err := (&http.Client{Transport: transport}).Get(scheme + "://" + addr + "/x")
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		text, _ := io.ReadAll(answer.Body)
-		answer.Body.Close()
+		text, _ := io.ReadAll(res.Body)
+		res.Body.Close()
 		transport.CloseIdleConnections()
-		if answer.StatusCode != 200 || !strings.Contains(string(text), "method=GET uri=/x") {
-			t.Error(name, answer.StatusCode, string(text))
+		if res.StatusCode != 200 || !strings.Contains(string(text), "method=GET uri=/x") {
+			t.Error(name, res.StatusCode, string(text))
 		}
 	}
 }
 
-// TestRPCManyStreams opens streams that stay, beyond what the module's room for calls would let out.
+// Streams that stay open must not count against the decision module's limit of open requests, only against the limit of the process.
 func TestRPCManyStreams(t *testing.T) {
 	a := newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {
 		_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
@@ -592,7 +596,7 @@
 	if a.count()+b.count() != most || a.count() < most/3 || b.count() < most/3 {
 		t.Errorf("%d and %d streams", a.count(), b.count())
 	}
-	// One more is over the limit of the process: refused, as a stream that never ran.
+	// One more is over the limit of the process. It must be refused as a stream that was not executed.
 	peer, err := fakeserver.DialFrameConn(i.Addresses()["in"])
 	if err != nil {
 		t.Fatal(err)
@@ -604,8 +608,7 @@
 	}
 }
 
-// TestRPCUploadIsSentOnce streams a request: whatever becomes of it, it reaches one server once, and its message framing is
-// looked after.
+// A streamed request must reach one server once, whatever its outcome, and a request with invalid message framing must be reset.
 func TestRPCUploadIsSentOnce(t *testing.T) {
 	s := newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {})
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", ""), s.server(), rpcRoutes("p")))
@@ -622,7 +625,7 @@
 	if code := fakeserver.FieldValue(all, 1, "grpc-status"); err != nil || code != "3" {
 		t.Error(code, err)
 	}
-	s.until(t, "the reset of what cannot be read", func(f fakeserver.Frame) bool { return f.Type == http2.FrameRSTStream })
+	s.until(t, "the reset of the invalid request", func(f fakeserver.Frame) bool { return f.Type == http2.FrameRSTStream })
 	if s.count() != 1 {
 		t.Errorf("%d attempts", s.count())
 	}
@@ -637,11 +640,11 @@
 	}
 }
 
-// TestRPCErrorBehindAHead sends an error when the head has gone to the caller: trailers pass as they came, and the call is
-// not tried again.
-func TestRPCErrorBehindAHead(t *testing.T) {
+// If a server reports an error after its headers were sent to the client, its trailers must be forwarded unchanged and the call must
+// not be retried.
+func TestRPCErrorAfterHeaders(t *testing.T) {
 	later := make(chan struct{})
-	var s *rpcScript
+	var s *scriptedRPCServer
 	s = newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) {
 		_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc", "x-head", "1")
 		go func() {
@@ -672,12 +675,12 @@
 	}
 }
 
-// TestRPCInterimAndEarlyAnswers passes interim heads on, and an answer that is whole before its request is.
-func TestRPCInterimAndEarlyAnswers(t *testing.T) {
+// Interim responses must be forwarded, and a response that is complete before its request must be, too.
+func TestRPCInterimAndEarlyResponses(t *testing.T) {
 	s := newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {
 		_ = p.SendHeaders(id, false, ":status", "103", "link", "</a>")
-		well(p, id)
-		_ = p.WriteRSTStream(id, http2.ErrCodeNo) // it wants no more of the request
+		respondOK(p, id)
+		_ = p.WriteRSTStream(id, http2.ErrCodeNo) // the server needs no more of the request
 	})
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", ""), s.server(), rpcRoutes("p")))
 	peer, err := fakeserver.DialFrameConn(i.Addresses()["in"])
@@ -707,7 +710,7 @@
 		if !slices.Equal(heads, []string{"103", "200", "0"}) || text != string(fakeserver.GRPCMessage("well")) {
 			t.Errorf("%s: heads %v, text %q", class, heads, text)
 		}
-		if class == "stream" { // and the caller is told so too (RFC 9113, 8.1)
+		if class == "stream" { // the client is notified of that too (RFC 9113, 8.1)
 			if all, err = peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Stream == id }); err != nil || all[len(all)-1].Code != http2.ErrCodeNo {
 				t.Error(all, err)
 			}
@@ -716,9 +719,9 @@
 	}
 }
 
-// TestRPCSlowCallersHoldUpNobody has a caller open calls with long answers and read none, and one send long requests that its
-// server does not take: other calls on the same connections are served.
-func TestRPCSlowCallersHoldUpNobody(t *testing.T) {
+// A client that opens calls with long responses and reads none of them, whose requests the server does not read either, must not
+// block other calls on the same connection to the server.
+func TestRPCSlowClientBlocksNoOthers(t *testing.T) {
 	s := newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {
 		if n > 40 {
 			_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
@@ -739,8 +742,8 @@
 	defer peer.Close()
 	for n := range uint32(40) {
 		_ = peer.SendCall(2*n+1, "/stream.S/M", false)
-		_ = peer.WriteData(2*n+1, false, fakeserver.GRPCMessage("nobody takes this"))
-		for end := time.Now().Add(patience); s.count() <= int(n); time.Sleep(time.Millisecond) { // a burst would be refused in part
+		_ = peer.WriteData(2*n+1, false, fakeserver.GRPCMessage("never read"))
+		for end := time.Now().Add(patience); s.count() <= int(n); time.Sleep(time.Millisecond) { // a burst would be rejected in part
 			if time.Now().After(end) {
 				t.Fatal(s.count())
 			}
@@ -759,13 +762,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.opened != 1 {
-		t.Errorf("%d connections: the other call had one of its own", s.opened)
+		t.Errorf("%d connections to the server, want 1 that the other call shares", s.opened)
 	}
 }
 
-// TestRPCKeys wants the metadata that a class names for its key.
+// A keyed class must require exactly one value of the metadata that it names as its key.
 func TestRPCKeys(t *testing.T) {
-	s := newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) { well(p, id) })
+	s := newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) { respondOK(p, id) })
 	pool := strings.Replace(rpcPool("p", ""), "effect = \"keyed\"", "effect = \"keyed\"\nkey = \"x-key\"", 1)
 	i, _ := run(t, parse(t, rpcText, pool, s.server(), rpcRoutes("p")))
 	cc := dialRPC(t, i.Addresses()["in"])
@@ -785,24 +788,24 @@
 	}
 }
 
-// TestBothFramingsShareOneFate has callers of HTTP/1.1 and of gRPC make the same seeded calls at the same servers, which
-// play the same faults by the number of the call and of the attempt. What is counted must be equal.
-func TestBothFramingsShareOneFate(t *testing.T) {
+// The same seeded calls over HTTP/1.1 and over gRPC, to the same servers with the same faults by the number of the call and of the
+// attempt, must have the same outcomes and numbers of attempts.
+func TestHTTPAndGRPCOutcomesAreEqual(t *testing.T) {
 	const calls = 300
 	list := servers(t, "a", "b", "c", "d", "e", "f")
 	faults := []fakeserver.Fault{fakeserver.NoFault, fakeserver.NoFault, fakeserver.NoFault, fakeserver.NoFault, fakeserver.NoFault, fakeserver.NoFault, fakeserver.NotExecuted, fakeserver.NotExecuted, fakeserver.Error500, fakeserver.ResetAfterRequest, fakeserver.GarbageResponse, fakeserver.HalfResponse}
 	var mu sync.Mutex
-	tries := map[string]int{}
+	attemptsOf := map[string]int{} // by call
 	for _, s := range list {
-		s.SetWork(40 * time.Millisecond) // what a busy machine adds is little against it: none looks silent
+		s.SetWork(40 * time.Millisecond) // long against the delays of a busy machine, so that no server looks unresponsive
 		s.SetFaultFunc(func(r *http.Request) fakeserver.Fault {
 			if r == nil {
 				return fakeserver.NoFault
 			}
 			id := r.Header.Get("X-Call")
 			mu.Lock()
-			tries[id]++
-			n := tries[id]
+			attemptsOf[id]++
+			n := attemptsOf[id]
 			mu.Unlock()
 			seed, _ := strconv.ParseUint(id[1:], 10, 64) // without the framing
 			return faults[rand.New(rand.NewPCG(seed, uint64(n))).IntN(len(faults))]
@@ -814,11 +817,11 @@
 	addr := i.Addresses()["in"]
 	cc := dialRPC(t, addr)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	fate := map[string]map[string]int{"h": {}, "g": {}}
-	note := func(framing, class, what string) {
+	outcomes := map[string]map[string]int{"h": {}, "g": {}}
+	count := func(framing, class, outcome string) {
 		mu.Lock()
 		defer mu.Unlock()
-		fate[framing][class+" "+what]++
+		outcomes[framing][class+" "+outcome]++
 	}
 	r := rand.New(rand.NewPCG(1, 2))
 	var all sync.WaitGroup
@@ -829,19 +832,19 @@
 			request, _ := http.NewRequest("POST", "http://"+addr+"/"+class+".S/M", strings.NewReader("x"))
 			request.Header.Set("X-Call", fmt.Sprint("h", n))
 			request.Header.Set("Idempotency-Key", fmt.Sprint("h", n))
-			answer, err := client.Do(request)
+			res, err := client.Do(request)
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			answer.Body.Close()
-			switch answer.StatusCode {
+			res.Body.Close()
+			switch res.StatusCode {
 			case 200:
-				note("h", class, "served")
+				count("h", class, "served")
 			case 503:
-				note("h", class, "refused")
+				count("h", class, "refused")
 			default:
-				note("h", class, "failed")
+				count("h", class, "failed")
 			}
 		})
 		all.Go(func() {
@@ -850,25 +853,25 @@
 			in, out := []byte("x"), []byte(nil)
 			switch err := cc.Invoke(ctx, "/"+class+".S/M", &in, &out); status.Code(err) {
 			case codes.OK:
-				note("g", class, "served")
+				count("g", class, "served")
 			case codes.Unavailable:
-				note("g", class, "refused")
+				count("g", class, "refused")
 			default:
-				note("g", class, "failed")
+				count("g", class, "failed")
 			}
 		})
 	}
 	all.Wait()
 	attempts := map[byte]int{}
-	for id, n := range tries {
+	for id, n := range attemptsOf {
 		attempts[id[0]] += n
-		if other := map[byte]string{'h': "g", 'g': "h"}[id[0]] + id[1:]; tries[other] != n {
-			t.Errorf("call %s: %d attempts, the other framing %d", id, n, tries[other])
+		if other := map[byte]string{'h': "g", 'g': "h"}[id[0]] + id[1:]; attemptsOf[other] != n {
+			t.Errorf("call %s: %d attempts, the other framing %d", id, n, attemptsOf[other])
 		}
 	}
-	t.Logf("%d calls of each framing, attempts %d and %d, fates %v", calls, attempts['h'], attempts['g'], fate["h"])
-	if fmt.Sprint(fate["h"]) != fmt.Sprint(fate["g"]) {
-		t.Errorf("HTTP/1.1: %v\ngRPC: %v", fate["h"], fate["g"])
+	t.Logf("%d calls of each framing, attempts %d and %d, outcomes %v", calls, attempts['h'], attempts['g'], outcomes["h"])
+	if fmt.Sprint(outcomes["h"]) != fmt.Sprint(outcomes["g"]) {
+		t.Errorf("HTTP/1.1: %v\ngRPC: %v", outcomes["h"], outcomes["g"])
 	}
 	var seen [2]PoolStatus
 	for _, p := range i.Status().Pools {
@@ -877,13 +880,14 @@
 	if h, g := seen[0], seen[1]; h.Served != g.Served || h.Refused != g.Refused || h.Failed != g.Failed || h.Open+g.Open != 0 {
 		t.Errorf("the pools count %+v and %+v", h, g)
 	}
-	if fate["h"]["read served"] == 0 || fate["h"]["pay failed"] == 0 || fate["h"]["pay served"] == 0 || attempts['h'] <= calls {
-		t.Error("the faults were not met")
+	if outcomes["h"]["read served"] == 0 || outcomes["h"]["pay failed"] == 0 || outcomes["h"]["pay served"] == 0 || attempts['h'] <= calls {
+		t.Error("the faults did not affect the calls")
 	}
 }
 
-// TestRPCAttackersAndOthers has callers do their worst, while another one's calls are served in their usual time.
-func TestRPCAttackersAndOthers(t *testing.T) {
+// While a client abuses the protocol, the calls of another one must be served in their usual time, and the abusive client's connection
+// must be closed.
+func TestRPCAbusiveClients(t *testing.T) {
 	list := servers(t, "a", "b")
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", "", list[0]), rpcRoutes("p"), rpcPool("q", "", list[1]), routeText("q", "/bad.S", "q", "read", "")))
 	addr := i.Addresses()["in"]
@@ -894,7 +898,7 @@
 			_ = p.WriteData(2*n+1, true, fakeserver.GRPCMessage("x"))
 			return p.WriteRSTStream(2*n+1, http2.ErrCodeCancel)
 		},
-		"streams that nobody reads": func(p *fakeserver.FrameConn, n uint32) error {
+		"streams that the client never reads": func(p *fakeserver.FrameConn, n uint32) error {
 			_ = p.SendCall(2*n+1, "/bad.S/M", false)
 			return p.WriteData(2*n+1, true, fakeserver.GRPCMessage("x"))
 		},
@@ -922,8 +926,8 @@
 					}
 				}
 			}()
-			go func() { // its own side reads, but for what it was sent
-				if name != "streams that nobody reads" {
+			go func() { // reads what the sidecar sends, except in the case of the client that never reads
+				if name != "streams that the client never reads" {
 					_, _ = io.Copy(io.Discard, peer.Conn)
 				}
 			}()
@@ -931,21 +935,21 @@
 			for range 100 {
 				at := time.Now()
 				if _, err := unary(cc, "/read.S/M", "hello"); err != nil {
-					t.Fatal("another caller: ", err)
+					t.Fatal("another client: ", err)
 				}
 				times = append(times, time.Since(at))
 			}
 			select {
 			case took := <-ended:
-				if took > 2*time.Second { // one, and what writing into a full buffer takes to notice
-					t.Errorf("the attack was borne for %v", took)
+				if took > 2*time.Second { // one second, and the time until writing into a full buffer fails
+					t.Errorf("the abusive connection was closed after %v, want at most 2s", took)
 				}
 			case <-time.After(patience):
-				t.Error("the attack goes on")
+				t.Error("the abusive connection is still open")
 			}
 			slices.Sort(times)
 			if p99 := times[98]; p99 > 250*time.Millisecond {
-				t.Errorf("another caller waited %v", p99)
+				t.Errorf("p99 %v for another client, want at most 250ms", p99)
 			}
 		})
 	}
@@ -980,7 +984,7 @@
 	if _, err := i.Reload(gone); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); ; { // what comes until the connection has gone is still served
+	for end := time.Now().Add(patience); ; { // calls are still served until the connection is closed
 		text, err := unary(cc, "/read.S/M", "x")
 		if status.Code(err) == codes.Unavailable {
 			break
@@ -991,15 +995,15 @@
 	}
 }
 
-func TestRPCErrorsOfTheFile(t *testing.T) {
+func TestRPCConfigErrors(t *testing.T) {
 	pool := rpcPool("g", "") + "[[pool.server]]\naddress = \"127.0.0.1:1\"\n"
 	plain := poolText("h", "") + "[[pool.server]]\naddress = \"127.0.0.1:1\"\n"
 	only := "listeners = [\"in\"]"
 	for name, c := range map[string]struct{ text, want string }{
-		"gRPC caller, HTTP/1.1 pool":  {rpcText + plain + routeText("r", "/", "h", "read", only), "route[0].listeners[0]: listener \"in\" (front \"grpc\") does not take HTTP/1.1"},
-		"HTTP/1.1 caller, gRPC pool":  {inText + pool + routeText("r", "/", "g", "read", only), "does not take gRPC"},
-		"no listener takes it":        {inText + pool + routeText("r", "/", "g", "read", ""), "route[0].pool: no listener takes gRPC"},
-		"a redirect to gRPC callers":  {rpcText + pool + "\n[[route]]\nname = \"x\"\nprefix = \"/\"\nredirect = \"https://x/\"\n" + only, "does not take HTTP/1.1"},
+		"gRPC client, HTTP/1.1 pool":  {rpcText + plain + routeText("r", "/", "h", "read", only), "route[0].listeners[0]: listener \"in\" (front \"grpc\") does not take HTTP/1.1"},
+		"HTTP/1.1 client, gRPC pool":  {inText + pool + routeText("r", "/", "g", "read", only), "does not take gRPC"},
+		"no listener accepts gRPC":    {inText + pool + routeText("r", "/", "g", "read", ""), "route[0].pool: no listener takes gRPC"},
+		"a redirect of gRPC clients":  {rpcText + pool + "\n[[route]]\nname = \"x\"\nprefix = \"/\"\nredirect = \"https://x/\"\n" + only, "does not take HTTP/1.1"},
 		"stream class of HTTP/1.1":    {inText + plain + "[[pool.class]]\nname = \"s\"\naim = \"1s\"\ngive_up = \"2s\"\neffect = \"safe\"\nstream = true\n", "pool[0].class[3].stream"},
 		"not_run of HTTP/1.1":         {inText + strings.Replace(plain, "name = \"h\"", "name = \"h\"\nnot_run = \"x\"", 1), "pool[0].not_run"},
 		"unknown front":               {strings.Replace(rpcText, "grpc", "h3", 1) + pool, "listener[0].front"},
--- a/internal/sidecar/instance_test.go
+++ b/internal/sidecar/instance_test.go
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	cfg.Path = "operator.toml"
-	if cfg.Limits.Drain == operator.Duration(5*time.Second) { // nobody calls any more when a test ends
+	if cfg.Limits.Drain == operator.Duration(5*time.Second) { // no client is left when a test ends
 		cfg.Limits.Drain = operator.Duration(50 * time.Millisecond)
 	}
 	return cfg
@@ -89,7 +89,7 @@
 	return list
 }
 
-// run starts an instance. When the test ends it must end too, with nothing of it left.
+// run starts an instance. When the test ends, the instance must end too and leave no goroutine.
 func run(t testing.TB, cfg *operator.Config) (i *Instance, stop func()) {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
@@ -98,7 +98,7 @@
 		end()
 		if err := goleak.Find(before, goleak.IgnoreAnyFunction("milletmast/internal/fakeserver.(*Server).serve"),
 			goleak.IgnoreAnyFunction("milletmast/internal/fakeserver.(*Server).accept"),
-			goleak.IgnoreAnyFunction("milletmast/internal/fakeserver.(*two).call"), goleak.IgnoreAnyFunction("milletmast/internal/sidecar.(*rpcScript).serve"),
+			goleak.IgnoreAnyFunction("milletmast/internal/fakeserver.(*two).call"), goleak.IgnoreAnyFunction("milletmast/internal/sidecar.(*scriptedRPCServer).serve"),
 			goleak.IgnoreAnyFunction("net/http.(*persistConn).readLoop"), goleak.IgnoreAnyFunction("net/http.(*persistConn).writeLoop")); err != nil {
 			t.Error(err)
 		}
@@ -107,7 +107,7 @@
 	return i, stop
 }
 
-// launch starts an instance that others may talk to: its goroutines cannot be told from theirs.
+// launch starts an instance without the check for goroutines, for tests that run several instances at a time.
 func launch(t testing.TB, cfg *operator.Config) (i *Instance, stop func()) {
 	t.Helper()
 	i, err := NewInstance(cfg, nil)
@@ -134,14 +134,14 @@
 			t.Errorf("%d connections to servers are counted after the end", n)
 		}
 		if i.clients.open != 0 || len(i.pools) != 0 {
-			t.Errorf("%d callers and %d pools are left", i.clients.open, len(i.pools))
+			t.Errorf("%d client connections and %d pools are left", i.clients.open, len(i.pools))
 		}
 	})
 	t.Cleanup(stop)
 	return i, stop
 }
 
-// peer is a raw connection of a caller.
+// peer is a raw connection of a client.
 type peer struct {
 	net.Conn
 	reader *bufio.Reader
@@ -157,7 +157,7 @@
 	return &peer{c, bufio.NewReader(c)}
 }
 
-// ask sends a request as it stands and reads the answer whole.
+// ask sends a request as given and reads the complete response.
 func (p *peer) ask(method, text string) (*http.Response, string, error) {
 	_ = p.SetDeadline(time.Now().Add(long))
 	if _, err := io.WriteString(p, text); err != nil {
@@ -175,6 +175,7 @@
 	return res, string(body), err
 }
 
+// must is ask for a request whose response must have the status.
 func (p *peer) must(t testing.TB, method, text string, status int) (*http.Response, string) {
 	t.Helper()
 	res, body, err := p.ask(method, text)
@@ -192,7 +193,7 @@
 	t.Helper()
 	for end := time.Now().Add(long); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("still not: ", what)
+			t.Fatal("timed out waiting until ", what)
 		}
 	}
 }
@@ -211,13 +212,13 @@
 	for _, k := range []struct {
 		name, text string
 		status     int
-		body       string // begins with
+		body       string // prefix
 	}{
 		{"plain", "GET /x/../y?q=%2F HTTP/1.1\r\nHost: h\r\n\r\n", 200, "server=a method=GET uri=/y?q=%2F id="},
-		{"id of its own", "GET /x HTTP/1.1\r\nHost: h\r\nX-Request-Id: mine\r\n\r\n", 200, "server=a method=GET uri=/x id=mine "},
+		{"id from the client", "GET /x HTTP/1.1\r\nHost: h\r\nX-Request-Id: mine\r\n\r\n", 200, "server=a method=GET uri=/x id=mine "},
 		{"body and prefix", "POST /two/z HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc", 200, "server=b method=POST uri=/z "},
 		{"chunked", "PUT /two HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 200, "server=b method=PUT uri=/ "},
-		{"no spelling gets round", "POST /./%74wo;x/z HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", 200, "server=b method=POST uri=/z "},
+		{"encoded spelling of the prefix", "POST /./%74wo;x/z HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", 200, "server=b method=POST uri=/z "},
 		{"host", "GET /x HTTP/1.1\r\nHost: A.TWO.org.:80\r\n\r\n", 200, "server=b "},
 		{"absolute form", "GET http://a.two.org/x?y HTTP/1.1\r\nHost: other\r\n\r\n", 200, "server=b method=GET uri=/x?y "},
 		{"absolute form with no path", "GET http://a.two.org?y HTTP/1.1\r\nHost: other\r\n\r\n", 200, "server=b method=GET uri=/?y "},
@@ -237,12 +238,12 @@
 			t.Errorf("location %q", res.Header.Get("Location"))
 		}
 		if k.name == "head" && res.ContentLength <= 0 {
-			t.Errorf("the length of a HEAD's answer is lost: %+v", res)
+			t.Errorf("the response to HEAD has no length: %+v", res)
 		}
 	}
 	for _, r := range s[0].Records() {
 		if r.RequestID == "" || r.Header.Get("X-Forwarded-For") != "127.0.0.1" || r.Header.Get("X-Deadline") == "" {
-			t.Errorf("%s %s came with %v", r.Method, r.URI, r.Header)
+			t.Errorf("%s %s was received with %v", r.Method, r.URI, r.Header)
 		}
 	}
 	before, _, _, _ := s[0].Counts()
@@ -266,14 +267,14 @@
 		connect(t, in).must(t, "GET", text, status)
 	}
 	if after, _, _, _ := s[0].Counts(); after != before {
-		t.Errorf("%d requests that cannot be taken went on", after-before)
+		t.Errorf("%d invalid requests reached the server", after-before)
 	}
 	connect(t, in).must(t, "GET", "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n", 200)
 }
 
-// What a server did decides on the answer, as on the platform: refused only if it is harmless, and a server's own 5xx
-// is the word of a failure, but for those that promise something.
-func TestFatesOfOperatorCalls(t *testing.T) {
+// The outcome of the attempts determines the response, as with the platform's protocol: a call is rejected with 503 only if a retry by
+// the client is harmless, and a 5xx of a server is forwarded, except for those that would promise that a retry is harmless.
+func TestOutcomesOfOperatorCalls(t *testing.T) {
 	for _, k := range []struct {
 		name     string
 		fault    fakeserver.Fault
@@ -282,12 +283,12 @@
 		status   int
 		attempts int
 	}{
-		{"not run is refused", fakeserver.NotExecuted, "/pay", "", 503, 3},
+		{"not executed is rejected", fakeserver.NotExecuted, "/pay", "", 503, 3},
 		{"an unsafe reset has failed", fakeserver.ResetAfterRequest, "/pay", "", 502, 1},
 		{"a keyed reset outside the group has failed", fakeserver.ResetAfterRequest, "/add", "", 502, 3},
 		{"a server's 500 is passed on", fakeserver.Error500, "/pay", "", 500, 1},
-		{"a 503 that promises nothing is no refusal", fakeserver.NoFault, "/pay", "?status=503", 502, 1},
-		{"nor is a 429", fakeserver.NoFault, "/pay", "?status=429", 502, 1},
+		{"a 503 without the mark is no rejection", fakeserver.NoFault, "/pay", "?status=503", 502, 1},
+		{"a 429 without the mark is no rejection", fakeserver.NoFault, "/pay", "?status=429", 502, 1},
 		{"garbage has failed", fakeserver.GarbageResponse, "/pay", "", 502, 1},
 		{"refused connections", fakeserver.ResetConnection, "/pay", "", 503, 0},
 	} {
@@ -328,7 +329,7 @@
 	want := fmt.Sprintf("bytes=%d", len(body))
 	_, got := c.must(t, "POST", fmt.Sprintf("POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body), 200)
 	if !strings.Contains(got, want) {
-		t.Errorf("answer %q, want %s", got, want)
+		t.Errorf("response %q, want %s", got, want)
 	}
 	var chunks strings.Builder
 	for rest := body; rest != ""; {
@@ -338,10 +339,10 @@
 	}
 	_, again := c.must(t, "POST", "POST /pay HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n"+chunks.String()+"0\r\nX-T: 1\r\n\r\n", 100)
 	if again != "" {
-		t.Errorf("body %q of an interim answer", again)
+		t.Errorf("body %q of an interim response", again)
 	}
 	if _, got, err := c.read("POST"); err != nil || !strings.Contains(got, want) {
-		t.Errorf("chunked: answer %q, %v, want %s", got, err, want)
+		t.Errorf("chunked: response %q, %v, want %s", got, err, want)
 	}
 	records := s[0].Records()
 	if records[0].BodyHash != records[1].BodyHash || records[0].BodyHash == 0 || len(records) != 2 {
@@ -352,24 +353,24 @@
 		n := 0
 		_, _ = fmt.Sscanf(query, "?bytes=%d", &n)
 		if got != string(fakeserver.Body(n)) {
-			t.Errorf("%s: %d bytes that are not the server's", query, len(got))
+			t.Errorf("%s: %d bytes that differ from those of the server", query, len(got))
 		}
 	}
 	if _, _, _, conns := s[0].Counts(); conns != 1 {
 		t.Errorf("%d connections to the server, want the one kept throughout", conns)
 	}
-	// A caller of HTTP/1.0 knows no chunks.
+	// A client of HTTP/1.0 does not support chunked encoding.
 	old := connect(t, in)
 	if res, got := old.must(t, "GET", "GET /read?bytes=200000&chunked=1 HTTP/1.0\r\n\r\n", 200); got != string(fakeserver.Body(200_000)) || len(res.TransferEncoding) > 0 {
 		t.Errorf("HTTP/1.0: %d bytes, %v", len(got), res.TransferEncoding)
 	}
 	s[0].SetFault(fakeserver.HalfResponse)
 	if _, got, err := connect(t, in).ask("GET", "GET /read?bytes=400000&chunked=1 HTTP/1.0\r\n\r\n"); err == nil {
-		t.Errorf("HTTP/1.0: %d bytes of an answer that broke off, and no error", len(got))
+		t.Errorf("HTTP/1.0: %d bytes of a response that broke off, and no error", len(got))
 	}
 	s[0].SetFault(fakeserver.NoFault)
 	ran := len(s[0].Records())
-	// Too long, told beforehand or not.
+	// Bodies that are too long, with and without an announced length.
 	connect(t, in).must(t, "POST", "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 5000000\r\n\r\n", 413)
 	endless := connect(t, in)
 	_ = endless.SetDeadline(time.Now().Add(long))
@@ -384,18 +385,18 @@
 	if res, _, err := endless.read("POST"); err != nil || res.StatusCode != 413 {
 		t.Errorf("a body that does not end: %v, %v, want 413", res, err)
 	}
-	// A caller that breaks off in its body leaves nothing behind.
+	// A client that disconnects in the middle of its body leaves no open call, and its request is not executed.
 	half := connect(t, in)
 	_, _ = io.WriteString(half, "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 1000000\r\n\r\n"+body[:200_000])
-	until(t, "the upload is on its way", func() bool { return i.Status().Pools[0].Open > 0 })
+	until(t, "the upload has started", func() bool { return i.Status().Pools[0].Open > 0 })
 	half.Close()
-	until(t, "it is forgotten", func() bool { return i.Status().Pools[0].Open == 0 })
+	until(t, "its call is removed", func() bool { return i.Status().Pools[0].Open == 0 })
 	if n := len(s[0].Records()); n != ran {
-		t.Errorf("%d requests ran, want none of those that did not come whole", n-ran)
+		t.Errorf("%d incomplete requests were executed", n-ran)
 	}
 }
 
-// A streamed request is sent once. What is certain of it decides whether it is refused or has failed.
+// A streamed request must be sent once. It must be rejected with 503 only if that is harmless, else fail with 502.
 func TestStreamedRequestIsSentOnce(t *testing.T) {
 	body := string(fakeserver.Body(300_000))
 	text := func(class string) string {
@@ -426,7 +427,7 @@
 			}
 		})
 	}
-	// Before a byte of it is out, another server may have it.
+	// As long as no byte of it was sent, another server may be tried.
 	s := servers(t, "a", "b")
 	i, _ := run(t, parse(t, inText, poolText("p", "", s...), routeText("pay", "/pay", "p", "pay", "")))
 	s[0].Close()
@@ -438,33 +439,33 @@
 	for range 4 {
 		_, got := connect(t, i.Addresses()["in"]).must(t, "POST", text("pay"), 200)
 		if !strings.Contains(got, "server=b") {
-			t.Errorf("answer %q", got)
+			t.Errorf("response %q", got)
 		}
 	}
 }
 
-// An answer that breaks off while it streams must show to the caller.
-func TestBrokenStreamShows(t *testing.T) {
+// A client must be able to detect that a streamed response broke off.
+func TestTruncatedStreamIsDetectable(t *testing.T) {
 	s := servers(t, "a")
 	i, _ := run(t, parse(t, inText, poolText("p", "stream_idle = \"100ms\"", s[0]), routeText("read", "/", "p", "read", "")))
 	s[0].SetFault(fakeserver.HalfResponse)
 	for _, query := range []string{"?bytes=400000", "?bytes=400000&chunked=1"} {
 		res, body, err := connect(t, i.Addresses()["in"]).ask("GET", "GET /"+query+" HTTP/1.1\r\nHost: h\r\n\r\n")
 		if err == nil || res == nil {
-			t.Errorf("%s: %d bytes and no error, of an answer that broke off", query, len(body))
+			t.Errorf("%s: %d bytes and no error, of a response that broke off", query, len(body))
 		}
 	}
-	until(t, "its calls are forgotten", func() bool { return i.Status().Pools[0].Open == 0 })
-	// A caller that reads nothing is left after a while, and its server's connection with it.
+	until(t, "its calls are removed", func() bool { return i.Status().Pools[0].Open == 0 })
+	// The response to a client that reads nothing is abandoned after a while, and with it the connection to the server.
 	s[0].SetFault(fakeserver.NoFault)
-	deaf := connect(t, i.Addresses()["in"])
-	_, _ = io.WriteString(deaf, "GET /?bytes=100000000 HTTP/1.1\r\nHost: h\r\n\r\n")
+	nonReading := connect(t, i.Addresses()["in"])
+	_, _ = io.WriteString(nonReading, "GET /?bytes=100000000 HTTP/1.1\r\nHost: h\r\n\r\n")
 	until(t, "the stream has begun", func() bool { return i.Status().Pools[0].Open > 0 })
-	until(t, "it is given up", func() bool { return i.Status().Pools[0].Open == 0 })
+	until(t, "the stream is abandoned", func() bool { return i.Status().Pools[0].Open == 0 })
 }
 
-// A pool whose servers are all gone refuses at once and says when to come back; another one does not notice.
-func TestEmptyPoolRefusesAtOnce(t *testing.T) {
+// A pool without servers must reject requests at once with a Retry-After, without affecting other pools.
+func TestEmptyPoolRejectsAtOnce(t *testing.T) {
 	s := servers(t, "a")
 	i, _ := run(t, parse(t, inText, poolText("none", ""), poolText("one", "", s[0]),
 		routeText("none", "/none", "none", "read", ""), routeText("one", "/", "one", "read", "")))
@@ -473,14 +474,15 @@
 		begun := time.Now()
 		res, _ := c.must(t, "GET", "GET /none HTTP/1.1\r\nHost: h\r\n\r\n", 503)
 		if took := time.Since(begun); took > time.Second || res.Header.Get("Retry-After") == "" {
-			t.Errorf("refused after %v with Retry-After %q", took, res.Header.Get("Retry-After"))
+			t.Errorf("rejected after %v with Retry-After %q", took, res.Header.Get("Retry-After"))
 		}
 		c.must(t, "GET", "GET / HTTP/1.1\r\nHost: h\r\n\r\n", 200)
 	}
 }
 
-// A hundred reloads under load: each request gets one answer, made by the server that its route names in one generation,
-// and runs once. The routes, the pool behind each and the path that it makes change together with every reload.
+// During a hundred reloads under load, each request must get one response, from a server of the pool to which one generation routes
+// it, and must be executed once. The route, its pool and its rewritten path change together with every reload, so that a mix of two
+// generations is detected.
 func TestReloadsUnderLoad(t *testing.T) {
 	const reloads, conns = 100, 64
 	s := servers(t, "p0", "p1", "p2")
@@ -488,29 +490,29 @@
 		j := k % 3
 		name := fmt.Sprint("p", j)
 		text := inText + poolText(name, "", s[j]) + routeText("r", "/x", name, "pay", fmt.Sprintf("replace_prefix = \"/gen%d\"", j))
-		if k%2 == 1 { // a pool that comes and goes
+		if k%2 == 1 { // a pool in every other generation
 			text += poolText("beside", "", s[(j+1)%3]) + routeText("beside", "/beside", "beside", "read", "")
 		}
-		if k%5 == 4 { // a listener that comes and goes
+		if k%5 == 4 { // a listener in every fifth generation
 			text += "\n[[listener]]\nname = \"more\"\naddress = \"127.0.0.1:0\"\n"
 		}
 		return parse(t, text, fmt.Sprintf("# %d\n", k))
 	}
 	i, stop := run(t, file(0))
 	in := i.Addresses()["in"]
-	over := make(chan struct{})
+	stopClients := make(chan struct{})
 	type result struct {
 		id, body string
 		status   int
 	}
 	results := make([][]result, conns)
-	var callers sync.WaitGroup
+	var clients sync.WaitGroup
 	for n := range conns {
-		callers.Go(func() {
+		clients.Go(func() {
 			var p *peer
 			for k := 0; ; k++ {
 				select {
-				case <-over:
+				case <-stopClients:
 					return
 				default:
 				}
@@ -547,10 +549,10 @@
 			t.Errorf("%d connections to servers, over the %d allowed", used, most)
 		}
 		from := total()
-		until(t, "requests come through the new generation", func() bool { return total() > from+conns/2 })
+		until(t, "requests are served by the new generation", func() bool { return total() > from+conns/2 })
 	}
-	close(over)
-	callers.Wait()
+	close(stopClients)
+	clients.Wait()
 	ran := map[string]string{}
 	for j := range s {
 		for _, r := range s[j].Records() {
@@ -574,18 +576,18 @@
 			case r.status == 200:
 				served++
 				if !did || !strings.HasPrefix(r.body, "server="+at+" ") || !strings.Contains(r.body, "id="+r.id+" ") {
-					t.Errorf("%s got the answer %q, but ran at %q", r.id, r.body, at)
+					t.Errorf("%s got the response %q, but ran at %q", r.id, r.body, at)
 				}
 			case did:
-				t.Errorf("%s ran at %s and was answered %d", r.id, at, r.status)
+				t.Errorf("%s ran at %s and got status %d", r.id, at, r.status)
 			case r.status != 503:
-				t.Errorf("%s was answered %d", r.id, r.status)
+				t.Errorf("%s got status %d", r.id, r.status)
 			}
 			delete(ran, r.id)
 		}
 	}
 	if len(ran) > 0 {
-		t.Errorf("%d requests ran that got no answer", len(ran))
+		t.Errorf("%d requests were executed and got no response", len(ran))
 	}
 	if all := served; all < reloads*conns/2 {
 		t.Errorf("only %d were served", all)
@@ -594,11 +596,11 @@
 	stop()
 }
 
-// Open requests of a pool that a reload removes are answered; then the pool ends.
-func TestReloadRemovesABusyPool(t *testing.T) {
+// If a reload removes a pool with open requests, they must be served; then the pool must end.
+func TestReloadRemovesBusyPool(t *testing.T) {
 	const open = 200
 	names := []string{"b"}
-	for n := range 1 + open/4 { // a copy that knows nothing yet has five calls out at a server, at most
+	for n := range 1 + open/4 { // a replica without measurements has at most five open calls at a server
 		names = append(names, fmt.Sprint("a", n))
 	}
 	s := servers(t, names...)
@@ -622,7 +624,7 @@
 		peers[n] = connect(t, in)
 		_ = peers[n].SetDeadline(time.Now().Add(long))
 		_, _ = io.WriteString(peers[n], "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
-		until(t, "it is open", func() bool { return i.Status().Pools[0].Open == n+1 })
+		until(t, "the request is open", func() bool { return i.Status().Pools[0].Open == n+1 })
 	}
 	if _, err := i.Reload(parse(t, inText, stays, "[limits]\nsockets = 4096\n")); err != nil {
 		t.Fatal(err)
@@ -642,8 +644,8 @@
 	until(t, "the pool has ended", func() bool { return len(i.Status().Pools) == 1 })
 }
 
-// A reload that cannot have all that it needs changes nothing.
-func TestReloadOfATakenPort(t *testing.T) {
+// A reload that fails because an address is in use must change nothing.
+func TestReloadWithTakenPort(t *testing.T) {
 	s := servers(t, "a")
 	base := inText + poolText("p", "", s[0])
 	i, _ := run(t, parse(t, base, routeText("r", "/", "p", "read", "")))
@@ -664,7 +666,7 @@
 	}
 }
 
-// A pool that a reload leaves as it is keeps its module and connections; one whose servers alone change keeps them too.
+// A pool that a reload does not change, or of which it changes only the servers, must keep its decision module and connections.
 func TestReloadKeepsPools(t *testing.T) {
 	s := servers(t, "a", "b")
 	file := func(prefix string, more ...*fakeserver.Server) *operator.Config {
@@ -680,11 +682,11 @@
 		}
 		c.must(t, "GET", "GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 200)
 		if i.current.pools["p"] != p {
-			t.Error("the pool was made anew")
+			t.Error("the pool was replaced")
 		}
 	}
 	if s[0].ConnsOpened() != 1 {
-		t.Errorf("%d connections to the server that stayed, want one", s[0].ConnsOpened())
+		t.Errorf("%d connections to the server that was kept, want one", s[0].ConnsOpened())
 	}
 	until(t, "connections to the removed server are closed", func() bool { _, _, _, n := s[0].Counts(); return n == 0 })
 	from, _, _, _ := s[0].Counts()
@@ -703,8 +705,8 @@
 	}
 }
 
-// A request stays with the pool that took it: its second attempt goes to that pool's servers, though its route leads
-// elsewhere by then.
+// A request must stay in its pool: its second attempt must go to the servers of that pool, even if a reload has changed its route
+// meanwhile.
 func TestRouteChangesBetweenAttempts(t *testing.T) {
 	s := servers(t, "a1", "a2", "b")
 	held, release := make(chan struct{}, 2), make(chan struct{})
@@ -732,16 +734,16 @@
 	}
 	freed()
 	if res, body, err := c.read("POST"); err != nil || res.StatusCode != 200 || !strings.HasPrefix(body, "server=a") {
-		t.Errorf("answer %q, %v, want one of pool a", body, err)
+		t.Errorf("response %q, %v, want one of pool a", body, err)
 	}
 	if _, body := c.must(t, "POST", "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", 200); !strings.HasPrefix(body, "server=b ") {
 		t.Errorf("the next request on the connection got %q, want one of pool b", body)
 	}
 }
 
-// A listener that a reload removes ends in order: what was accepted is served, by the last routes that knew it; a next
-// reload can have its address back at once.
-func TestListenerComesAndGoes(t *testing.T) {
+// A listener that a reload removes must end gracefully: accepted connections are served by its last routes. A later reload must be able
+// to open its address again at once.
+func TestListenerIsRemovedAndReopened(t *testing.T) {
 	s := servers(t, "a")
 	free := listen(t)
 	addr := free.Addr().String()
@@ -757,17 +759,17 @@
 	}
 	for _, p := range []*peer{used, silent} {
 		if res, _ := p.must(t, "GET", "GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 200); !res.Close {
-			t.Error("a connection of a removed listener goes on after its answer")
+			t.Error("a connection of a removed listener stays open after its response")
 		}
 	}
-	if _, err := i.Reload(parse(t, base, more, "#\n")); err != nil { // within the same instant
+	if _, err := i.Reload(parse(t, base, more, "#\n")); err != nil { // at once
 		t.Fatal(err)
 	}
 	connect(t, addr).must(t, "GET", "GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 200)
 	if _, err := i.Reload(parse(t, base, "##\n")); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "its address is refused", func() bool {
+	until(t, "connections to its address are refused", func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			c.Close()
@@ -776,9 +778,8 @@
 	})
 }
 
-// Reloads at once are taken one after the other, and one that meets the end of the instance is refused or done, not half
-// of it.
-func TestReloadsAtOnce(t *testing.T) {
+// Concurrent reloads must be done one after the other, and a reload during the shutdown must be done completely or fail.
+func TestConcurrentReloads(t *testing.T) {
 	s := servers(t, "a")
 	file := func(k int) *operator.Config {
 		return parse(t, inText, poolText("p", fmt.Sprintf("attempts = %d", 1+k%3), s[0]), routeText("r", "/", "p", "read", ""), fmt.Sprintf("# %d\n", k))
@@ -818,8 +819,8 @@
 	}
 }
 
-// SIGTERM with a stalled server: its calls are answered before the end, and a stream that goes on is cut so that its
-// caller can tell.
+// At a shutdown with a stalled server, its calls must be answered before the end, and a stream that is still open must be cut off so
+// that its client can detect that.
 func TestInstanceDrainEnds(t *testing.T) {
 	s := servers(t, "a")
 	i, stop := run(t, parse(t, inText, poolText("p", "", s[0]), routeText("r", "/", "p", "pay", ""), routeText("s", "/s", "p", "read", ""),
@@ -829,26 +830,25 @@
 	_, _ = io.WriteString(stream, "GET /s?bytes=50000000 HTTP/1.1\r\nHost: h\r\n\r\n")
 	begun, err := http.ReadResponse(stream.reader, nil)
 	if err != nil || begun.StatusCode != 200 {
-		t.Fatalf("the stream does not begin: %v, %v", begun, err)
+		t.Fatalf("the stream does not start: %v, %v", begun, err)
 	}
 	s[0].SetFault(fakeserver.NoResponse)
 	c := connect(t, i.Addresses()["in"])
 	_ = c.SetDeadline(time.Now().Add(long))
 	_, _ = io.WriteString(c, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nX-Deadline: 60\r\n\r\n")
-	until(t, "it has reached the server", func() bool { n, _, _, _ := s[0].Counts(); return n == 2 })
+	until(t, "the request has reached the server", func() bool { n, _, _, _ := s[0].Counts(); return n == 2 })
 	ended := make(chan struct{})
 	go func() { stop(); close(ended) }()
 	if res, _, err := c.read("POST"); err != nil || res.StatusCode != 502 {
-		t.Errorf("answer %v, %v, want a failure", res, err)
+		t.Errorf("response %v, %v, want a failure", res, err)
 	}
 	<-ended
 	if n, err := io.Copy(io.Discard, begun.Body); err == nil {
-		t.Errorf("a stream of %d bytes ended as if it were whole", n)
+		t.Errorf("a truncated stream of %d bytes ended as if it were complete", n)
 	}
 }
 
-// One pool in outage, with as many callers as it can have, must leave the other pool's served share and times as they
-// were.
+// An outage of one pool under high load must not affect the success and the latency of another pool.
 func TestOutageStaysInItsPool(t *testing.T) {
 	s := servers(t, "sick1", "sick2", "well")
 	s[2].SetWork(2 * time.Millisecond)
@@ -858,10 +858,10 @@
 	measure := func() (p99 time.Duration) {
 		var mu sync.Mutex
 		var took []time.Duration
-		var callers sync.WaitGroup
+		var clients sync.WaitGroup
 		for range 4 {
 			p := connect(t, in)
-			callers.Go(func() {
+			clients.Go(func() {
 				for range 100 {
 					begun := time.Now()
 					res, body, err := p.ask("GET", "GET /well HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -875,7 +875,7 @@
 				}
 			})
 		}
-		callers.Wait()
+		clients.Wait()
 		if t.Failed() {
 			t.FailNow()
 		}
@@ -922,8 +922,8 @@
 	}
 }
 
-// A watched file: a server that is marked as draining gets nothing new, a file that cannot be read changes nothing, and
-// a server that is added gets requests.
+// If a watched server file changes, an added server must get requests and a server that is marked as draining must get no new ones. An
+// invalid file must change nothing.
 func TestServerFileIsWatched(t *testing.T) {
 	s := servers(t, "a", "b")
 	path := filepath.Join(t.TempDir(), "servers.toml")
@@ -947,7 +947,7 @@
 		return body[:len("server=a")]
 	}
 	if got := ask(); got != "server=a" {
-		t.Errorf("%s answers, want a", got)
+		t.Errorf("%s responded, want a", got)
 	}
 	write(line(s[0], "ready") + line(s[1], "ready"))
 	until(t, "b gets requests", func() bool { return ask() == "server=b" })
@@ -959,37 +959,37 @@
 		ask()
 	}
 	if n, _, _, _ := s[0].Counts(); n != from {
-		t.Errorf("%d requests went to a server that drains", n-from)
+		t.Errorf("%d requests went to a draining server", n-from)
 	}
 	if st := i.Status().Pools[0]; st.Servers != 2 {
-		t.Errorf("%d servers after a file that cannot be used, want the 2 from before", st.Servers)
+		t.Errorf("%d servers after an invalid file, want the 2 from before", st.Servers)
 	}
 }
 
-// What discovery tells reaches the pool as on the platform.
+// Lists from discovery must be applied to a pool in the same way as with the platform's protocol.
 func TestPoolFollowsDiscovery(t *testing.T) {
 	s := servers(t, "a")
-	tell := make(chan List, 2)
+	lists := make(chan List, 2)
 	addr := discover(t, func(_ string, send func(List), beat func()) {
-		for l := range tell {
+		for l := range lists {
 			send(l)
 		}
 	})
 	i, _ := run(t, parse(t, inText, poolText("p", fmt.Sprintf("source = { type = \"discovery\", address = %q }", addr)), routeText("r", "/", "p", "read", "")))
 	c := connect(t, i.Addresses()["in"])
 	c.must(t, "GET", "GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 503)
-	tell <- List{Rev: 1, Full: true, Targets: []Target{{UID: "s-1", Endpoint: s[0].Addr(), State: "Ready"}}}
-	until(t, "the list has come", func() bool { return i.Status().Pools[0].Usable == 1 })
+	lists <- List{Rev: 1, Full: true, Targets: []Target{{UID: "s-1", Endpoint: s[0].Addr(), State: "Ready"}}}
+	until(t, "the list is applied", func() bool { return i.Status().Pools[0].Usable == 1 })
 	c.must(t, "GET", "GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 200)
-	tell <- List{Rev: 2, Targets: []Target{{UID: "s-1", Endpoint: s[0].Addr(), State: "Gone"}}}
-	until(t, "it is gone", func() bool { return i.Status().Pools[0].Servers == 0 })
+	lists <- List{Rev: 2, Targets: []Target{{UID: "s-1", Endpoint: s[0].Addr(), State: "Gone"}}}
+	until(t, "the server is removed", func() bool { return i.Status().Pools[0].Servers == 0 })
 	c.must(t, "GET", "GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 503)
-	close(tell)
+	close(lists)
 }
 
-// The bodies that the stand-in makes are told apart by their length, so a mix-up shows.
-func TestStandinBodies(t *testing.T) {
+// Bodies of different lengths from the fake server must differ, so that tests detect a mix-up.
+func TestFakeServerBodies(t *testing.T) {
 	if bytes.Equal(fakeserver.Body(100)[:50], fakeserver.Body(101)[:50]) {
-		t.Error("bodies of two lengths begin alike")
+		t.Error("bodies of 100 and 101 bytes start with the same 50 bytes")
 	}
 }
--- a/internal/sidecar/interop_test.go
+++ b/internal/sidecar/interop_test.go
@@ -25,7 +25,8 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-// interopServer is grpc-go's server for its own interoperability cases, with a few answers more.
+// interopServer is grpc-go's server for its interoperability cases, extended by error details, early headers and a record of the
+// metadata that it receives.
 type interopServer struct {
 	testpb.TestServiceServer
 	seen chan metadata.MD
@@ -48,7 +49,7 @@
 	if err := stream.SendHeader(metadata.Pairs("x-early", "yes")); err != nil {
 		return err
 	}
-	for { // the head goes out long before all else
+	for { // the headers are sent long before the first message
 		in, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -62,7 +63,7 @@
 	}
 }
 
-// startInterop runs the server of grpc-go behind an instance, and gives a client's connection to that.
+// startInterop runs the server of grpc-go behind an instance, and returns a client connection to the instance.
 func startInterop(t *testing.T, class string) (*grpc.ClientConn, *interopServer) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,17 +90,17 @@
 	}
 	t.Cleanup(func() {
 		cc.Close()
-		srv.Stop() // before the instance, whose leaks are looked for then
+		srv.Stop() // before the instance, as stopping that checks for leaked goroutines
 		<-served
 		stop()
 	})
 	return cc, server
 }
 
-// TestInterop plays the cases of grpc-go's interoperability client through an instance: once under a class of unary calls,
-// where streams are found by their framing, and once under one of streams. A case that fails ends the test program.
+// TestInterop runs the cases of grpc-go's interoperability client through an instance, under classes of unary calls, where streams are
+// recognized by their framing, and under one of streams. A case that fails ends the test program.
 func TestInterop(t *testing.T) {
-	for name, play := range map[string]func(context.Context, testpb.TestServiceClient, *grpc.ClientConn){
+	for name, runCase := range map[string]func(context.Context, testpb.TestServiceClient, *grpc.ClientConn){
 		"empty_unary":                 caseOf(interop.DoEmptyUnaryCall),
 		"large_unary":                 caseOf(interop.DoLargeUnaryCall),
 		"client_streaming":            caseOf(interop.DoClientStreaming),
@@ -121,13 +122,13 @@
 	} {
 		for _, class := range []string{"pay", "read", "stream"} {
 			if class == "read" && strings.Contains(name, "status") {
-				continue // a safe call that failed is refused: it may be asked again
+				continue // a safe call that failed is rejected, as the client may retry it
 			}
 			t.Run(name+"/"+class, func(t *testing.T) {
 				cc, _ := startInterop(t, class)
 				ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 				defer cancel()
-				play(ctx, testpb.NewTestServiceClient(cc), cc)
+				runCase(ctx, testpb.NewTestServiceClient(cc), cc)
 			})
 		}
 	}
@@ -137,9 +138,9 @@
 	return func(ctx context.Context, tc testpb.TestServiceClient, _ *grpc.ClientConn) { do(ctx, tc) }
 }
 
-// TestInteropMore covers what those cases leave out: details, compression, early heads, long messages, reflection, health,
-// and what a server sees of metadata.
-func TestInteropMore(t *testing.T) {
+// TestInteropExtensions covers what the cases of TestInterop leave out: error details, compression, early headers, long messages,
+// reflection, health, and the metadata that a server receives.
+func TestInteropExtensions(t *testing.T) {
 	for _, class := range []string{"pay", "read"} {
 		t.Run(class, func(t *testing.T) {
 			cc, server := startInterop(t, class)
@@ -159,7 +160,7 @@
 			if err != nil || len(out.GetPayload().GetBody()) != 100 {
 				t.Errorf("compressed: %v", err)
 			}
-			<-server.seen // of the first
+			<-server.seen // metadata of the previous call
 			if _, err := tc.UnaryCall(metadata.AppendToOutgoingContext(ctx, "x-some-bin", "\x00\xff,", "x-some-bin", "two", "x-request-id", "mine"), &testpb.SimpleRequest{}); err != nil {
 				t.Fatal(err)
 			}
@@ -174,7 +175,7 @@
 			}
 			begun := time.Now()
 			if head, err := half.Header(); err != nil || head.Get("x-early") == nil || time.Since(begun) > time.Second {
-				t.Errorf("early head: %v, %v after %v", head, err, time.Since(begun))
+				t.Errorf("early headers: %v, %v after %v", head, err, time.Since(begun))
 			}
 			for n := range 3 {
 				body := bytes.Repeat([]byte{byte(n)}, 200_000)
@@ -194,7 +195,7 @@
 				t.Errorf("over the limit: %v", err)
 			}
 			if out, err = tc.UnaryCall(ctx, &testpb.SimpleRequest{ResponseSize: 3 << 20}); err != nil || len(out.GetPayload().GetBody()) != 3<<20 {
-				t.Errorf("a long answer: %v", err)
+				t.Errorf("long response: %v", err)
 			}
 
 			info, err := reflectionpb.NewServerReflectionClient(cc).ServerReflectionInfo(ctx)
@@ -216,7 +217,7 @@
 				t.Errorf("health: %v, %v", h, err)
 			}
 			if _, err := health.Check(ctx, &healthpb.HealthCheckRequest{Service: "x"}); status.Code(err) != codes.NotFound {
-				t.Errorf("health of another: %v", err)
+				t.Errorf("health of an unknown service: %v", err)
 			}
 		})
 	}
--- a/internal/sidecar/levels_test.go
+++ b/internal/sidecar/levels_test.go
@@ -15,7 +15,7 @@
 	"milletmast/internal/fakeserver"
 )
 
-// levelText is a ladder of two levels, the first of them with what is given.
+// levelText is the text of two levels, the first of them with the given lines.
 func levelText(more string) string {
 	return `
 [[pool.level]]
@@ -45,9 +45,10 @@
 `
 }
 
+// halfOfReads makes a level shed half of the callers of class read.
 const halfOfReads = "[[pool.level.shed]]\nclass = \"read\"\nshare = 0.5\n"
 
-// levelOf is the status of a pool's levels.
+// levelOf returns the status of the levels of a pool.
 func levelOf(t testing.TB, i *Instance, pool string) *degradation.Status {
 	t.Helper()
 	for _, p := range i.Status().Pools {
@@ -67,9 +68,9 @@
 	}
 }
 
-// What a level sheds is refused at once with what the file says, reaches no server, and is the same callers each time; what it does
-// not shed has its attempts and its time.
-func TestShedOverSockets(t *testing.T) {
+// A request that a level sheds must get the response that the file sets, at once, and reach no server. A level with a share must shed
+// the same callers each time. Other requests must have the attempts and the deadline of the level.
+func TestShedByLevel(t *testing.T) {
 	s := servers(t, "a", "b")
 	i, _ := run(t, parse(t, inText, poolText("p", "level_caller = \"X-App\"", s...), levelText(halfOfReads),
 		routeText("read", "/read", "p", "read", ""), routeText("pay", "/pay", "p", "pay", ""), routeText("add", "/add", "p", "add", "")))
@@ -91,12 +92,12 @@
 			if status != 200 && status != 503 {
 				t.Fatalf("status %d", status)
 			}
-			// Where all that is asked for would be shed nothing is: what is kept must be asked for too, before the first look at that.
+			// A level sheds nothing if it would shed all requests: send requests that it keeps before the first update of the level.
 			c.must(t, "POST", "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", 200)
 			if round == 0 {
 				shed[app] = status == 503
 			} else if shed[app] != (status == 503) {
-				t.Errorf("round %d: caller %d is told %d", round, app, status)
+				t.Errorf("round %d: caller %d gets status %d, another one than before", round, app, status)
 			}
 		}
 		served := 0
@@ -105,7 +106,7 @@
 				served++
 			}
 		}
-		// On a machine that stands still a read may be sent again.
+		// If the machine stalls, a read may be retried.
 		if n := reached() - before - 60; served < 15 || served > 45 || n < served || n > served+5 {
 			t.Errorf("%d of 60 callers are served, %d requests reached servers", served, n)
 		}
@@ -122,10 +123,10 @@
 		t.Errorf("body %q", body)
 	}
 	if reached() != before {
-		t.Error("what was shed reached a server")
+		t.Error("a shed request reached a server")
 	}
 	c.must(t, "POST", "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", 200)
-	// One attempt, and a fifth of two seconds.
+	// The level allows one attempt, and 0.2 of the two seconds.
 	s[0].SetFault(fakeserver.NotExecuted)
 	s[1].SetFault(fakeserver.NotExecuted)
 	before = reached()
@@ -138,17 +139,17 @@
 	began = time.Now()
 	c.must(t, "POST", "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", 502)
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("answered after %v", took)
+		t.Errorf("response after %v", took)
 	}
 	list := s[0].Records()
 	if list = append(list, s[1].Records()...); len(list) == 0 {
-		t.Fatal("nothing reached a server")
+		t.Fatal("no request reached a server")
 	}
 	for _, r := range list {
 		left := 0.0
 		if r.Fault == fakeserver.NoResponse {
 			if _, _ = fmt.Sscan(r.Header.Get("X-Deadline"), &left); left <= 0 || left > 0.4 {
-				t.Errorf("the server was told %q", r.Header.Get("X-Deadline"))
+				t.Errorf("the server received X-Deadline %q", r.Header.Get("X-Deadline"))
 			}
 		}
 	}
@@ -157,7 +158,8 @@
 	}
 }
 
-// A level is entered by itself when requests wait, shown with its reason, and left when they do not; of two pools each has its own.
+// A level must be entered when requests wait, with its reason in the status, and left when they no longer wait. The levels of another
+// pool must not be affected.
 func TestLevelsBySignals(t *testing.T) {
 	s := servers(t, "a", "b")
 	s[0].SetCores(1)
@@ -166,7 +168,7 @@
 		routeText("p", "/p", "p", "read", ""), routeText("q", "/q", "q", "read", "")))
 	addr := i.Addresses()["in"]
 	stop, done := make(chan struct{}), make(chan struct{})
-	go func() { // more than the server takes: the module lets some wait
+	go func() { // more than the server can process, so that the decision module queues some
 		defer close(done)
 		var all []chan struct{}
 		for {
@@ -205,13 +207,13 @@
 	close(stop)
 	<-done
 	http.DefaultClient.CloseIdleConnections()
-	until(t, "pool p is back", func() bool { return levelOf(t, i, "p").Level == degradation.Normal })
+	until(t, "pool p is back at the normal level", func() bool { return levelOf(t, i, "p").Level == degradation.Normal })
 	if st := levelOf(t, i, "p"); st.ChangeCount < 2 || !st.EarliestLeave.IsZero() {
 		t.Errorf("%+v", st)
 	}
 }
 
-// A reload that renames, removes or keeps the level in force, also where the pool is made anew by it.
+// A reload may rename, remove or keep the current level, also if it replaces the pool.
 func TestLevelsOverReloads(t *testing.T) {
 	s := servers(t, "a")
 	file := func(more, levels string) string {
@@ -238,7 +240,7 @@
 		t.Errorf("%+v", st)
 	}
 	pin(t, i, "only-paid")
-	load(file("attempts = 2", strings.ReplaceAll(levelText(""), "essential", "only-paid"))) // another module
+	load(file("attempts = 2", strings.ReplaceAll(levelText(""), "essential", "only-paid"))) // replaces the decision module
 	is("only-paid")
 	if st := levelOf(t, i, "p"); st.PinnedUntil.IsZero() {
 		t.Errorf("the pin is lost: %+v", st)
@@ -265,22 +267,23 @@
 	}
 }
 
-// The share of servers that are usable, and warm, are signals: those that drain, and those that have just started.
-func TestServersAreSignals(t *testing.T) {
+// The signals must include the share of usable servers, which excludes draining ones, and the share of warm ones, which excludes a part
+// of servers that have just started.
+func TestServerStateSignals(t *testing.T) {
 	s := servers(t, "a", "b", "c", "d")
 	text := strings.Replace(poolText("p", "ramp = \"1h\"\ncold_from = 0.2", s...), "address = \""+s[0].Addr()+"\"",
 		"address = \""+s[0].Addr()+"\"\nstate = \"draining\"", 1)
 	text = strings.Replace(text, "address = \""+s[1].Addr()+"\"", "address = \""+s[1].Addr()+"\"\nstarted = \""+time.Now().UTC().Format(time.RFC3339)+"\"", 1)
 	i, _ := run(t, parse(t, inText, text, levelText(""), routeText("read", "/", "p", "read", "")))
-	until(t, "the signals are told", func() bool {
+	until(t, "the status has the signals", func() bool {
 		st := levelOf(t, i, "p")
 		return st.Signals[degradation.UsableRatio] == 0.75 && st.Signals[degradation.WarmRatio] > 2.2/3-0.01 &&
 			st.Signals[degradation.WarmRatio] < 2.2/3+0.01
 	})
 }
 
-// A gRPC call that is shed is told to come back, and when.
-func TestShedCall(t *testing.T) {
+// A gRPC call that a level sheds must get UNAVAILABLE and reach no server.
+func TestShedRPC(t *testing.T) {
 	s := servers(t, "a")
 	shed := "\n[[pool.level]]\nname = \"lean\"\nenter = [{ signal = \"wait\", over = 1 }]\n[[pool.level.shed]]\nclass = \"read\"\nretry_after = \"3s\"\n"
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", "", s...), shed, rpcRoutes("p")))
@@ -295,6 +298,6 @@
 		t.Errorf("%v", err)
 	}
 	if after, _, _, _ := s[0].Counts(); after != before {
-		t.Error("it reached a server")
+		t.Error("a shed call reached a server")
 	}
 }
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -8,8 +8,8 @@
 	"milletmast/balancer"
 )
 
-// idle is a loop with nothing to do that runs in its own goroutine.
-func idle(t *testing.T) *eventLoop {
+// startIdleLoop starts an event loop without work, in its own goroutine.
+func startIdleLoop(t *testing.T) *eventLoop {
 	t.Helper()
 	cfg := config(t)
 	l, err := newEventLoop(&cfg, newUpstream(balancer.Limits{}, 0, 4))
@@ -20,26 +20,27 @@
 	return l
 }
 
-// A loop that is told to end while it does what it was asked: who asked waits until that is done, and may read what it wrote.
-func TestAskWaitsWhileItRuns(t *testing.T) {
+// If the event loop is stopped while it runs a function, do must still wait for the function, so that its caller may read what the
+// function wrote.
+func TestDoWaitsForRunningFunction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := idle(t)
-		taken, release := make(chan struct{}), make(chan struct{})
+		l := startIdleLoop(t)
+		started, release := make(chan struct{}), make(chan struct{})
 		var returned atomic.Bool
 		n, ran := 0, false
 		go func() {
 			ran = l.do(func() {
-				close(taken)
+				close(started)
 				<-release
 				n = 1
 			})
 			returned.Store(true)
 		}()
-		<-taken
+		<-started
 		close(l.stop)
-		synctest.Wait() // all that can go on without release has
+		synctest.Wait() // all goroutines wait for release
 		if returned.Load() {
-			t.Error("returned while it runs")
+			t.Error("do returned while the function was running")
 		}
 		close(release)
 		synctest.Wait()
@@ -49,53 +50,53 @@
 	})
 }
 
-// What waits in the mail of a loop that ends runs or never does, and who asked is told which.
-func TestAskSaysWhetherItRan(t *testing.T) {
-	for range 50 { // the loop may take the end or the mail first
+// A function that is queued when the event loop stops may or may not run, and do must report which.
+func TestDoReportsWhetherFunctionRan(t *testing.T) {
+	for range 50 { // the loop may receive the stop or the function first
 		synctest.Test(t, func(t *testing.T) {
-			l := idle(t)
+			l := startIdleLoop(t)
 			release := make(chan struct{})
 			l.post(func() { <-release })
 			var wrote atomic.Bool
-			said := make(chan bool, 1)
-			go func() { said <- l.do(func() { wrote.Store(true) }) }()
+			reported := make(chan bool, 1)
+			go func() { reported <- l.do(func() { wrote.Store(true) }) }()
 			synctest.Wait()
 			close(l.stop)
 			close(release)
 			synctest.Wait()
-			if s := <-said; s != wrote.Load() {
-				t.Errorf("said %v, wrote %v", s, wrote.Load())
+			if ran := <-reported; ran != wrote.Load() {
+				t.Errorf("do returned %v, but the function ran: %v", ran, wrote.Load())
 			}
 			if l.do(func() {}) {
-				t.Error("a loop that is over did what it was asked")
+				t.Error("a stopped event loop ran a function")
 			}
 		})
 	}
 }
 
-// An answer that was given as the last thing before the loop ended is the answer.
-func TestLastWordIsTheAnswer(t *testing.T) {
+// A response that the event loop sends in its last function before it stops must be delivered.
+func TestResponseOfLastFunction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := idle(t)
-		taken, release := make(chan struct{}), make(chan struct{})
-		answered := make(chan response, 1)
+		l := startIdleLoop(t)
+		started, release := make(chan struct{}), make(chan struct{})
+		responses := make(chan response, 1)
 		l.post(func() {
-			close(taken)
+			close(started)
 			<-release
-			answered <- response{status: 200}
+			responses <- response{status: 200}
 		})
-		<-taken
+		<-started
 		close(l.stop)
 		synctest.Wait()
 		select {
 		case <-l.stopped:
-			t.Fatal("over while it still gives an answer")
+			t.Fatal("the event loop stopped while a function was running")
 		default:
 		}
 		close(release)
 		<-l.stopped
-		if a, ok := pollResponse(answered); !ok || a.status != 200 {
-			t.Errorf("%v, %v", a, ok)
+		if r, ok := pollResponse(responses); !ok || r.status != 200 {
+			t.Errorf("%v, %v", r, ok)
 		}
 	})
 }
