--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -33,7 +33,7 @@
 
 	respond         func(response) // receives the one final response
 	backstop        *timedTask
-	ended           bool      // it has its final response, or its client has left
+	ended           bool      // it has its final response, or its client has disconnected
 	isStreaming     bool      // its response is streamed: the end of its attempt is that of the call
 	mayHaveExecuted bool      // an attempt that has ended may have been executed
 	firstExecutedAt time.Time // when the first such attempt was sent
--- a/internal/sidecar/clientconns.go
+++ b/internal/sidecar/clientconns.go
@@ -87,7 +87,7 @@
 	mu         sync.Mutex
 	open       int
 	idleUnused *list.List           // connections that carried no request yet, the one idle longest first
-	idleUsed   *list.List           // others without an open request, likewise
+	idleUsed   *list.List           // other connections without an open request, the one idle longest first
 	all        map[*clientConn]bool // nil if closeAll is not needed
 }
 
--- a/internal/sidecar/describe.go
+++ b/internal/sidecar/describe.go
@@ -14,7 +14,8 @@
 
 const badDeadlineMessage = "X-Deadline is no time"
 
-// parseDeadline returns how many seconds the client waits, if it has sent that. It returns ok = false if the header is invalid.
+// parseDeadline returns how many seconds the client waits, if the header X-Deadline is given. It returns ok = false if the header is
+// invalid.
 func parseDeadline(h http.Header) (left float64, given, ok bool) {
 	text := h.Get("X-Deadline")
 	if text == "" {
--- a/internal/sidecar/grpcrequest.go
+++ b/internal/sidecar/grpcrequest.go
@@ -140,7 +140,7 @@
 			_ = s.SendEnd(nil) // its error is that of the stream, which reading the response reports
 			return
 		}
-		if err != nil { // the client has left, or the request is invalid
+		if err != nil { // the client has disconnected, or the request is invalid
 			s.Reset(http2.ErrCodeCancel)
 			return
 		}
--- a/internal/sidecar/instance.go
+++ b/internal/sidecar/instance.go
@@ -12,7 +12,7 @@
 	"milletmast/internal/state"
 )
 
-// Instance is a sidecar under an operator file: listeners, routes and pools, in generations. A generation is one loaded file.
+// Instance is a sidecar that an operator file configures: listeners, routes and pools, in generations. A generation is one loaded file.
 // It is built completely before it replaces the current one, in one step. A request belongs to the generation that accepted it
 // until it is answered, and a pool ends when no generation that uses it has a request left.
 type Instance struct {
--- a/internal/sidecar/instance_test.go
+++ b/internal/sidecar/instance_test.go
@@ -701,7 +701,7 @@
 	}
 	c.must(t, "GET", "GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 200)
 	if i.current.pools["p"] == p {
-		t.Error("a pool with other settings kept its module")
+		t.Error("a pool with other settings kept its decision module")
 	}
 }
 
--- a/internal/sidecar/levels.go
+++ b/internal/sidecar/levels.go
@@ -266,7 +266,7 @@
 	if p == nil {
 		return fmt.Errorf("%w: %q", ErrUnknownPool, name)
 	}
-	err := fmt.Errorf("%w: %q", ErrUnknownPool, name) // if the pool has just ended
+	err := fmt.Errorf("%w: %q", ErrUnknownPool, name) // returned if the pool has just ended
 	p.loop.do(func() {
 		if p.loop.levels == nil {
 			err = fmt.Errorf("%w: %q", ErrNoLevels, name)
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -34,7 +34,7 @@
 	timer         *time.Timer
 	timerAt       float64 // ms, when the timer fires
 	serverIDs     *serverIDs
-	listed        map[uint32]bool   // the servers that the module knows, and whether they are ready
+	listed        map[uint32]bool   // the servers that the decision module has, and whether they are ready
 	usable        int               // servers that are ready
 	targets       map[string]Target // the list as it was received, by uid
 	overrides     override.Set      // servers that operators have taken out of use
