--- a/internal/budget/context.go
+++ b/internal/budget/context.go
@@ -1,6 +1,6 @@
-// Package budget bounds what one external request costs in all tiers behind it: the call context that
-// crosses tiers, and how its retries are divided over a tree of calls. It does no I/O; the time is
-// passed in.
+// Package budget bounds the attempts that one external request causes in all tiers behind it. It has
+// the call context that crosses tiers, and divides the retries of the request over a tree of calls. It
+// does no I/O; the time is passed in.
 package budget
 
 import (
@@ -22,14 +22,14 @@
 	MaxWorth    = 1e6
 	maxLength   = 320
 	maxTimeLeft = 999_999_999 * time.Millisecond
-	notExecuted = "no" // value of again: no earlier attempt may have been executed
+	notExecuted = "no" // value of the field again if no earlier attempt may have been executed
 )
 
 // Context is what a call carries from the tiers before it. Its grammar is in docs/operate/tiers.md.
 type Context struct {
 	Root            string        // of the external request: 16 hexadecimal digits
 	Attempt         string        // of the calling tier, that this call is part of: 8 hexadecimal digits
-	Worth           float64       // of the external request
+	Worth           float64       // priority weight of the external request
 	TimeLeft        time.Duration // time left when the attempt was sent
 	Retries         int           // retries for all calls of that attempt together
 	MayHaveExecuted bool          // an earlier attempt, at any tier, may have executed all of this
@@ -67,9 +67,9 @@
 	}
 	c := &Context{}
 	fields := strings.Split(rest, ";")
-	readers := [...]struct {
-		name string
-		read func(string) bool
+	parsers := [...]struct {
+		name  string
+		parse func(string) bool
 	}{
 		{"root", func(v string) bool { c.Root = v; return isHex(v, 16) }},
 		{"at", func(v string) bool { c.Attempt = v; return isHex(v, 8) }},
@@ -98,27 +98,30 @@
 			return len(c.Path) <= MaxHops
 		}},
 	}
-	if len(fields) != len(readers) {
-		return nil, fmt.Errorf("%s has %d fields, not %d", Header, len(fields), len(readers))
+	if len(fields) != len(parsers) {
+		return nil, fmt.Errorf("%s has %d fields, not %d", Header, len(fields), len(parsers))
 	}
-	for i, r := range readers {
-		value, ok := strings.CutPrefix(fields[i], r.name+"=")
-		if !ok || !r.read(value) {
-			return nil, fmt.Errorf("%s: %s cannot be read", Header, r.name)
+	for i, p := range parsers {
+		value, ok := strings.CutPrefix(fields[i], p.name+"=")
+		if !ok || !p.parse(value) {
+			return nil, fmt.Errorf("%s: %s cannot be read", Header, p.name)
 		}
 	}
 	return c, nil
 }
 
-// parseWorth parses a worth of up to three decimals, without trailing zeros.
+// parseWorth parses a priority weight of up to three decimals, without trailing zeros.
 func (c *Context) parseWorth(v string) bool {
-	whole, part, dotted := strings.Cut(v, ".")
-	n, ok := parseNumber(whole, MaxWorth)
-	if !ok || dotted && (len(part) < 1 || len(part) > 3 || strings.HasSuffix(part, "0") || strings.Trim(part, "0123456789") != "") {
+	integer, decimals, hasPoint := strings.Cut(v, ".")
+	n, ok := parseNumber(integer, MaxWorth)
+	if !ok {
+		return false
+	}
+	if hasPoint && (len(decimals) < 1 || len(decimals) > 3 || strings.HasSuffix(decimals, "0") || strings.Trim(decimals, "0123456789") != "") {
 		return false
 	}
 	c.Worth = float64(n)
-	if dotted {
+	if hasPoint {
 		f, err := strconv.ParseFloat(v, 64)
 		if err != nil || f > MaxWorth {
 			return false
--- a/internal/budget/table.go
+++ b/internal/budget/table.go
@@ -63,14 +63,14 @@
 	return n
 }
 
-// Return adds what was delegated to an attempt that was certainly never executed.
+// Return adds the retries that were delegated to an attempt that was certainly never executed.
 func (p *RetryBudget) Return(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.left = min(p.left+max(n, 0), MaxRetries)
 }
 
-// Table holds the budgets of attempts by root and attempt. An entry that was evicted early would give
+// Table holds the budgets of attempts by root and attempt. An entry that is evicted early would grant
 // its retries twice, so none is: when the table is full, calls get an empty budget.
 type Table struct {
 	maxEntries int
@@ -87,12 +87,12 @@
 }
 
 // NewTable returns a table of at most maxEntries budgets.
-func NewTable(most int) *Table {
-	return &Table{maxEntries: most, entries: map[string]*list.Element{}, lru: list.New()}
+func NewTable(maxEntries int) *Table {
+	return &Table{maxEntries: maxEntries, entries: map[string]*list.Element{}, lru: list.New()}
 }
 
-// MinRetention is for how long a budget is kept at least: calls of an attempt arrive while its time
-// runs.
+// MinRetention is the minimum time for which a budget is kept, as calls of an attempt may arrive until
+// its deadline.
 const MinRetention = time.Second
 
 // Get returns the budget of the attempt that a call is part of.
--- a/internal/clusterview/config.go
+++ b/internal/clusterview/config.go
@@ -7,10 +7,10 @@
 
 // Config is the configuration of a Tracker.
 type Config struct {
-	ConfiguredReplicas int // replicas by the operator file, used while no other is known; at least 1
+	ConfiguredReplicas int // replicas by the operator file, used while no other member is known; at least 1
 	ConfiguredRank     int // rank of this replica by the operator file
 
-	// SettleTime is how long the members must stay the same to be agreed on.
+	// SettleTime is how long the members must stay the same before the view is Agreed.
 	SettleTime time.Duration
 	// HoldTime is how long an uncertain replica keeps its last agreed position; afterwards it assumes twice as many
 	// replicas. Failures with one cause must be detected within half of it.
@@ -39,22 +39,26 @@
 func (c *Config) validate() error {
 	switch {
 	case c.ConfiguredReplicas < 1 || c.ConfiguredRank < 0 || c.ConfiguredRank >= c.ConfiguredReplicas:
-		return fmt.Errorf("view: rank %d of %d copies", c.ConfiguredRank, c.ConfiguredReplicas)
+		return fmt.Errorf(
+			"clusterview: rank %d of %d replicas: there must be at least 1 replica, and ranks count from 0",
+			c.ConfiguredRank,
+			c.ConfiguredReplicas,
+		)
 	case c.SettleTime <= 0 || c.HoldTime <= c.SettleTime || c.FlapWindow <= 0 || c.MaxFlaps < 2:
 		return fmt.Errorf(
-			"view: settle %v, hold %v, %d flaps in %v: hold is longer than settle, and two flaps are the least",
+			"clusterview: settle time %v, hold time %v, %d flaps in %v: the hold time must exceed the settle time, and 2 flaps are the minimum",
 			c.SettleTime,
 			c.HoldTime,
 			c.MaxFlaps,
 			c.FlapWindow,
 		)
 	case !(c.MaxSuddenLoss > 0 && c.MaxSuddenLoss <= MaxSuddenLossLimit): // also if it is NaN
-		return fmt.Errorf("view: sudden %v is not within 0 and %v", c.MaxSuddenLoss, MaxSuddenLossLimit)
+		return fmt.Errorf("clusterview: maximum sudden loss %v is not above 0 and at most %v", c.MaxSuddenLoss, MaxSuddenLossLimit)
 	}
 	return nil
 }
 
-// MaxSuddenLossLimit is the largest share of a fleet whose simultaneous failure may be believed at once: with it the sum
+// MaxSuddenLossLimit is the largest share of a fleet whose simultaneous failure may be accepted at once: with it the sum
 // over the two sides of a partition stays within MaxTotalShare.
 const MaxSuddenLossLimit = 0.2
 
--- a/internal/clusterview/loss.go
+++ b/internal/clusterview/loss.go
@@ -12,7 +12,7 @@
 	return false
 }
 
-// countMissing returns how many of the agreed members are not counted any more and did not leave.
+// countMissing returns how many of the agreed members are no longer counted and have not left.
 func (t *Tracker) countMissing() int {
 	missing := 0
 	for _, name := range t.agreedMembers {
@@ -23,11 +23,12 @@
 	return missing
 }
 
-// quorum returns how many members are more than half of the agreed ones: at most one side of a partition has as many.
+// quorum returns the smallest majority of the agreed members: at most one side of a partition has one.
 func (t *Tracker) quorum() int { return len(t.agreedMembers)/2 + 1 }
 
 // updateLoss reports whether so many agreed members are missing that this replica may be partitioned off: no quorum is
-// left, or more than MaxSuddenLoss is missing since less than twice the HoldTime. It records since when.
+// left, or more than MaxSuddenLoss has been missing for less than twice the HoldTime. It updates lossStartedAt
+// and lostQuorum.
 func (t *Tracker) updateLoss(now time.Time) bool {
 	agreed := len(t.agreedMembers)
 	missing := t.countMissing()
--- a/internal/clusterview/member.go
+++ b/internal/clusterview/member.go
@@ -23,11 +23,11 @@
 // Member is a replica as another replica sees it.
 type Member struct {
 	Name        string
-	Incarnation uint64 // number of its process; the higher is the later one
+	Incarnation uint64 // number of its process; a later process has a higher one
 	Version     string // of its program
 	State       State
 	Since       time.Time // of State
-	Damped      bool      // it changes too often, and counts as present until it stays away
+	Damped      bool      // it has changed too often, and counts as present until it stays failed for Config.FlapWindow
 }
 
 // Event is a change of a member that the membership protocol reports.
@@ -44,7 +44,7 @@
 	changes []time.Time // of State, within the last Config.FlapWindow
 }
 
-// isCounted reports whether the member has to be expected to send: also if it only seems to have failed.
+// isCounted reports whether the member may still send requests. A damped member may have failed only apparently.
 func (m *memberState) isCounted() bool {
 	return m.State == Alive || m.State == Suspect || m.Damped && m.State == Failed
 }
--- a/internal/clusterview/position.go
+++ b/internal/clusterview/position.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// configuredPosition is the position of a replica that knows no other.
+// configuredPosition is the position of a replica that knows no other member.
 func (t *Tracker) configuredPosition(reason string) Position {
 	return Position{t.config.ConfiguredReplicas, t.config.ConfiguredRank, reason}
 }
@@ -31,8 +31,8 @@
 	return Position{max(counted, 2*agreed), rank, "less than a quorum is in sight for long: the others still send"}
 }
 
-// changingPosition is the position while members come and go. It goes by the larger number of replicas, so that no share is
-// taken that another replica may still hold.
+// changingPosition is the position while members come and go. It uses the larger number of replicas, so that this replica
+// takes no share that another one may still hold.
 func (t *Tracker) changingPosition(counted []string) Position {
 	return Position{max(len(counted), t.position.Replicas), rankOf(counted, t.self), "members come and go"}
 }
--- a/internal/clusterview/tracker.go
+++ b/internal/clusterview/tracker.go
@@ -1,6 +1,6 @@
-// Package clusterview decides how far a replica trusts what a membership protocol reports of its fleet. From events of
-// members it derives a View: who is there, a hash by which two replicas compare their views, and the position of the replica
-// among all, by which it takes its share of quotas.
+// Package clusterview decides how far a replica trusts the events that a membership protocol reports of its fleet. It derives
+// a View from them: the members, a hash by which two replicas compare their views, and the position of the replica among
+// all, by which it takes its share of quotas.
 //
 // The invariant is a bound on the sum over all replicas: whatever views they have while a fleet is partitioned in two, their
 // shares of one quota add up to at most MaxTotalShare. docs/design/members.md has the argument.
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// forgetAfterWindows is after how many Config.FlapWindow a member that is gone is forgotten.
+// forgetAfterWindows is the number of Config.FlapWindow after which a member that is gone is forgotten.
 const forgetAfterWindows = 10
 
 // Tracker keeps the view of one replica. It is not safe for concurrent use.
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	if self == "" {
-		return nil, errors.New("view: a copy needs a name")
+		return nil, errors.New("clusterview: the name of this replica is empty")
 	}
 	t := &Tracker{
 		config:           config,
@@ -68,7 +68,7 @@
 	member := t.members[event.Name]
 	switch {
 	case member == nil && event.State != Alive && event.State != Suspect:
-		return false // it was never seen here
+		return false // it has never been a member here
 	case member == nil:
 		member = &memberState{Member: Member{Name: event.Name}}
 		t.members[event.Name] = member
@@ -125,7 +125,7 @@
 	}
 }
 
-// updateMembers ends the damping of members and forgets those that are gone for long.
+// updateMembers ends the damping of members and forgets those that have been gone for long.
 func (t *Tracker) updateMembers(now time.Time, wake *wakeTime) {
 	for name, member := range t.members {
 		wasDamped := member.Damped
@@ -148,39 +148,39 @@
 	hold := t.config.HoldTime
 	switch {
 	case len(counted) == 1 && len(t.agreedMembers) <= 1:
-		t.set(Alone, now, t.configuredPosition("the file's: nobody else is there"))
+		t.setView(Alone, now, t.configuredPosition("the file's: nobody else is there"))
 	case t.updateLoss(now):
 		t.lastUncertainAt = now
 		position := t.uncertainPosition(len(counted), now)
-		if t.confidence == Uncertain { // the other side has to notice first that this replica is back
+		if t.confidence == Uncertain { // the other side has to detect first that this replica is back
 			position.Replicas = max(position.Replicas, t.position.Replicas)
 		}
-		t.set(Uncertain, now, position)
+		t.setView(Uncertain, now, position)
 		wake.add(t.lossStartedAt.Add(hold))
 		wake.add(t.lossStartedAt.Add(2 * hold))
 	case now.Sub(t.membersChangedAt) < t.config.SettleTime || now.Sub(t.lastUncertainAt) < hold/2 || now.Sub(t.lastFailureAt) < hold/2:
-		// A partition shows as one failure after the other: the first ones alone are not agreed on. After a partition other
-		// replicas may notice later that this one is back; until then it takes no larger share.
-		t.set(Changing, now, t.changingPosition(counted))
+		// A partition shows as one failure after the other: the first ones alone must not be agreed on. After a partition
+		// other replicas may detect later that this one is back; until then it takes no larger share.
+		t.setView(Changing, now, t.changingPosition(counted))
 		wake.add(t.membersChangedAt.Add(t.config.SettleTime))
 		wake.add(t.lastUncertainAt.Add(hold / 2))
 		wake.add(t.lastFailureAt.Add(hold / 2))
 	case t.countMissing() > 0 && t.hasSuspects():
 		// More failures with the same cause may be about to be detected.
-		t.set(Changing, now, t.changingPosition(counted))
+		t.setView(Changing, now, t.changingPosition(counted))
 	case len(t.agreedMembers) == 0 && len(counted) < t.config.ConfiguredReplicas && now.Sub(t.membersChangedAt) < hold:
 		// Of many replicas that start at once each sees only some at first.
-		t.set(Changing, now, t.changingPosition(counted))
+		t.setView(Changing, now, t.changingPosition(counted))
 		wake.add(t.membersChangedAt.Add(hold))
 	default:
 		t.lossStartedAt = time.Time{}
 		t.agreedMembers = counted
-		t.set(Agreed, now, Position{len(counted), rankOf(counted, t.self), "members seen"})
+		t.setView(Agreed, now, Position{len(counted), rankOf(counted, t.self), "members seen"})
 	}
 }
 
-// set changes confidence and position. The epoch counts the changes that others could notice.
-func (t *Tracker) set(confidence Confidence, now time.Time, position Position) {
+// setView sets confidence and position. The epoch counts the changes, except those of the reason alone.
+func (t *Tracker) setView(confidence Confidence, now time.Time, position Position) {
 	if t.confidence != confidence {
 		t.confidence, t.since = confidence, now
 		t.epoch++
--- a/internal/degradation/admit.go
+++ b/internal/degradation/admit.go
@@ -5,18 +5,18 @@
 // minProtectedShare is the share of the demand's priority weight that must be left unshed for the rest to be shed in full.
 const minProtectedShare = 0.1
 
-// Decision is what the present level says of a request.
+// Decision is the result of Controller.Admit for one request.
 type Decision struct {
-	Shed          *ShedRule // by which the request is shed; nil if it is not
-	MaxAttempts   int       // 0 for no such limit
-	DeadlineShare float64   // of its time
+	Shed          *ShedRule // rule that sheds the request; nil if it is admitted
+	MaxAttempts   int       // 0 for no limit
+	DeadlineShare float64   // share of its deadline that the request gets
 }
 
 // HashCaller returns a uniform hash of a caller's name, the same at every sidecar.
 func HashCaller(name string) uint64 { return namehash.Hash(name) }
 
-// Admit decides on a request of a class. The same callers are shed as long as the ratio stays; those of a lower ratio are
-// among those of a higher one, so that callers are admitted again one after the other while a ratio falls.
+// Admit decides on a request of a class. The same callers are shed as long as the ratio does not change. The callers that
+// a lower ratio sheds are among those that a higher one sheds, so that callers are admitted again one by one while it falls.
 func (c *Controller) Admit(class int, caller uint64) Decision {
 	const fractionBits = 53 // of a float64
 	decision := Decision{DeadlineShare: 1}
@@ -30,13 +30,13 @@
 	return decision
 }
 
-// shedRatio returns the ratio of the callers of a class that are shed now. If almost no demand is left beside what is shed,
-// there is nothing to protect, and the queue of the pool decides alone.
+// shedRatio returns the ratio of the callers of a class that are shed now. If almost no demand would remain unshed,
+// there is nothing to protect: less is shed, and the queue of the pool decides.
 func (c *Controller) shedRatio(class int) float64 {
 	return c.nominalRatio(class) * c.protectionFactor()
 }
 
-// nominalRatio returns the ratio by the present level and by what is being restored.
+// nominalRatio returns the shed ratio of a class by the present level and its restoration, before protectionFactor.
 func (c *Controller) nominalRatio(class int) float64 {
 	ratio := 0.0
 	if c.level > 0 {
--- a/internal/degradation/controller.go
+++ b/internal/degradation/controller.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	signalTimeout    = 2 * time.Second // for which a signal that is not measured any more keeps its last value
-	maxStepTime      = time.Second     // that an update counts for, so that a stall does not count as a condition that was met
-	maxBackoff       = 3               // MinTime is doubled at most so often for a level that is entered again too soon
-	backoffResetTime = 4               // times the MinTime since the level was left, after which it is not doubled any more
-	maxChangesKept   = 16              // for operators
-	notMet           = -1              // instead of the time for which a condition has been met
+	signalTimeout    = 2 * time.Second // how long a signal keeps its last value without a new measurement
+	maxStepTime      = time.Second     // most time that one update counts for, so that a condition is not taken as met during a stall
+	maxBackoff       = 3               // most doublings of MinTime for a level that is entered again too soon
+	backoffResetTime = 4               // multiple of MinTime after which a level that was left has its backoff reset
+	maxChangesKept   = 16              // kept for Status
+	notMet           = -1              // value of enterMetFor and leaveMetFor while the condition is not met
 )
 
 // Change is a change of the level.
@@ -25,7 +25,7 @@
 	Reason   string // with the values of the signals
 }
 
-// What makes a change.
+// Causes of a change.
 const (
 	BySignals  = "signals"
 	ByOperator = "operator"
@@ -48,7 +48,7 @@
 	levelSince  time.Time
 	changedBy   string
 	reason      string
-	transitions []transition  // to level i+1
+	transitions []transition  // at index i, the step to level i+1
 	leaveMetFor time.Duration // for how long all conditions to leave have been met, or notMet
 
 	demand   []float64 // priority weight of the requests that arrived, by class
@@ -82,7 +82,7 @@
 }
 
 // Update takes the signals at a time, and the priority weight of the requests that arrived recently by class. It reports
-// whether the level has changed. It is to be called several times a second; a time before the last one counts as that one.
+// whether the level has changed. It is to be called several times a second; an earlier time than the last one counts as equal.
 func (c *Controller) Update(now time.Time, values SignalValues, demand []float64) bool {
 	elapsed := max(now.Sub(c.now), 0)
 	c.now = c.now.Add(elapsed)
@@ -97,7 +97,7 @@
 		if c.now.Before(c.pinnedUntil) {
 			return false
 		}
-		c.pinned = false // from here on as if the level had been entered when it was pinned
+		c.pinned = false // the level then counts as entered when it was pinned
 	}
 	switch {
 	case target > c.level && c.mayEscalate():
@@ -110,7 +110,7 @@
 	return true
 }
 
-// updateSignals keeps the measured values, and the others until signalTimeout.
+// updateSignals stores the measured values. A signal that was not measured keeps its last value until signalTimeout.
 func (c *Controller) updateSignals(values SignalValues) {
 	for s, value := range values {
 		if !math.IsNaN(value) {
@@ -135,7 +135,7 @@
 	return target
 }
 
-// metFor returns for how long a condition has been met, after some more time.
+// metFor returns for how long a condition has been met, given that duration before and the time elapsed since.
 func metFor(isMet bool, before, elapsed time.Duration) time.Duration {
 	switch {
 	case !isMet:
@@ -191,7 +191,7 @@
 	return leftAt.IsZero() || c.now.Sub(leftAt) >= c.ladder[c.level].MinTimeOff
 }
 
-// minTime returns for how long the level i+1 is kept, with its backoff.
+// minTime returns the minimum time in the level i+1, with its backoff.
 func (c *Controller) minTime(i int) time.Duration {
 	return min(c.ladder[i].MinTime<<c.transitions[i].backoff, max(MaxTime, c.ladder[i].MinTime))
 }
@@ -202,15 +202,15 @@
 }
 
 // escalate goes one level up. A level that is entered again within its minimum time was left too soon: its minimum time is
-// doubled, until it has not been entered for backoffResetTime times that.
+// doubled, until the level has not been entered for backoffResetTime times as long.
 func (c *Controller) escalate(reason string) {
 	t := &c.transitions[c.level]
 	if !t.leftAt.IsZero() {
 		minTime := c.minTime(c.level)
-		switch away := c.now.Sub(t.leftAt); {
-		case away < minTime:
+		switch sinceLeft := c.now.Sub(t.leftAt); {
+		case sinceLeft < minTime:
 			t.backoff = min(t.backoff+1, maxBackoff)
-		case away > backoffResetTime*minTime:
+		case sinceLeft > backoffResetTime*minTime:
 			t.backoff = 0
 		}
 	}
@@ -231,7 +231,7 @@
 	c.recordChange(c.levelName(c.level), level, by, reason)
 }
 
-// recordChange changes the level from the one of a name, which the ladder need not have any more.
+// recordChange sets the level and records the change. from names the old level, which a new ladder may not contain.
 func (c *Controller) recordChange(from string, level int, by, reason string) {
 	c.level, c.levelSince, c.changedBy, c.reason = level, c.now, by, reason
 	c.leaveMetFor = notMet
--- a/internal/degradation/level.go
+++ b/internal/degradation/level.go
@@ -1,6 +1,6 @@
 // Package degradation decides how far a pool reduces its service in an overload (graceful degradation, also called brownout).
 // A pool has a ladder of named levels above the normal one. A level is entered and left by conditions on the pool's own
-// signals, and says which requests are shed, how often requests are attempted and how much of their time they get.
+// signals, and limits which requests are admitted, how often they are attempted and how much of their deadline they get.
 //
 // The level changes by one step at a time. A step is taken up again no sooner than Level.MinTimeOff after it was taken down,
 // and down no sooner than Level.MinTime after it was taken up, so that the number of changes in any window is bounded
@@ -17,7 +17,7 @@
 // ShedRule says that a level sheds requests of a class.
 type ShedRule struct {
 	Class    int
-	Share    float64 // of the callers, the same ones throughout; 1 for all
+	Share    float64 // share of the callers that is shed, always the same ones; 1 for all
 	Response Response
 }
 
@@ -33,21 +33,21 @@
 // Level is one level of a ladder.
 type Level struct {
 	Name        string
-	EnterIf     []Condition   // one of them must be met
-	EnterAfter  time.Duration // for this long
-	LeaveIf     []Condition   // all of them must be met; none stands for the inverse of EnterIf by Hysteresis
-	LeaveAfter  time.Duration // for this long
+	EnterIf     []Condition   // conditions to enter, of which one must be met
+	EnterAfter  time.Duration // how long it must be met
+	LeaveIf     []Condition   // conditions to leave, all of which must be met; if empty, the inverse of EnterIf by Hysteresis
+	LeaveAfter  time.Duration // how long they must be met
 	Hysteresis  float64       // between 0 and 1
-	MinTime     time.Duration // before it is left
-	MinTimeOff  time.Duration // before it is entered again
-	RestoreTime time.Duration // over which shed requests are admitted again after it was left, as far as servers are warm
+	MinTime     time.Duration // minimum time in the level
+	MinTimeOff  time.Duration // minimum time after it was left before it is entered again
+	RestoreTime time.Duration // time over which requests are admitted again after it was left, as far as servers are warm
 
 	Shedding      []ShedRule
-	MaxAttempts   int     // of one request; 0 for no such limit
-	DeadlineShare float64 // of the time of a class; 0 or 1 for all of it
+	MaxAttempts   int     // of one request; 0 for no limit
+	DeadlineShare float64 // share of the deadline of a class that requests get; 0 or 1 for all of it
 }
 
-// Ladder is the levels of a pool above the normal one, the mildest first.
+// Ladder holds the levels of a pool above the normal one, the mildest first.
 type Ladder []Level
 
 // Normal is the name of the level at which service is not reduced.
@@ -57,10 +57,10 @@
 const (
 	MaxLevels  = 8
 	MaxTime    = time.Hour
-	minMinTime = 100 * time.Millisecond // of MinTime and MinTimeOff
+	minMinTime = 100 * time.Millisecond // lower bound of MinTime and MinTimeOff
 )
 
-// ErrUnknownLevel is the error of a command that names no level of the pool.
+// ErrUnknownLevel is returned for a name that is not that of a level of the pool.
 var ErrUnknownLevel = errors.New("there is no such level")
 
 // shedRatio returns the share of the callers of a class that the level sheds.
@@ -93,8 +93,8 @@
 	return conditions
 }
 
-// MaxChanges returns the most changes that signals can cause within a window. The changes of each step alternate, and are
-// apart by MinTime and MinTimeOff in turn. Commands of operators are not counted.
+// MaxChanges returns the most changes that signals can cause within a window. At each step, changes up and down
+// alternate, separated by MinTime and MinTimeOff in turn. Commands of operators are not counted.
 func (l Ladder) MaxChanges(window time.Duration) int {
 	total := 0
 	for i := range l {
--- a/internal/degradation/meter.go
+++ b/internal/degradation/meter.go
@@ -32,10 +32,10 @@
 	demand                  []float64 // priority weight by class
 	queueTime               float64   // the longest, in seconds
 	latencies               [latenciesPerSlot]float32
-	latencyCount            int // all, of which latencies is a sample
+	latencyCount            int // number of latencies, of which latencies holds a sample
 }
 
-// add adds the counts of another slot, but for demand and latencies.
+// add adds the counts of another slot, except demand and latencies.
 func (s *slot) add(other *slot) {
 	s.ended += other.ended
 	s.rejected += other.rejected
@@ -47,7 +47,7 @@
 	s.queueTime = max(s.queueTime, other.queueTime)
 }
 
-// addLatency adds a latency to the sample, by reservoir sampling that draws the same way each time.
+// addLatency adds a latency to the sample, by deterministic reservoir sampling.
 func (s *slot) addLatency(latency float64) {
 	s.latencyCount++
 	if s.latencyCount <= latenciesPerSlot {
@@ -59,8 +59,8 @@
 	}
 }
 
-// Meter measures the signals of a pool over a sliding window. Requests that a level sheds are counted by CountArrival only: a
-// level must not keep itself by its own effect. It is not safe for concurrent use.
+// Meter measures the signals of a pool over a sliding window. Requests that a level sheds are counted by CountArrival only:
+// their rejections would otherwise keep the level in force. It is not safe for concurrent use.
 type Meter struct {
 	slotTime    time.Duration
 	slotStart   time.Time
@@ -119,7 +119,7 @@
 }
 
 // CountResult counts the result of a request. The latency is that of its response as a multiple of the target latency; NaN if
-// it says nothing.
+// it does not count.
 func (m *Meter) CountResult(now time.Time, result Result, weight, latency float64) {
 	s := m.advance(now)
 	s.ended++
@@ -144,8 +144,8 @@
 	s.addLatency(latency)
 }
 
-// Read returns the signals at a time, without those of servers. The longest wait is that of the requests that are still waiting
-// for their first server; 0 for none.
+// Read returns the signals at a time, except those of servers. longestWait is that of the requests that are still waiting for
+// their first server; 0 for none.
 func (m *Meter) Read(now time.Time, longestWait time.Duration) SignalValues {
 	m.advance(now)
 	values := NoSignals()
--- a/internal/degradation/pin.go
+++ b/internal/degradation/pin.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pin keeps a level until a time, whatever the signals. The error is ErrUnknownLevel.
+// Pin keeps a level until a time, whatever the signals are. The only error is ErrUnknownLevel.
 func (c *Controller) Pin(name string, now, until time.Time) error {
 	level, ok := c.ladder.indexOf(name)
 	if !ok {
@@ -23,8 +23,8 @@
 	c.pinned = false
 }
 
-// jumpTo goes to a level at once. The steps between count as taken now, so that signals change the level no sooner than they
-// may.
+// jumpTo changes to a level at once. All steps in between count as taken now, so that MinTime and MinTimeOff apply to the next
+// change by signals.
 func (c *Controller) jumpTo(level int, by, reason string) {
 	if level == c.level {
 		return
--- a/internal/degradation/reload.go
+++ b/internal/degradation/reload.go
@@ -54,7 +54,7 @@
 	return 0
 }
 
-// completeTransitions makes the transitions those of a level: the steps up to it were taken, the others were not.
+// completeTransitions makes the transitions consistent with a level: the steps up to it count as taken, the others as not.
 func (c *Controller) completeTransitions(level int) {
 	for i := range level {
 		if c.transitions[i].enteredAt.IsZero() {
@@ -68,8 +68,8 @@
 	}
 }
 
-// Clone returns a controller of the same state, for a pool that is replaced. What is being restored is left out, as the
-// classes may be others.
+// Clone returns a controller of the same state, for a pool that is replaced. Restorations are left out, as the new
+// pool may have other classes.
 func (c *Controller) Clone() *Controller {
 	clone := *c
 	clone.transitions, clone.changes = slices.Clone(c.transitions), slices.Clone(c.changes)
--- a/internal/degradation/restore.go
+++ b/internal/degradation/restore.go
@@ -7,19 +7,19 @@
 
 const (
 	warmEnough       = 0.95 // WarmRatio from which warming up does not slow restoring down
-	maxRestoreFactor = 4    // times RestoreTime that restoring takes at most, however few servers are warm
+	maxRestoreFactor = 4    // most that restoring takes, as a multiple of RestoreTime, however few servers are warm
 )
 
-// restoration is the gradual admission of a class again after a level that shed it was left. It continues whatever levels are
-// left or entered meanwhile: the larger ratio of it and the present level is shed.
+// restoration gradually admits a class again after a level that shed it was left. It continues when levels are left or entered
+// meanwhile: the class is shed by the larger of its ratio and that of the present level.
 type restoration struct {
-	share     float64 // that was shed
+	share     float64 // ratio that was shed at the start
 	startedAt time.Time
 	duration  time.Duration
 	restored  float64 // share that is admitted again, from 0 to 1
 }
 
-// startRestoring starts to restore what a lower level does not shed.
+// startRestoring starts to restore the classes that a lower level sheds less.
 func (c *Controller) startRestoring(target int) {
 	duration := c.ladder[c.level-1].RestoreTime
 	for i := target; i < c.level; i++ {
@@ -37,7 +37,7 @@
 	}
 }
 
-// updateRestoring continues to restore: linearly with time, and no further than servers are warm. That is bounded by
+// updateRestoring continues to restore: linearly with time, and no further than WarmRatio. That delay is bounded by
 // maxRestoreFactor, as a pool in which some server always warms up would never be restored otherwise.
 func (c *Controller) updateRestoring() {
 	warm := c.signals[WarmRatio]
--- a/internal/degradation/signal.go
+++ b/internal/degradation/signal.go
@@ -8,16 +8,16 @@
 // Signal is a measurement of a pool.
 type Signal uint8
 
-// The signals. Ratios lie between 0 and 1, but for P95Ratio. Requests that a level sheds are not counted.
+// The signals. Ratios except P95Ratio lie between 0 and 1. Requests that a level sheds are not counted.
 const (
 	P95Ratio      Signal = iota // 95th percentile of latency, as a multiple of the target latency of the class
-	LateRatio                   // responses that took longer than the target latency
-	QueueTime                   // seconds that requests wait for a server: the longest recent one, also of those still waiting
-	RejectedRatio               // requests rejected
-	FailedRatio                 // requests failed
-	EarnedRatio                 // priority weight of the responses in time, of that of all requests that ended
-	UsableRatio                 // servers that are ready and not cut off, of those listed
-	WarmRatio                   // capacity of the usable servers that have warmed up
+	LateRatio                   // share of the responses that took longer than the target latency
+	QueueTime                   // longest recent wait of a request for a server, in seconds, also of those still waiting
+	RejectedRatio               // share of the requests rejected
+	FailedRatio                 // share of the requests failed
+	EarnedRatio                 // priority weight of the responses on time, as a share of that of all requests that ended
+	UsableRatio                 // share of the listed servers that are ready and not ejected
+	WarmRatio                   // share of the capacity of the usable servers that has warmed up
 	SignalCount                 // number of signals
 )
 
@@ -39,7 +39,7 @@
 // isShare reports whether the signal lies between 0 and 1.
 func (s Signal) isShare() bool { return s != P95Ratio && s != QueueTime }
 
-// SignalValues are the values of all signals at one time; NaN where there was nothing to measure.
+// SignalValues are the values of all signals at one time; NaN for a signal without a measurement.
 type SignalValues [SignalCount]float64
 
 // NoSignals returns values without any measurement.
@@ -74,8 +74,8 @@
 	return fmt.Sprintf("%v %s %.4g", c.Signal, side, c.Bound)
 }
 
-// inverse returns the condition that says that this one is over, with a hysteresis: a share of the distance between the bound
-// and the best value of the signal.
+// inverse returns the condition by which this one counts as ended. The hysteresis separates their bounds: it is a share of the
+// distance between the bound and the best value of the signal.
 func (c Condition) inverse(hysteresis float64) Condition {
 	out := Condition{Signal: c.Signal, Below: !c.Below, Bound: c.Bound * (1 - hysteresis)}
 	if c.Below {
@@ -84,7 +84,7 @@
 	return out
 }
 
-// contradicts reports whether this condition, for leaving a level, is met already where another one, for entering it, is.
+// contradicts reports whether this condition to leave a level can be met while one to enter it is.
 func (c Condition) contradicts(enter Condition) bool {
 	if c.Signal != enter.Signal || c.Below == enter.Below {
 		return false
--- a/internal/degradation/status.go
+++ b/internal/degradation/status.go
@@ -14,14 +14,14 @@
 	Shedding      []Shedding
 	Restored      float64   // lowest restored share of a class that is being restored; 1 if there is none
 	EarliestLeave time.Time // if the conditions to leave are met from now on; zero at Normal
-	BlockedBy     string    // conditions to leave that are not met, with the values of their signals
+	BlockedBy     string    // unmet conditions to leave, with the values of their signals
 	Signals       SignalValues
 	Changes       []Change // the latest, oldest first
 	ChangeCount   uint64   // since the start
 	LevelNames    []string // of all levels, from Normal up
 }
 
-// Shedding is the ratio of the callers of a class that are shed.
+// Shedding is the ratio of the callers of a class that is shed.
 type Shedding struct {
 	Class int
 	Share float64
--- a/internal/degradation/validate.go
+++ b/internal/degradation/validate.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Error says what is wrong with one field of a level.
+// Error is an invalid field of a level.
 type Error struct {
 	Level int // index in the ladder
 	Field string
@@ -30,7 +30,7 @@
 	v.errors = append(v.errors, &Error{v.index, field, fmt.Errorf(format, args...)})
 }
 
-// Validate returns all that is wrong with a ladder for a pool of a number of classes.
+// Validate returns all errors of a ladder for a pool with a number of classes.
 func (l Ladder) Validate(classes int) []*Error {
 	var errs []*Error
 	if len(l) > MaxLevels {
--- a/internal/gossip/config.go
+++ b/internal/gossip/config.go
@@ -27,8 +27,8 @@
 	// HandleMessage handles a message that another member has broadcast; nil ignores them. It runs on a goroutine of the
 	// library and must not block.
 	HandleMessage func(message []byte)
-	// TranslateAddress returns the address at which an advertised address is reached from here, as behind address
-	// translation; nil leaves addresses as they are.
+	// TranslateAddress returns the address to which to send for an advertised address, as with address translation; nil
+	// leaves addresses as they are.
 	TranslateAddress func(address string) string
 }
 
@@ -43,17 +43,22 @@
 // validate returns an error that says which value is invalid.
 func (c *Config) validate() error {
 	if c.Name == "" || len(c.Version) > maxVersionBytes {
-		return fmt.Errorf("members: a name is needed, and a version has up to %d bytes", maxVersionBytes)
+		return fmt.Errorf(
+			"members: the name %q must not be empty, and the version %q may have up to %d bytes",
+			c.Name,
+			c.Version,
+			maxVersionBytes,
+		)
 	}
 	if c.MaxBytesPerSecond < minBytesPerSecond {
-		return fmt.Errorf("members: %d bytes a second are too few: 1024 at least", c.MaxBytesPerSecond)
+		return fmt.Errorf("members: %d bytes per second are below the minimum of %d", c.MaxBytesPerSecond, minBytesPerSecond)
 	}
 	if c.ProbeInterval < minProbeInterval || c.ProbeInterval > maxProbeInterval {
-		return fmt.Errorf("members: a probe each %v is not within 50ms and 1m", c.ProbeInterval)
+		return fmt.Errorf("members: the probe interval %v is not within %v and %v", c.ProbeInterval, minProbeInterval, maxProbeInterval)
 	}
-	for _, k := range c.Keys {
+	for i, k := range c.Keys {
 		if n := len(k); n != 16 && n != 24 && n != 32 {
-			return fmt.Errorf("members: a key has %d bytes: 16, 24 or 32 are possible", n)
+			return fmt.Errorf("members: key %d has %d bytes, not 16, 24 or 32", i, n)
 		}
 	}
 	return nil
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -16,7 +16,7 @@
 // maxNameBytes bounds a name in a leaving message.
 const maxNameBytes = 128
 
-// eventOf returns the event that a node has a state. Its metadata are its incarnation and its program's version.
+// eventOf returns the event for a state of a node. The node's metadata hold its incarnation and the version of its program.
 func eventOf(node *memberlist.Node, state clusterview.State) clusterview.Event {
 	event := clusterview.Event{Name: node.Name, State: state}
 	if len(node.Meta) >= incarnationBytes {
@@ -93,13 +93,13 @@
 	}
 }
 
-// GetBroadcasts returns nothing: no message is passed on by other members.
+// GetBroadcasts returns nothing: messages are sent directly and not relayed by other members.
 func (g *Group) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState returns nothing: the library exchanges no state of ours.
+// LocalState returns nothing: this package exchanges no state through the library.
 func (g *Group) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState does nothing, for the same reason.
+// MergeRemoteState does nothing, as LocalState returns nothing.
 func (g *Group) MergeRemoteState(_ []byte, _ bool) {}
 
 // logWriter logs the library's lines at the level Debug.
--- a/internal/gossip/group.go
+++ b/internal/gossip/group.go
@@ -1,6 +1,6 @@
-// Package gossip is the membership of the sidecars of a fleet: a gossip protocol by a library (memberlist: SWIM with
-// suspicion and Lifeguard), whose events package clusterview turns into a view. The bytes that a replica sends are bounded,
-// whatever happens.
+// Package gossip keeps the membership of the sidecars of a fleet by the gossip protocol of the library memberlist (SWIM with
+// suspicion and Lifeguard). Package clusterview derives a view from its events. The rate of bytes that a replica sends is
+// bounded.
 package gossip
 
 import (
@@ -79,7 +79,7 @@
 	}
 	port, err := strconv.Atoi(portText)
 	if err != nil || port < 0 || port > math.MaxUint16 {
-		return fmt.Errorf("%q is no port", portText)
+		return fmt.Errorf("port %q is not a number from 0 to %d", portText, math.MaxUint16)
 	}
 	logger := log.New(&logWriter{}, "", 0)
 	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: logger})
@@ -123,7 +123,7 @@
 // Changed returns a channel that receives after the view has changed. Changes that nobody received are merged.
 func (g *Group) Changed() <-chan struct{} { return g.changed }
 
-// ByteCounts returns how many bytes this replica has sent, and dropped as they were over the bound.
+// ByteCounts returns how many bytes this replica has sent, and how many it dropped because they were over the bound.
 func (g *Group) ByteCounts() (sent, dropped uint64) { return g.transport.byteCounts() }
 
 // Close ends the membership without announcing it: the others will see a failure.
@@ -149,10 +149,10 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		present := g.present()
+		listed := g.listedMembers()
 		g.mu.Lock()
 		// The list may be older than the pending events. Handled after them, it would bring back members that have failed.
-		for _, e := range append(present, g.pending...) {
+		for _, e := range append(listed, g.pending...) {
 			g.tracker.HandleEvent(e, now)
 		}
 		g.pending = nil
@@ -165,7 +165,7 @@
 		last = v
 		select {
 		case g.changed <- struct{}{}:
-		default: // a change is waiting already
+		default: // a notification is pending already
 		}
 		if now.Sub(loggedAt) >= minLogInterval {
 			loggedAt = now
@@ -182,9 +182,9 @@
 	}
 }
 
-// present returns an event for each member on the library's list. These include suspected ones, of which the library does not
-// notify.
-func (g *Group) present() []clusterview.Event {
+// listedMembers returns an event for each member on the library's list. These include suspected
+// members: the library sends no event for a suspicion.
+func (g *Group) listedMembers() []clusterview.Event {
 	var events []clusterview.Event
 	for _, node := range g.list.Members() {
 		events = append(events, eventOf(node, clusterview.Alive))
@@ -192,8 +192,8 @@
 	return events
 }
 
-// rejoin contacts the seeds while this replica is alone or may be partitioned off, and in any case one member that failed:
-// so two sides of a partition that have each given the other up meet again.
+// rejoin contacts the seeds while this replica is alone or may be partitioned off, and in any case one failed member:
+// this joins the two sides of a partition after each has marked the members of the other as failed.
 func (g *Group) rejoin(ctx context.Context) {
 	tick := time.NewTicker(rejoinInterval)
 	defer tick.Stop()
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -7,20 +7,20 @@
 	"math/rand/v2"
 )
 
-// The kind of a message, its first byte. Other kinds are dropped, as a later program may send them.
+// The kind of a message, its first byte. Other kinds are dropped, as a later version may send them.
 const (
 	kindPayload = 1 // followed by a message of Broadcast
 	kindLeaving = 2 // followed by the incarnation and the name of a replica that leaves
 )
 
-// leavingCopies is how often a leaving message is sent, as a datagram may be lost. A member that gets none sees a failure.
-const leavingCopies = 2
+// leavingRepeats is how often a leaving message is sent, as a datagram may be lost. A member that gets none detects a failure.
+const leavingRepeats = 2
 
-// Leave announces to the others that this replica leaves, and ends the membership.
+// Leave announces to the other members that this replica leaves, and ends the membership.
 func (g *Group) Leave() error {
 	message := binary.BigEndian.AppendUint64([]byte{kindLeaving}, g.config.Incarnation)
 	message = append(message, g.config.Name...)
-	for range leavingCopies {
+	for range leavingRepeats {
 		g.send(message, func(int) bool { return true })
 	}
 	err := g.list.Leave(leaveTimeout)
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxBurst is how much of the rate may be saved up: a token bucket of rate * maxBurst bytes.
+// maxBurst bounds the tokens that may accumulate: the bucket holds rate * maxBurst bytes.
 const maxBurst = time.Second
 
 // boundedTransport is a transport that sends at most rate bytes per second, by a token bucket. Datagrams over the bound are
@@ -29,7 +29,7 @@
 	dropped    uint64 // bytes
 }
 
-var errByteLimit = errors.New("members: over the bound on bytes a second")
+var errByteLimit = errors.New("members: limit of bytes per second reached")
 
 // newBoundedTransport bounds a transport to rate bytes per second. Shutdown ends it.
 func newBoundedTransport(inner *memberlist.NetTransport, rate int, translate func(string) string) *boundedTransport {
@@ -49,7 +49,7 @@
 	return t
 }
 
-// countStreams passes the connections that others open on, so that bytes sent on them count, until Shutdown.
+// countStreams forwards the connections that others open, wrapped so that bytes sent on them count, until Shutdown.
 func (t *boundedTransport) countStreams() {
 	for {
 		select {
@@ -76,7 +76,7 @@
 	return t.NetTransport.Shutdown()
 }
 
-// take takes n bytes from the bucket, and reports whether there were as many.
+// take takes n bytes from the bucket, and reports whether it held them.
 func (t *boundedTransport) take(n int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/hotrestart/listen.go
+++ b/internal/hotrestart/listen.go
@@ -13,11 +13,11 @@
 // Listen listens at an address at which another process of the same user may listen too (SO_REUSEPORT, socket(7)).
 func Listen(addr string) (net.Listener, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-		var failed error
+		var optionErr error
 		err := c.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+			optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 		})
-		return errors.Join(err, failed)
+		return errors.Join(err, optionErr)
 	}}
 	lc.SetMultipathTCP(false) // multipath TCP supports no socket filter
 	ln, err := lc.Listen(context.Background(), "tcp", addr)
@@ -27,8 +27,8 @@
 	return ln, nil
 }
 
-// The slots of the two processes that listen at the address, in the order in which they started. If nobody has the chosen
-// slot, the kernel distributes connections among all that listen.
+// The slots of the two processes that listen at the address, in the order in which they started. If no process has the
+// chosen slot, the kernel distributes connections among all that listen.
 const (
 	FirstSlot  = 0
 	SecondSlot = 1
@@ -40,20 +40,20 @@
 func DirectConnections(ln net.Listener, slot uint32) error {
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
-		return fmt.Errorf("steer: %T is no listener of TCP", ln)
+		return fmt.Errorf("direct connections: the listener is a %T, not a *net.TCPListener", ln)
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return fmt.Errorf("steer: %w", err)
+		return fmt.Errorf("direct connections: %w", err)
 	}
 	program := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: slot}}
-	var failed error
+	var optionErr error
 	err = raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
+		optionErr = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
 			&unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]})
 	})
-	if err := errors.Join(err, failed); err != nil {
-		return fmt.Errorf("steer: %w", err)
+	if err := errors.Join(err, optionErr); err != nil {
+		return fmt.Errorf("direct connections: %w", err)
 	}
 	return nil
 }
--- a/internal/hotrestart/sharedstate.go
+++ b/internal/hotrestart/sharedstate.go
@@ -1,4 +1,4 @@
-// Package hotrestart lets a new process of a sidecar replace the old one without losing a request. Both listen at the same
+// Package hotrestart replaces the process of a sidecar by a new one without losing a request. Both listen at the same
 // address, and new connections are directed to one of them (DirectConnections). They share a directory with the state that
 // must survive (SharedState): which process serves, and which endpoints operators hold out of service. The directory is
 // private to the sidecar; nothing else writes to it.
@@ -50,16 +50,16 @@
 	unsaved bool  // last has a change that could not be written
 }
 
-// Open opens the shared state in a directory as the process of an id. It fails if another process uses the id.
+// Open opens the shared state in a directory for the process with an id. It fails if another process uses the id.
 func Open(dir, id string) (*SharedState, error) {
 	path := filepath.Join(dir, aliveFilePrefix+id)
 	alive, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("takeover: %w", err)
+		return nil, fmt.Errorf("open shared state: %w", err)
 	}
 	if err := syscall.Flock(int(alive.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		alive.Close()
-		return nil, fmt.Errorf("takeover: %s: %w", path, err)
+		return nil, fmt.Errorf("open shared state: lock %s: %w", path, err)
 	}
 	return &SharedState{dir: dir, id: id, aliveFile: alive}, nil
 }
@@ -86,11 +86,11 @@
 		}
 		f, err := os.OpenFile(name, os.O_RDWR, 0)
 		if err != nil {
-			continue // it has just ended
+			continue // the process has just ended and removed its file
 		}
 		held := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil
 		if !held {
-			_ = os.Remove(name) // if it fails, the next call tries again
+			_ = os.Remove(name) // on failure the next call tries again
 		}
 		f.Close()
 		if held {
@@ -107,7 +107,7 @@
 	return s.read()
 }
 
-// read is Read under the mutex.
+// read is Read; the caller holds s.mu.
 func (s *SharedState) read() (State, error) {
 	path := filepath.Join(s.dir, stateFile)
 	if s.unsaved { // a change counts for this process until it can be written
@@ -118,7 +118,7 @@
 		return s.last, nil
 	}
 	if err != nil {
-		return s.last, fmt.Errorf("takeover: %w", err)
+		return s.last, fmt.Errorf("read shared state: %w", err)
 	}
 	defer f.Close()
 	text, err := io.ReadAll(io.LimitReader(f, maxStateBytes))
@@ -129,7 +129,7 @@
 		}
 	}
 	if err != nil {
-		return s.last, fmt.Errorf("takeover: %s: %w", path, err)
+		return s.last, fmt.Errorf("read shared state %s: %w", path, err)
 	}
 	return s.last, nil
 }
@@ -154,8 +154,8 @@
 }
 
 // Update changes the state under a lock of the directory and returns the new state. The file is replaced atomically: a
-// process that ends in the middle leaves the old state. After an error the change is not in the file; it counts for this
-// process all the same, and is written with the next change.
+// process that ends in the middle leaves the old state. After an error the change is not in the file, but it is in
+// effect for this process, and is written with the next change.
 func (s *SharedState) Update(change func(State) State) (State, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/loadshed/controller.go
+++ b/internal/loadshed/controller.go
@@ -3,9 +3,9 @@
 // saw every request would: the classes with the highest weight per cost.
 //
 // Replicas send each other summaries. Each decides for itself, and those that have the same summaries decide the same. A
-// replica that knows of no other admits everything: its own queue decides.
+// replica that receives no summaries admits everything, and its own queue decides.
 //
-// The package has no I/O and no clock. docs/design/overload.md compares it with other ways.
+// The package has no I/O and no clock. docs/design/overload.md compares it with other approaches.
 package loadshed
 
 import (
@@ -22,8 +22,8 @@
 type Config struct {
 	Name       string        // of this replica
 	Weights    []float64     // priority weight of a request, by class
-	MaxAge     time.Duration // of a summary that counts; at least Interval
-	MaxMembers int           // whose summaries are kept; at least 1
+	MaxAge     time.Duration // up to which a summary counts; at least Interval
+	MaxMembers int           // most replicas whose summaries are kept; at least 1
 }
 
 // Defaults of a Config.
@@ -43,7 +43,7 @@
 	firstIncrease      = 0.005           // of the admitted work, at the first decision without rejections; then twice that, and so on
 	maxIncrease        = 0.05            // of the admitted work, at one decision
 	maxDecrease        = 0.1             // of the admitted work, at one decision, for rejections of fully admitted classes
-	minDemandShare     = 0.05            // of all demand, for which a class counts at least, so that a small one is not switched on and off
+	minDemandShare     = 0.05            // of all demand, that a class counts for at least, so that a small one is not switched on and off
 	settleTime         = 2 * time.Second // after the start, until windows are full here and elsewhere
 	msPerSecond        = 1000
 )
@@ -55,7 +55,7 @@
 	MinWeightPerSecond float64   // weight per second of work below which a class is not admitted in full; 0 if all are
 	Demand             float64   // seconds of work per second that arrive at all replicas
 	RejectedRatio      float64   // of the admitted work
-	Replicas           int       // whose reports count, this one included
+	Replicas           int       // replicas whose reports count, this one included
 }
 
 // AdmitsAll reports whether all requests are admitted.
@@ -68,10 +68,10 @@
 	members   map[string]bool             // names whose summaries count; nil for none
 	costs     costEstimator
 
-	level         float64   // of the last decision
-	calmDecisions float64   // since the last one with rejections
-	sinceDecrease int       // decisions since the level was decreased, here or at most replicas
-	startedAt     time.Time // time of the first decision
+	level          float64   // of the last decision
+	sinceRejection float64   // decisions since the last one with rejections
+	sinceDecrease  int       // decisions since the level was decreased, here or at most replicas
+	startedAt      time.Time // time of the first decision
 }
 
 // NewController returns the controller of a pool, or an error that says which value is invalid.
@@ -79,11 +79,7 @@
 	classes := len(config.Weights)
 	if classes == 0 || config.MaxAge < Interval || config.MaxMembers < 1 {
 		return nil, fmt.Errorf(
-			"allot: %d classes, summaries up to %v old and %d members: a class, %v and a member are the least",
-			classes,
-			config.MaxAge,
-			config.MaxMembers,
-			Interval,
+			"loadshed: classes %d, summary age %v, members %d: the minimums are 1, %v and 1", classes, config.MaxAge, config.MaxMembers, Interval,
 		)
 	}
 	return &Controller{
@@ -91,7 +87,7 @@
 	}, nil
 }
 
-// SetMembers sets whose summaries count from now on; none while the replica does not know its fleet.
+// SetMembers sets the replicas whose summaries count from now on; none while the members of the fleet are unknown.
 func (c *Controller) SetMembers(names []string) {
 	c.members = make(map[string]bool, len(names))
 	for _, name := range names {
@@ -104,8 +100,8 @@
 	}
 }
 
-// HandleSummary keeps a summary of another replica and reports whether it counts. Summaries of replicas that are no members,
-// out-of-date ones and impossible ones do not.
+// HandleSummary keeps a summary of another replica and reports whether it counts. Summaries of replicas that are not
+// members, out-of-date ones and impossible ones do not.
 func (c *Controller) HandleSummary(summary Summary, now time.Time) bool {
 	if summary.From == c.config.Name || !c.members[summary.From] || !c.isValid(&summary) {
 		return false
@@ -118,7 +114,7 @@
 	return true
 }
 
-// isValid reports whether a summary is possible for the pool.
+// isValid reports whether a summary has the classes of the pool and values within their bounds.
 func (c *Controller) isValid(summary *Summary) bool {
 	classes := len(c.config.Weights)
 	if len(summary.Classes) != classes || !(summary.Level >= 0 && summary.Level <= float64(classes)) {
@@ -145,7 +141,7 @@
 
 // Decide decides from the rates of this replica and the recent summaries of others. Every replica starts from the median of
 // all levels and changes it by the same rule, so that a replica that is new or was partitioned off agrees with the others
-// at once, and one with false reports moves them little.
+// at once, and one with false reports has little effect on the others.
 func (c *Controller) Decide(own []ClassRates, now time.Time) Decision {
 	if c.startedAt.IsZero() {
 		c.startedAt = now
@@ -153,9 +149,9 @@
 	reports, levels := c.recentReports(own, now)
 	l := c.measure(reports)
 	rejectedRatio := min(l.rejected/max(l.admitted, 1e-9), 1)
-	c.calmDecisions++
+	c.sinceRejection++
 	if rejectedRatio > toleratedRejection {
-		c.calmDecisions = 0
+		c.sinceRejection = 0
 	}
 	slices.Sort(levels)
 	level := levels[len(levels)/2]
@@ -232,7 +228,7 @@
 	case rejectedRatio > overloadThreshold || rejectedRatio > toleratedRejection && level < maxLevel:
 		return moveLevel(level, -c.decrease(level, l), l.order, l.demand)
 	case level < maxLevel:
-		increase := min(maxIncrease, firstIncrease*c.calmDecisions) * max(l.admitted, minDemandShare*l.total)
+		increase := min(maxIncrease, firstIncrease*c.sinceRejection) * max(l.admitted, minDemandShare*l.total)
 		return moveLevel(level, increase, l.order, l.demand)
 	}
 	return level
@@ -249,7 +245,7 @@
 	return decrease
 }
 
-// rejectedOf returns the work that is rejected of some classes. Rejections of classes that are admitted in full mean that
+// rejectedOf returns the rejected work of some classes. Rejections of classes that are admitted in full mean that
 // the marginal class still takes capacity that they need at the replicas where they arrive.
 func (l *load) rejectedOf(classes []int) float64 {
 	return robustSum(l.reports, func(report []ClassRates) float64 {
--- a/internal/loadshed/cost.go
+++ b/internal/loadshed/cost.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// costDrift is the factor by which the lowest cost of a class rises at each decision, so that it is forgotten over time.
+// costDrift is the factor by which the lowest cost of a class rises at each decision, so that an old minimum expires.
 const costDrift = 1.0025
 
 // costEstimator estimates the cost of a request of each class: the lowest recent median of what the replicas report. The
--- a/internal/loadshed/summary.go
+++ b/internal/loadshed/summary.go
@@ -7,11 +7,11 @@
 	Arrived  float64
 	Admitted float64 // of those that arrived
 	Rejected float64 // of those admitted, rejected by the decision module
-	OnTime   float64 // answered within the target latency
+	OnTime   float64 // responses within the target latency
 	Cost     float64 // ms that a response takes at a server that is not busy; 0 if unknown
 }
 
-// isValid reports whether the rates are possible. Conditions are such that NaN is not.
+// isValid reports whether the rates are possible. NaN fails each comparison.
 func (r *ClassRates) isValid() bool {
 	for _, rate := range [...]float64{r.Arrived, r.Admitted, r.Rejected, r.OnTime} {
 		if !(rate >= 0 && rate <= maxRate) {
@@ -21,7 +21,7 @@
 	return r.Cost >= 0 && r.Cost <= maxCost && r.Admitted <= r.Arrived && r.Rejected <= r.Admitted
 }
 
-// Summary is what a replica sends to the others about a pool.
+// Summary reports the load of a pool at one replica to the others.
 type Summary struct {
 	From        string  // name of the replica
 	Incarnation uint64  // of its process
--- a/internal/loadshed/wire.go
+++ b/internal/loadshed/wire.go
@@ -9,7 +9,7 @@
 )
 
 // A summary is encoded in the wire format of protocol buffers, in one datagram. Unknown fields are skipped, so that a later
-// program may add some; a message of another version is rejected. The numbers and the meaning of fields never change.
+// version may add some; a message of another version is rejected. The numbers and the meaning of fields never change.
 //
 //	message Summary { uint32 version = 1; string pool = 2; string from = 3; fixed64 start = 4; uint64 number = 5; repeated Class class = 6;
 //	                  double reach = 7; }
@@ -22,7 +22,7 @@
 	maxMessageBytes = 1200
 )
 
-var errMessage = errors.New("allot: not a summary")
+var errMessage = errors.New("loadshed: invalid summary")
 
 // Marshal encodes the summary of a pool.
 func (s *Summary) Marshal(pool string) []byte {
@@ -32,21 +32,21 @@
 	b = protowire.AppendFixed64(protowire.AppendTag(b, 4, protowire.Fixed64Type), s.Incarnation)
 	b = protowire.AppendVarint(protowire.AppendTag(b, 5, protowire.VarintType), s.Sequence)
 	for _, c := range s.Classes {
-		var one []byte
+		var rates []byte
 		for i, v := range [...]float64{c.Arrived, c.Admitted, c.Rejected, c.OnTime, c.Cost} {
 			if v != 0 {
-				one = protowire.AppendFixed64(protowire.AppendTag(one, protowire.Number(i+1), protowire.Fixed64Type), math.Float64bits(v))
+				rates = protowire.AppendFixed64(protowire.AppendTag(rates, protowire.Number(i+1), protowire.Fixed64Type), math.Float64bits(v))
 			}
 		}
-		b = protowire.AppendBytes(protowire.AppendTag(b, 6, protowire.BytesType), one)
+		b = protowire.AppendBytes(protowire.AppendTag(b, 6, protowire.BytesType), rates)
 	}
 	return protowire.AppendFixed64(protowire.AppendTag(b, 7, protowire.Fixed64Type), math.Float64bits(s.Level))
 }
 
-// Unmarshal decodes a summary and the name of its pool. The error says what is wrong; no input panics.
+// Unmarshal decodes a summary and the name of its pool. No input panics.
 func Unmarshal(message []byte) (pool string, summary Summary, err error) {
 	if len(message) > maxMessageBytes {
-		return "", summary, fmt.Errorf("%w: %d bytes", errMessage, len(message))
+		return "", summary, fmt.Errorf("%w: %d bytes, over the limit of %d", errMessage, len(message), maxMessageBytes)
 	}
 	version := uint64(0)
 	err = forEachField(message, func(field protowire.Number, number uint64, text []byte) error {
@@ -76,27 +76,27 @@
 	switch {
 	case err != nil:
 	case version != wireVersion:
-		err = fmt.Errorf("%w: of version %d", errMessage, version)
+		err = fmt.Errorf("%w: version %d, expected %d", errMessage, version, wireVersion)
 	case pool == "" || summary.From == "" || len(pool) > maxNameBytes || len(summary.From) > maxNameBytes:
-		err = fmt.Errorf("%w: without a name, or with one over %d bytes", errMessage, maxNameBytes)
+		err = fmt.Errorf("%w: a name is empty or over %d bytes", errMessage, maxNameBytes)
 	}
 	return pool, summary, err
 }
 
 // unmarshalRates decodes the rates of one class.
 func unmarshalRates(message []byte) (rates ClassRates, err error) {
-	into := [...]*float64{&rates.Arrived, &rates.Admitted, &rates.Rejected, &rates.OnTime, &rates.Cost}
+	targets := [...]*float64{&rates.Arrived, &rates.Admitted, &rates.Rejected, &rates.OnTime, &rates.Cost}
 	err = forEachField(message, func(field protowire.Number, number uint64, _ []byte) error {
-		if field >= 1 && int(field) <= len(into) {
-			*into[field-1] = math.Float64frombits(number)
+		if field >= 1 && int(field) <= len(targets) {
+			*targets[field-1] = math.Float64frombits(number)
 		}
 		return nil
 	})
 	return rates, err
 }
 
-// forEachField calls each for the fields of a message. A field has a number or, of the type bytes, a text.
-func forEachField(b []byte, each func(n protowire.Number, number uint64, text []byte) error) error {
+// forEachField calls handle for each field of a message, with its number, or with its text if it has the type bytes.
+func forEachField(b []byte, handle func(n protowire.Number, number uint64, text []byte) error) error {
 	for len(b) > 0 {
 		n, kind, size := protowire.ConsumeTag(b)
 		if size < 0 {
@@ -119,7 +119,7 @@
 			return fmt.Errorf("%w: %w", errMessage, protowire.ParseError(size))
 		}
 		b = b[size:]
-		if err := each(n, number, text); err != nil {
+		if err := handle(n, number, text); err != nil {
 			return err
 		}
 	}
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -1,4 +1,4 @@
-// Package override keeps which servers operators hold out of service by hand. That overrides what
+// Package override records which servers operators hold out of service by hand. That overrides what
 // discovery reports: a server that is held counts as draining, and one that was released counts as
 // started at its release. The package is pure: it does no I/O and reads no clock.
 package override
@@ -12,8 +12,7 @@
 // MaxHeld is the number of servers that can be held at once.
 const MaxHeld = 4096
 
-// releaseRetentionMS is for how long a release is remembered, in milliseconds: any server is warm by
-// then.
+// releaseRetentionMS is how long a release is kept, in milliseconds: any server has warmed up by then.
 const releaseRetentionMS = 120_000
 
 // Set is an immutable set of overrides: by server id, the time of the operator's call in Unix
@@ -26,7 +25,7 @@
 // Hold returns a set in which a server is held. Holding it twice changes nothing. It is an error if
 // MaxHeld servers are held already.
 func (s Set) Hold(id string, now float64) (Set, error) {
-	if _, out := s.Held[id]; out {
+	if _, held := s.Held[id]; held {
 		return s, nil
 	}
 	if len(s.Held) >= MaxHeld {
@@ -40,7 +39,7 @@
 
 // Release returns a set in which a server is not held.
 func (s Set) Release(id string, now float64) Set {
-	if _, out := s.Held[id]; !out {
+	if _, held := s.Held[id]; !held {
 		return s
 	}
 	s = s.clone(now)
@@ -64,8 +63,8 @@
 
 // IsHeld reports whether a server is held.
 func (s Set) IsHeld(id string) bool {
-	_, out := s.Held[id]
-	return out
+	_, held := s.Held[id]
+	return held
 }
 
 // StartTime returns when a server counts as started, in Unix milliseconds, given the time that
@@ -100,7 +99,7 @@
 		return Set{}, fmt.Errorf("servers held out: %w", err)
 	}
 	if len(s.Held) > MaxHeld {
-		return Set{}, fmt.Errorf("servers held out: %d are over the %d that can be", len(s.Held), MaxHeld)
+		return Set{}, fmt.Errorf("servers held out: %d, over the limit of %d", len(s.Held), MaxHeld)
 	}
 	return s, nil
 }
--- a/internal/rules/answers_test.go
+++ b/internal/rules/answers_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// Each thing that an answer may not say is found, and nothing beside it.
+// Each response that contradicts the executions is reported, and no other one.
 func TestAnswers(t *testing.T) {
 	good, other := Response{200, "s1", "x"}, Response{200, "s2", "x"}
 	for name, c := range map[string]struct {
-		play func(a *Answers)
-		says string // "" for nothing
+		record func(a *Answers)
+		want   string // part of the violation; "" for none
 	}{
 		"served":  {func(a *Answers) { a.RecordExecution("once", good); a.RecordResponse("once", good) }, ""},
 		"refused": {func(a *Answers) { a.RecordResponse("once", Response{Status: 503}) }, ""},
@@ -21,22 +21,22 @@
 			a.RecordResponse("safe", other)
 		}, ""},
 		"safe, run, then refused":  {func(a *Answers) { a.RecordExecution("safe", good); a.RecordResponse("safe", Response{Status: 503}) }, ""},
-		"run twice":                {func(a *Answers) { a.RecordExecution("once", good); a.RecordExecution("once", other) }, "runs 2 times"},
-		"unasked":                  {func(a *Answers) { a.RecordExecution("x", good) }, "nobody has asked"},
-		"refused, had run":         {func(a *Answers) { a.RecordExecution("once", good); a.RecordResponse("once", Response{Status: 408}) }, "had run"},
-		"refused, runs":            {func(a *Answers) { a.RecordResponse("once", Response{Status: 421}); a.RecordExecution("once", good) }, "was told 421"},
-		"said never, had run":      {func(a *Answers) { a.RecordExecution("safe", good); a.RecordNotExecuted("safe", "never") }, "had run"},
-		"another's answer":         {func(a *Answers) { a.RecordExecution("once", good); a.RecordResponse("once", other) }, "endpoints gave it"},
-		"served by nobody":         {func(a *Answers) { a.RecordResponse("once", Response{Status: 204}) }, "endpoints gave it"},
-		"a seal of another status": {func(a *Answers) { a.RecordExecution("once", good); a.RecordResponse("once", Response{500, "s1", "x"}) }, "endpoints gave it"},
+		"run twice":                {func(a *Answers) { a.RecordExecution("once", good); a.RecordExecution("once", other) }, "executed 2 times"},
+		"never requested":          {func(a *Answers) { a.RecordExecution("x", good) }, "never requested"},
+		"refused, had run":         {func(a *Answers) { a.RecordExecution("once", good); a.RecordResponse("once", Response{Status: 408}) }, "not executed, and it was"},
+		"refused, runs":            {func(a *Answers) { a.RecordResponse("once", Response{Status: 421}); a.RecordExecution("once", good) }, "its caller got 421"},
+		"reported, had run":        {func(a *Answers) { a.RecordExecution("safe", good); a.RecordNotExecuted("safe", "never") }, "not executed, and it was"},
+		"response of another":      {func(a *Answers) { a.RecordExecution("once", good); a.RecordResponse("once", other) }, "endpoints returned"},
+		"served by no endpoint":    {func(a *Answers) { a.RecordResponse("once", Response{Status: 204}) }, "endpoints returned"},
+		"a seal of another status": {func(a *Answers) { a.RecordExecution("once", good); a.RecordResponse("once", Response{500, "s1", "x"}) }, "endpoints returned"},
 	} {
 		var a Answers
 		a.RecordRequest("once", true)
 		a.RecordRequest("safe", false)
-		c.play(&a)
-		wrong, n := a.Violations()
-		if n != min(len(c.says), 1) || n > 0 && !strings.Contains(wrong[0], c.says) {
-			t.Errorf("%s: %q, want %q", name, wrong, c.says)
+		c.record(&a)
+		violations, n := a.Violations()
+		if n != min(len(c.want), 1) || n > 0 && !strings.Contains(violations[0], c.want) {
+			t.Errorf("%s: %q, want %q", name, violations, c.want)
 		}
 	}
 }
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,8 +1,8 @@
-// Package rules checks the four rules of the sidecar over a stream of facts about what sidecars, servers and clients did. It does not
-// depend on how they decide or how they are modelled: facts go in, in the order of their times, and violations come out.
+// Package rules checks the four rules of the sidecar over a stream of facts about what sidecars, servers and clients did. It does
+// not depend on how they decide or how they are modelled. Facts are recorded in the order of their times.
 //
-// Rule 1: each request gets exactly one answer, in its client's time. Rule 2: a draining server gets no new request. Rule 3: a cold server
-// is not overloaded. Rule 4: a request that may have run is not sent again unless that is safe.
+// Rule 1: each request gets exactly one answer, before its client's deadline. Rule 2: a draining server gets no new request.
+// Rule 3: a cold server is not overloaded. Rule 4: a request that may have been executed is not sent again unless that is safe.
 package rules
 
 import (
@@ -18,15 +18,15 @@
 
 // The kinds of fact, with the fields that each uses.
 const (
-	RequestReceived Kind = iota + 1 // Copy, Request, Class, Due: a sidecar has accepted a request whose client gives up at Due
-	ClientLeft                      // Copy, Request: its client no longer waits
+	RequestReceived Kind = iota + 1 // Copy, Request, Class, Due: a sidecar has accepted a request whose client times out at Due
+	ClientLeft                      // Copy, Request: its client has disconnected
 	AttemptSent                     // Copy, Request, Attempt, Server: an attempt is sent
-	AttemptEnded                    // Copy, Request, Attempt, MayRun: it has ended, and may have run or certainly has not
+	AttemptEnded                    // Copy, Request, Attempt, MayRun: it has ended, and may have been executed or certainly was not
 	RequestAnswered                 // Copy, Request, Answer: the client gets its final answer
-	ReplicaKilled                   // Copy: the sidecar was killed; its open requests need no answer
+	ReplicaKilled                   // Copy: the sidecar was killed; its open requests are not checked for an answer
 	ServerStarted                   // Server, Zone, Cell, Cold: it has started, cold or warm
-	ServerListed                    // Copy, Server, Serves: the sidecar's list says that a server serves, or that it drains or is gone
-	WorkArrived                     // Server, Copy, Work, Capacity: work has reached a server of this capacity at that moment
+	ServerListed                    // Copy, Server, Serves: by the sidecar's server list a server serves, or drains or is gone
+	WorkArrived                     // Server, Copy, Work, Capacity: work of a sidecar has reached a server, which has this capacity then
 	RunEnded                        // the end of the run: open requests get no answer
 )
 
@@ -55,7 +55,7 @@
 	Class    uint16
 	Cell     uint16
 	Zone     uint8
-	Copy     uint32
+	Copy     uint32 // number of the sidecar
 	Server   uint32
 	Request  uint64
 	Due      float64
@@ -63,39 +63,39 @@
 	Capacity float64 // milliseconds of work a second
 }
 
-// Limits are what the rules allow.
+// Limits are the limits that the rules check.
 type Limits struct {
 	Classes       []balancer.Class
 	MaxAttempts   int
-	AnswerSlack   float64 // ms after the client's time in which an answer counts
-	DrainGrace    float64 // ms after a sidecar's list says that a server drains
+	AnswerSlack   float64 // ms after the client's deadline within which an answer counts
+	DrainGrace    float64 // ms after a sidecar's list reports a server as draining, for new requests to it
 	FallMultiple  float64 // highest ratio of the work that reaches a cold server to its capacity
 	FallAfter     float64 // ms over which that ratio is measured
-	InformedShare float64 // least ratio of that work from sidecars that knew of the start, for a violation
+	InformedShare float64 // lowest ratio of that work from sidecars whose lists had the server, for a violation
 }
 
 // Violation is one violation of a rule.
 type Violation struct {
 	Rule    int     // 1 to 4
 	At      float64 // ms
-	Copy    uint32
+	Copy    uint32  // number of the sidecar
 	Server  uint32
 	Request uint64
 	Text    string
 }
 
 // String returns the violation on one line.
-func (b Violation) String() string {
-	return fmt.Sprintf("rule %d at %.3f ms: copy %d, server %d, request %d: %s", b.Rule, b.At, b.Copy, b.Server, b.Request, b.Text)
+func (v Violation) String() string {
+	return fmt.Sprintf("rule %d at %.3f ms: copy %d, server %d, request %d: %s", v.Rule, v.At, v.Copy, v.Server, v.Request, v.Text)
 }
 
 // maxViolations bounds the violations that are kept; all are counted.
 const maxViolations = 100
 
-// Margins are the highest values of what the rules limit.
+// Margins are the highest observed values of the quantities that Limits bounds.
 type Margins struct {
-	Drain  float64 // ms from when a list said that a server drains or is gone to the last new request to it
-	Answer float64 // ms from the end of a client's time to its answer
+	Drain  float64 // ms from when a list reported a server as draining or gone to the last new request to it
+	Answer float64 // ms from a client's deadline to its answer
 	Cold   float64 // ratio of the work that reached a cold server to its capacity, over FallAfter
 }
 
@@ -105,13 +105,13 @@
 	replica     uint32
 	due         float64
 	answered    bool
-	abandoned   bool
-	open        int
-	attempts    int
-	mayRun      bool
-	firstRun    float64
-	firstServer uint32 // the server of the first attempt that may have run
-	sent        [4]struct {
+	abandoned   bool        // by its client
+	open        int         // attempts that have not ended
+	attempts    int         // attempts sent
+	mayRun      bool        // whether an ended attempt may have been executed
+	firstRun    float64     // time at which the first such attempt was sent
+	firstServer uint32      // its server
+	sent        [4]struct { // the last attempts, by number
 		at     float64
 		server uint32
 	}
@@ -123,16 +123,16 @@
 	cell         uint16
 	cold         bool
 	overloaded   bool
-	arrivals     []arrival // work of the last FallAfter
+	arrivals     []arrival // work of the last FallAfter, from index first on
 	first        int
 	work         float64
-	informedWork float64 // the part of it from sidecars that knew of the start
+	informedWork float64 // the part of work that is informed
 }
 
 // arrival is one arrival of work at a server.
 type arrival struct {
 	at, work float64
-	informed bool
+	informed bool // whether the list of its sidecar had the server
 }
 
 // replicaServer is a sidecar and a server.
@@ -143,8 +143,8 @@
 	limits        Limits
 	requests      map[uint64]*request
 	servers       map[uint32]*server
-	drainingSince map[replicaServer]float64 // since when the sidecar's list says that the server drains or is gone
-	knowsStart    map[replicaServer]bool    // whether the sidecar's list has shown the server
+	drainingSince map[replicaServer]float64 // when the sidecar's list first reported the server as draining or gone
+	inList        map[replicaServer]bool    // whether the sidecar's list has had the server
 	byReplica     map[uint32]map[uint64]bool
 
 	Violations     []Violation
@@ -156,7 +156,7 @@
 func NewChecker(l Limits) *Checker {
 	return &Checker{
 		limits: l, requests: map[uint64]*request{}, servers: map[uint32]*server{},
-		drainingSince: map[replicaServer]float64{}, knowsStart: map[replicaServer]bool{},
+		drainingSince: map[replicaServer]float64{}, inList: map[replicaServer]bool{},
 		byReplica: map[uint32]map[uint64]bool{},
 	}
 }
@@ -164,8 +164,8 @@
 // OpenRequests returns the number of requests without a final answer or with an open attempt.
 func (c *Checker) OpenRequests() int { return len(c.requests) }
 
-// violate records a violation.
-func (c *Checker) violate(rule int, f *Fact, format string, args ...any) {
+// recordViolation records a violation.
+func (c *Checker) recordViolation(rule int, f *Fact, format string, args ...any) {
 	c.ViolationCount++
 	if len(c.Violations) < maxViolations {
 		c.Violations = append(c.Violations, Violation{rule, f.At, f.Copy, f.Server, f.Request, fmt.Sprintf(format, args...)})
@@ -203,7 +203,7 @@
 
 func (c *Checker) requestReceived(f *Fact) {
 	if c.requests[f.Request] != nil {
-		c.violate(1, f, "taken twice")
+		c.recordViolation(1, f, "received twice")
 		return
 	}
 	c.requests[f.Request] = &request{class: f.Class, replica: f.Copy, due: f.Due}
@@ -222,7 +222,7 @@
 
 func (c *Checker) serverListed(f *Fact) {
 	p := replicaServer{f.Copy, f.Server}
-	c.knowsStart[p] = true
+	c.inList[p] = true
 	if f.Serves {
 		delete(c.drainingSince, p)
 	} else if _, draining := c.drainingSince[p]; !draining {
@@ -235,7 +235,7 @@
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
 		q := c.requests[id]
 		if !q.answered && !q.abandoned && f.At > q.due+c.limits.AnswerSlack {
-			c.violate(1, &Fact{At: f.At, Copy: q.replica, Request: id}, "no final answer %.1f ms past its client's time", f.At-q.due)
+			c.recordViolation(1, &Fact{At: f.At, Copy: q.replica, Request: id}, "no final answer %.1f ms past its client's deadline", f.At-q.due)
 		}
 	}
 }
@@ -245,22 +245,22 @@
 	if since, ok := c.drainingSince[replicaServer{f.Copy, f.Server}]; ok {
 		c.Margins.Drain = max(c.Margins.Drain, f.At-since)
 		if f.At-since > c.limits.DrainGrace {
-			c.violate(2, f, "sent %.1f ms after the word that the server takes nothing new", f.At-since)
+			c.recordViolation(2, f, "sent %.1f ms after the server list reported that the server takes nothing new", f.At-since)
 		}
 	}
 	q := c.requests[f.Request]
 	if q == nil {
-		c.violate(1, f, "an attempt of a request that is over or was never taken")
+		c.recordViolation(1, f, "an attempt of a request that is over or was never received")
 		return
 	}
 	if q.answered || q.abandoned {
-		c.violate(1, f, "an attempt after the final answer")
+		c.recordViolation(1, f, "an attempt after the final answer")
 	}
 	if q.open > 0 {
-		c.violate(4, f, "a second attempt beside one that is out")
+		c.recordViolation(4, f, "a second attempt beside one that is out")
 	}
 	if q.attempts++; q.attempts > c.limits.MaxAttempts {
-		c.violate(4, f, "attempt %d of %d", q.attempts, c.limits.MaxAttempts)
+		c.recordViolation(4, f, "attempt %d of %d", q.attempts, c.limits.MaxAttempts)
 	}
 	if q.mayRun {
 		c.checkRetry(f, q)
@@ -275,17 +275,17 @@
 	class := &c.limits.Classes[q.class]
 	switch class.Effect {
 	case balancer.Unsafe:
-		c.violate(4, f, "an unsafe request that may have run goes out again")
+		c.recordViolation(4, f, "an unsafe request that may have run is sent again")
 	case balancer.Keyed:
 		if f.At >= q.firstRun+class.DedupWindow {
-			c.violate(4, f, "a keyed request goes out again %.1f ms after the first, past the window", f.At-q.firstRun)
+			c.recordViolation(4, f, "a keyed request is sent again %.1f ms after the first attempt, past the window", f.At-q.firstRun)
 		}
 		a, b := c.servers[q.firstServer], c.servers[f.Server]
 		if a == nil || b == nil {
 			return
 		}
 		if class.DedupGroup == balancer.DedupZone && a.zone != b.zone || class.DedupGroup == balancer.DedupCell && a.cell != b.cell {
-			c.violate(4, f, "a keyed request goes out again to servers that do not remember the first")
+			c.recordViolation(4, f, "a keyed request is sent again to a server that does not remember the first attempt")
 		}
 	}
 }
@@ -297,7 +297,7 @@
 		return
 	}
 	if q.open--; q.open < 0 {
-		c.violate(1, f, "an attempt ended twice")
+		c.recordViolation(1, f, "an attempt ended twice")
 		q.open = 0
 	}
 	if f.MayRun && !q.mayRun {
@@ -311,21 +311,21 @@
 func (c *Checker) checkAnswer(f *Fact) {
 	q := c.requests[f.Request]
 	if q == nil || q.answered {
-		c.violate(1, f, "a second final answer (%v)", f.Answer)
+		c.recordViolation(1, f, "a second final answer (%v)", f.Answer)
 		return
 	}
 	q.answered = true
-	late := f.At - q.due
+	lateness := f.At - q.due
 	if !q.abandoned {
-		c.Margins.Answer = max(c.Margins.Answer, late)
+		c.Margins.Answer = max(c.Margins.Answer, lateness)
 	}
-	if late > c.limits.AnswerSlack && !q.abandoned {
-		c.violate(1, f, "answered (%v) %.1f ms past its client's time", f.Answer, late)
+	if lateness > c.limits.AnswerSlack && !q.abandoned {
+		c.recordViolation(1, f, "answered (%v) %.1f ms past its client's deadline", f.Answer, lateness)
 	}
 	class := &c.limits.Classes[q.class]
-	remembers := class.Effect == balancer.Keyed && class.DedupGroup == balancer.DedupAll
-	if f.Answer == Refused && class.Effect != balancer.Safe && !remembers && (q.mayRun || q.open > 0) {
-		c.violate(4, f, "refused though an attempt may have run")
+	deduplicated := class.Effect == balancer.Keyed && class.DedupGroup == balancer.DedupAll
+	if f.Answer == Refused && class.Effect != balancer.Safe && !deduplicated && (q.mayRun || q.open > 0) {
+		c.recordViolation(4, f, "refused though an attempt may have run")
 	}
 	c.removeIfDone(f.Request, q)
 }
@@ -338,16 +338,16 @@
 	}
 }
 
-// checkColdServer checks rule 3: a cold server that gets too much work for too long, most of it from sidecars that knew of its start.
+// checkColdServer checks rule 3: a cold server that gets too much work for too long, most of it from informed sidecars.
 func (c *Checker) checkColdServer(f *Fact) {
 	s := c.servers[f.Server]
 	if s == nil || !s.cold || s.overloaded {
 		return
 	}
-	told := c.knowsStart[replicaServer{f.Copy, f.Server}]
-	s.arrivals = append(s.arrivals, arrival{f.At, f.Work, told})
+	informed := c.inList[replicaServer{f.Copy, f.Server}]
+	s.arrivals = append(s.arrivals, arrival{f.At, f.Work, informed})
 	s.work += f.Work
-	if told {
+	if informed {
 		s.informedWork += f.Work
 	}
 	for s.arrivals[s.first].at < f.At-c.limits.FallAfter {
@@ -361,14 +361,14 @@
 		s.arrivals = s.arrivals[:copy(s.arrivals, s.arrivals[s.first:])]
 		s.first = 0
 	}
-	over := s.work / max(f.Capacity*c.limits.FallAfter/1000, 1e-9)
-	c.Margins.Cold = max(c.Margins.Cold, over)
-	if over <= c.limits.FallMultiple {
+	ratio := s.work / max(f.Capacity*c.limits.FallAfter/1000, 1e-9)
+	c.Margins.Cold = max(c.Margins.Cold, ratio)
+	if ratio <= c.limits.FallMultiple {
 		return
 	}
 	s.overloaded = true
 	if s.informedWork >= c.limits.InformedShare*s.work {
-		c.violate(3, f, "%.2f times what the cold server can do reached it within %.0f ms", over, c.limits.FallAfter)
+		c.recordViolation(3, f, "%.2f times the capacity of the cold server reached it within %.0f ms", ratio, c.limits.FallAfter)
 	}
 }
 
--- a/internal/state/poolrecord.go
+++ b/internal/state/poolrecord.go
@@ -60,7 +60,7 @@
 	return json.Marshal(r)
 }
 
-// UnmarshalJSON decodes what MarshalJSON wrote. The state is unchanged after an error.
+// UnmarshalJSON decodes a state that MarshalJSON has encoded. The state is unchanged after an error.
 func (p *PoolState) UnmarshalJSON(encoded []byte) error {
 	var r poolRecord
 	if err := json.Unmarshal(encoded, &r); err != nil {
--- a/internal/state/record.go
+++ b/internal/state/record.go
@@ -1,6 +1,6 @@
 // Package state stores on disk what a sidecar instance needs after a restart: the learned state of
-// its pools, the pins of degradation levels and the last good operator file. What is read back is
-// complete and was written by the same instance, or it is ignored: see Open.
+// its pools, the pins of degradation levels and the last good operator file. Files that are
+// incomplete or were written by another instance are ignored: see Open.
 package state
 
 import (
@@ -13,10 +13,10 @@
 	"milletmast/balancer"
 )
 
-// PoolState is the learned state of a pool's decision module. Servers are named by their ids, as
-// their numbers mean nothing to another process.
+// PoolState is the learned state of a pool's decision module. Servers are identified by their ids, as
+// their numbers are valid in one process only.
 type PoolState struct {
-	ModuleSettings string   // hash of the module's settings: what was learned under others is not comparable
+	ModuleSettings string   // hash of the module's settings: state that was learned under others is not comparable
 	Servers        []string // ids, in the order of Learned.Servers
 	Learned        balancer.LearnedState
 }
@@ -70,14 +70,14 @@
 }
 
 // decode decodes a file into body, which is unchanged after an error, and returns the instance that
-// wrote it. That has to be the given instance, unless it is empty.
+// wrote it. An error is returned if another instance than the given one wrote it, unless that is empty.
 func decode[T any](encoded []byte, instance string, body *T) (writtenBy string, err error) {
 	header, payload, ok := bytes.Cut(encoded, []byte("\n"))
 	if !ok || len(encoded) > maxFileBytes {
-		return "", fmt.Errorf("%w: %d bytes", ErrCorrupt, len(encoded))
+		return "", fmt.Errorf("%w: no header line, or %d bytes over the limit of %d", ErrCorrupt, len(encoded), maxFileBytes)
 	}
 	if want := fmt.Sprintf("%s %08x", magic, crc32.Checksum(payload, castagnoli)); string(header) != want {
-		return "", fmt.Errorf("%w: its checksum is another", ErrCorrupt)
+		return "", fmt.Errorf("%w: checksum mismatch", ErrCorrupt)
 	}
 	var file envelope[json.RawMessage]
 	if err := json.Unmarshal(payload, &file); err != nil {
@@ -85,11 +85,11 @@
 	}
 	switch {
 	case file.Schema > schemaVersion:
-		return "", fmt.Errorf("%w (schema %d, this one has %d)", ErrNewerVersion, file.Schema, schemaVersion)
+		return "", fmt.Errorf("%w (schema %d, supported is %d)", ErrNewerVersion, file.Schema, schemaVersion)
 	case file.Schema != schemaVersion:
-		return "", fmt.Errorf("%w: schema %d", ErrCorrupt, file.Schema)
+		return "", fmt.Errorf("%w: schema %d, supported is %d", ErrCorrupt, file.Schema, schemaVersion)
 	case instance != "" && file.Instance != instance:
-		return "", fmt.Errorf("%w (%q, this one is %q)", ErrOtherInstance, file.Instance, instance)
+		return "", fmt.Errorf("%w (%q, this is %q)", ErrOtherInstance, file.Instance, instance)
 	}
 	var out T
 	if err := json.Unmarshal(file.Body, &out); err != nil {
@@ -98,7 +98,7 @@
 	if f, ok := any(&out).(*learnedState); ok {
 		for name, p := range f.Pools {
 			if len(p.Servers) != len(p.Learned.Servers) || len(p.Servers) > maxServers {
-				return "", fmt.Errorf("%w: pool %q: %d servers and %d names", ErrCorrupt, name, len(p.Learned.Servers), len(p.Servers))
+				return "", fmt.Errorf("%w: pool %q: %d servers and %d ids", ErrCorrupt, name, len(p.Learned.Servers), len(p.Servers))
 			}
 		}
 	}
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -17,11 +17,11 @@
 const (
 	lockFileName    = "lock"
 	learnedFileName = "learned" // a snapshot of learned state; its loss costs a cold start
-	durableFileName = "held"    // what was acknowledged to an operator
+	durableFileName = "held"    // state whose writes are acknowledged to an operator
 )
 
 const (
-	lockTimeout       = time.Second // for a replaced process to release the lock as it exits
+	lockTimeout       = time.Second // for a process that is being replaced to release the lock
 	lockRetryInterval = 10 * time.Millisecond
 )
 
@@ -30,10 +30,10 @@
 type Store struct {
 	dir, instance string
 	lock          *os.File
-	// BeforeStep is called before each step of a write, with its name, for tests that inject faults.
+	// BeforeStep is called before each step of a write with the name of the step. Tests inject faults with it.
 	BeforeStep func(write string) error
 
-	learnedMu sync.Mutex // held while learned state is written: a slow snapshot must not delay an acknowledged write
+	learnedMu sync.Mutex // held while learned state is written; separate, so that a slow snapshot does not delay a durable write
 	durableMu sync.Mutex
 	durable   durableState // as on disk
 }
@@ -55,9 +55,9 @@
 
 // The reasons for which a file is set aside, and ErrLocked, for which a store cannot be opened.
 var (
-	ErrOtherInstance = errors.New("it is another instance's")
+	ErrOtherInstance = errors.New("it belongs to another instance")
 	ErrNewerVersion  = errors.New("it was written by a later version")
-	ErrCorrupt       = errors.New("it is damaged")
+	ErrCorrupt       = errors.New("it is corrupt")
 	ErrLocked        = errors.New("another process has it open")
 )
 
@@ -122,7 +122,7 @@
 	}
 }
 
-// loadFile reads and decodes a file of the given instance; of any, if that is empty.
+// loadFile reads and decodes a file of the given instance, or of any instance if that is empty.
 func loadFile[T any](path, instance string, out *T) error {
 	text, err := readFile(path)
 	if err != nil {
@@ -141,7 +141,7 @@
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	if !info.Mode().IsRegular() || info.Size() > maxFileBytes {
-		return nil, fmt.Errorf("state %s: %w: no regular file of up to %d MiB", path, ErrCorrupt, maxFileBytes>>20)
+		return nil, fmt.Errorf("state %s: %w: not a regular file of at most %d MiB", path, ErrCorrupt, maxFileBytes>>20)
 	}
 	f, err := os.Open(path)
 	if err != nil {
@@ -183,7 +183,7 @@
 		return nil, "", err
 	}
 	if !found {
-		return nil, "", fmt.Errorf("state %s: %w: nothing is kept there", dir, os.ErrNotExist)
+		return nil, "", fmt.Errorf("state %s: %w: it holds no state", dir, os.ErrNotExist)
 	}
 	c.Pools = learned.Pools
 	return c, instance, nil
@@ -192,7 +192,7 @@
 // Clear removes the contents of a state directory. It returns ErrLocked if an instance has it open.
 func Clear(dir string) error {
 	if _, err := os.Stat(filepath.Join(dir, lockFileName)); err != nil {
-		return fmt.Errorf("state %s: is no folder of an instance: %w", dir, err)
+		return fmt.Errorf("state %s: not a state directory of an instance: %w", dir, err)
 	}
 	f, err := acquireLock(filepath.Join(dir, lockFileName))
 	if err != nil {
--- a/internal/stats/samplering.go
+++ b/internal/stats/samplering.go
@@ -12,8 +12,8 @@
 	MinSamples       int
 }
 
-// AppendRecent appends values of a ring, the newest first. The ring has had count samples in all, the last at (count-1) modulo
-// its length.
+// AppendRecent appends values of a ring, the newest first. In total count samples were written to the ring, the last one at
+// (count-1) modulo its length.
 func AppendRecent(values []float64, ring []Sample, count int, w RecentWindow) []float64 {
 	for i := range min(count, len(ring)) {
 		s := ring[(count-1-i)%len(ring)]
--- a/internal/stats/tokenbucket.go
+++ b/internal/stats/tokenbucket.go
@@ -1,7 +1,7 @@
 package stats
 
 // TokenBucket allows events at a rate, and bursts of them. Times are milliseconds and do not go back. A bucket whose Rate is 0
-// is for an unlimited rate and is not to be asked.
+// stands for an unlimited rate: Take must not be called.
 type TokenBucket struct {
 	// Rate is in events per second.
 	Rate      float64
@@ -10,13 +10,13 @@
 	updatedAt float64
 }
 
-// NewTokenBucket returns a full bucket that holds the events of burstTime, but one at least.
+// NewTokenBucket returns a full bucket that holds the events of burstTime, but at least one.
 func NewTokenBucket(rate, burstTime, now float64) TokenBucket {
 	burst := max(rate*burstTime/1000, 1)
 	return TokenBucket{Rate: rate, burst: burst, tokens: burst, updatedAt: now}
 }
 
-// Take takes a token, and returns whether there was one.
+// Take takes a token, and reports whether there was one.
 func (t *TokenBucket) Take(now float64) bool {
 	t.tokens = min(t.burst, t.tokens+(now-t.updatedAt)/1000*t.Rate)
 	t.updatedAt = now
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -99,15 +99,15 @@
 		own = r.outsideZone(-1)
 	}
 	// The replicas of this zone, as ranks are assigned.
-	copies, rank := max((s.Replicas-s.Zone%zones+zones-1)/zones, 1), s.Rank/zones
+	replicas, rank := max((s.Replicas-s.Zone%zones+zones-1)/zones, 1), s.Rank/zones
 	if zones == 1 {
-		copies, rank = max(s.Replicas, 1), s.Rank
+		replicas, rank = max(s.Replicas, 1), s.Rank
 	}
 	size := s.Size
 	if zones > 1 {
 		size -= max(s.Size/remoteFraction, 1)
 	}
-	takeArc(own, rank%copies, copies, size, s.SpareReplicas, out)
+	takeArc(own, rank%replicas, replicas, size, s.SpareReplicas, out)
 	if missing := s.Size - len(out); zones > 1 && missing > 0 {
 		takeArc(r.outsideZone(s.Zone), s.Rank%max(s.Replicas, 1), max(s.Replicas, 1), missing, -1, out)
 	}
@@ -132,19 +132,19 @@
 }
 
 // takeArc adds the arc of one replica to out. Its length is size servers, or more if the arcs of all
-// replicas would not cover the ring with spare replicas lost; a negative spare needs no cover.
-func takeArc(ring []ringEntry, rank, copies, size, spare int, out map[string]bool) {
+// replicas would not cover the ring with spare replicas lost; a negative spare requires no coverage.
+func takeArc(ring []ringEntry, rank, replicas, size, spare int, out map[string]bool) {
 	n := len(ring)
 	if n == 0 {
 		return
 	}
-	// In units of 1/copies of a server, so that all replicas agree exactly.
+	// In units of 1/replicas of a server, so that all replicas agree exactly.
 	from := rank * n
-	length := size * copies
+	length := size * replicas
 	if spare >= 0 {
 		length = max(length, (1+spare)*n)
 	}
-	first, last := from/copies, (from+min(length, n*copies)-1)/copies
+	first, last := from/replicas, (from+min(length, n*replicas)-1)/replicas
 	for i := first; i <= min(last, first+n-1); i++ {
 		out[ring[i%n].id] = true
 	}
@@ -160,10 +160,10 @@
 }
 
 const (
-	growBelow    = 0.7              // usable fraction of a subset below which it grows: the module ejects at most 0.4 of its servers
+	growBelow    = 0.7              // usable fraction of a subset below which it grows: the decision module ejects at most 0.4 of its servers
 	shrinkAbove  = 0.9              // usable fraction above which it may shrink
 	growInterval = time.Second      // minimum time between two doublings
-	shrinkAfter  = 30 * time.Second // for which a subset has to be usable before it is halved
+	shrinkAfter  = 30 * time.Second // time for which a subset has to be usable before it is halved
 	maxGrowth    = 16
 )
 
@@ -178,10 +178,10 @@
 
 // Update takes the numbers of servers that are selected, known, and selected and usable. It reports
 // whether the spec has changed.
-func (k *Sizer) Update(now time.Time, chosen, known, usable int) bool {
-	share := float64(usable) / float64(max(chosen, 1))
+func (k *Sizer) Update(now time.Time, selected, known, usable int) bool {
+	share := float64(usable) / float64(max(selected, 1))
 	switch {
-	case share < growBelow && chosen < known && k.growth < maxGrowth:
+	case share < growBelow && selected < known && k.growth < maxGrowth:
 		k.healthy = false
 		if now.Sub(k.changedAt) < growInterval {
 			return false
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -17,9 +17,9 @@
 
 // Attempt is the record of one attempt, as the calling sidecar saw it. The JSON names are the format of the file.
 type Attempt struct {
-	Root    string  `json:"root"`   // request that entered from outside
+	Root    string  `json:"root"`   // external request
 	Parent  string  `json:"parent"` // attempt of the tier before; 00000000 for none
-	Call    string  `json:"call"`   // call that this is an attempt of
+	Call    string  `json:"call"`   // call to which the attempt belongs
 	ID      string  `json:"id"`
 	Sidecar string  `json:"sidecar"`
 	Hop     int     `json:"hop"`
@@ -39,7 +39,7 @@
 	maxLineBytes   = 8 << 10
 )
 
-// rotatedSuffix ends the name of the file before.
+// rotatedSuffix is appended to the name of the previous file.
 const rotatedSuffix = ".1"
 
 // Writer appends records to a file in a goroutine of its own, until Close.
@@ -112,7 +112,7 @@
 		}
 		line = append(line, '\n')
 		if size += int64(len(line)); size > maxFileBytes {
-			_ = out.Flush() // what the disk does not take is lost
+			_ = out.Flush() // records that cannot be written are lost
 			file.Close()
 			if file, err = w.rotate(); err != nil { // the next record tries again
 				size = maxFileBytes
@@ -141,8 +141,8 @@
 	return openAppend(w.path)
 }
 
-// Read reads the records of a file. An error names the line. A last line that is incomplete is left out, as its writer may
-// be at work.
+// Read reads the records of a file. An error names the line. An incomplete last line is left out, as its writer may not
+// have finished it.
 func Read(name string, r io.Reader) ([]Attempt, error) {
 	var attempts []Attempt
 	lines := bufio.NewScanner(r)
@@ -203,7 +203,7 @@
 			roots = append(roots, parent)
 		}
 	}
-	printed := map[string]bool{} // a forged file may have a call below itself, or an attempt several times
+	printed := map[string]bool{} // a forged file may have an attempt as its own ancestor, or several times
 	var printBelow func(parent, indent string, depth int)
 	printBelow = func(parent, indent string, depth int) {
 		if depth > maxDepth || printed[parent] {
--- a/internal/warmstart/decay.go
+++ b/internal/warmstart/decay.go
@@ -1,10 +1,10 @@
-// Package warmstart decays what a decision module has learned, by its age, so that a new module can start from it. It has no
+// Package warmstart decays the learned state of a decision module by its age, so that a new module can start from it. It has no
 // I/O and no clock. The rules:
 //
-//   - What is as old as MaxAge, or comes from the future as a clock was set, is dropped.
+//   - State that is as old as MaxAge, or that lies in the future because a clock was set, is dropped.
 //   - The load and latency ratio of a server move linearly with age to the mean of all servers, so that old differences fade.
 //   - A server that was ejected stays so for half of MaxAge; after that it counts as not measured.
-//   - The concurrency limit, and the base latency that it is judged by, are kept for MaxCapacityAge only: they describe a load,
+//   - The concurrency limit, and the base latency that it is derived from, are kept for MaxCapacityAge only: they describe a load,
 //     not servers.
 //
 // Which incarnation of a server a measurement belongs to, and that a server that warms up has none, are rules of the module.
@@ -23,7 +23,7 @@
 	MaxCapacityAge = 15 * time.Second
 )
 
-// Decay returns what is left of a memory at the time now, in ms, and its age. Nothing is left if the age is out of range.
+// Decay returns a learned state decayed to the time now, in ms, and its age. The result is empty if the age is out of range.
 // Impossible values count as not learned.
 func Decay(m balancer.LearnedState, now float64) (balancer.LearnedState, time.Duration) {
 	age := now - m.At
