--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -13,7 +13,7 @@
 	return &Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 12.5, TimeLeft: 1500 * time.Millisecond, Retries: 3, Path: []string{"aaaaaaaa", "bbbbbbbb"}}
 }
 
-func TestContextIsReadAsWritten(t *testing.T) {
+func TestContextRoundTrip(t *testing.T) {
 	const text = "1;root=0123456789abcdef;at=01234567;worth=12.5;ms=1500;retries=3;again=no;path=aaaaaaaa.bbbbbbbb"
 	c := sample()
 	if c.String() != text {
@@ -56,7 +56,7 @@
 	}
 }
 
-// FuzzParse reads any text. What is read is written as it came.
+// FuzzParse checks that a context that is parsed is written as the same text.
 func FuzzParse(f *testing.F) {
 	f.Add(sample().String())
 	f.Add("1;root=;at=;worth=;ms=;retries=;again=;path=")
@@ -72,73 +72,73 @@
 	})
 }
 
-// node is a call of a tree: how many calls each attempt of it causes, and how these go on.
-type node struct{ below []*node }
+// node is a call in a tree of calls. Each attempt of it causes the calls in children.
+type node struct{ children []*node }
 
 func (n *node) leaves() int {
-	if len(n.below) == 0 {
+	if len(n.children) == 0 {
 		return 1
 	}
 	sum := 0
-	for _, b := range n.below {
-		sum += b.leaves()
+	for _, child := range n.children {
+		sum += child.leaves()
 	}
 	return sum
 }
 
-// draw makes a random tree with at most so many leaves.
-func draw(t *rapid.T, depth int, room *int) *node {
+// drawTree draws a random tree, and subtracts its calls from the number that remains.
+func drawTree(t *rapid.T, depth int, remaining *int) *node {
 	n := &node{}
 	if depth == 0 {
 		return n
 	}
 	for range rapid.IntRange(1, 8).Draw(t, "fan-out") {
-		if *room <= 0 && len(n.below) > 0 {
+		if *remaining <= 0 && len(n.children) > 0 {
 			break
 		}
-		*room--
-		n.below = append(n.below, draw(t, depth-1, room))
+		*remaining--
+		n.children = append(n.children, drawTree(t, depth-1, remaining))
 	}
 	return n
 }
 
-// world plays a tree of calls through sidecars that follow the package's rules, and counts attempts at the last tier.
-type world struct {
-	t       *rapid.T
-	ledgers []*Table // by tier
-	now     time.Time
-	serial  int
-	last    int // attempts at the last tier
-	most    int // attempts that a class allows
+// simulation runs a tree of calls through sidecars that use the package, and counts attempts at the last tier.
+type simulation struct {
+	t                *rapid.T
+	tables           []*Table // by tier
+	now              time.Time
+	attempts         int // at all tiers
+	lastTierAttempts int
+	maxAttempts      int // of a call
 }
 
-// call plays one call at a tier, and tells whether it was served. Whether an attempt fails for itself is drawn, so that any
-// pattern of failures comes up; a call may fail though all below it succeeded (its answer was lost).
-func (w *world) call(n *node, pool *RetryBudget, c Context, tier int) bool {
-	for attempt := range w.most {
-		if attempt > 0 && !pool.Spend() {
+// call runs one call at a tier, and reports whether it was served. Whether an attempt itself fails is drawn, so that all patterns of
+// failures occur; a call may fail although all calls that it caused succeeded, as when its response is lost.
+func (s *simulation) call(n *node, budget *RetryBudget, c Context, tier int) bool {
+	for attempt := range s.maxAttempts {
+		if attempt > 0 && !budget.Spend() {
 			return false
 		}
-		w.serial++
-		c.Attempt = fmt.Sprintf("%08x", w.serial)
-		c.Retries = pool.Delegate()
-		if rapid.IntRange(0, 4).Draw(w.t, "never ran") == 0 {
-			pool.Return(c.Retries)
+		s.attempts++
+		c.Attempt = fmt.Sprintf("%08x", s.attempts)
+		c.Retries = budget.Delegate()
+		if rapid.IntRange(0, 4).Draw(s.t, "never executed") == 0 {
+			budget.Return(c.Retries)
 			continue
 		}
 		served := true
-		if len(n.below) == 0 {
-			w.last++
+		if len(n.children) == 0 {
+			s.lastTierAttempts++
 		}
-		for _, b := range n.below {
-			text := c.String() // it crosses as text
+		for _, child := range n.children {
+			text := c.String() // as it is sent to the next tier
 			got, err := Parse(text)
 			if err != nil {
-				w.t.Fatal(err)
+				s.t.Fatal(err)
 			}
-			served = w.call(b, w.ledgers[tier+1].Get(got, w.now), *got, tier+1) && served
+			served = s.call(child, s.tables[tier+1].Get(got, s.now), *got, tier+1) && served
 		}
-		if served && !rapid.Bool().Draw(w.t, "fails") {
+		if served && !rapid.Bool().Draw(s.t, "fails") {
 			return true
 		}
 	}
@@ -147,17 +147,17 @@
 
 func TestAttemptsAtTheLastTierAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		room := 60
-		root := draw(t, rapid.IntRange(0, 5).Draw(t, "depth"), &room)
+		remaining := 60
+		root := drawTree(t, rapid.IntRange(0, 5).Draw(t, "depth"), &remaining)
 		retries := rapid.IntRange(0, 12).Draw(t, "retries")
-		w := &world{t: t, now: time.Unix(1, 0), most: rapid.IntRange(1, 4).Draw(t, "attempts")}
+		s := &simulation{t: t, now: time.Unix(1, 0), maxAttempts: rapid.IntRange(1, 4).Draw(t, "attempts")}
 		for range 7 {
-			w.ledgers = append(w.ledgers, NewTable(1000))
+			s.tables = append(s.tables, NewTable(1000))
 		}
 		c := *sample()
-		w.call(root, NewRetryBudget(retries), c, 0)
-		if bound := (1 + retries) * root.leaves(); w.last > bound {
-			t.Fatalf("%d attempts at the last tier, over %d = (1+%d)*%d", w.last, bound, retries, root.leaves())
+		s.call(root, NewRetryBudget(retries), c, 0)
+		if bound := (1 + retries) * root.leaves(); s.lastTierAttempts > bound {
+			t.Fatalf("%d attempts at the last tier, over %d = (1+%d)*%d", s.lastTierAttempts, bound, retries, root.leaves())
 		}
 	})
 }
@@ -167,27 +167,27 @@
 	c := sample()
 	first, second := l.Get(c, now), l.Get(c, now)
 	for n := range 4 {
-		if pool := []*RetryBudget{first, second}[n%2]; pool.Spend() != (n < 3) {
+		if budget := []*RetryBudget{first, second}[n%2]; budget.Spend() != (n < 3) {
 			t.Errorf("retry %d of 3", n+1)
 		}
 	}
 	other := sample()
 	other.Attempt = "11111111"
 	if l.Get(other, now).Remaining() != 3 {
-		t.Error("another attempt has no pool of its own")
+		t.Error("another attempt shares the budget")
 	}
 	third := sample()
 	third.Attempt = "22222222"
 	if l.Get(third, now).Remaining() != 0 {
-		t.Error("with no room a call must get nothing")
+		t.Error("a call gets retries from a full table")
 	}
 	now = now.Add(2*c.TimeLeft + time.Millisecond)
 	if l.Get(third, now).Remaining() != 3 || l.Len() != 1 {
-		t.Errorf("pools whose time is over are kept: %d", l.Len())
+		t.Errorf("expired budgets are kept: %d", l.Len())
 	}
 }
 
-func TestHandKeepsOne(t *testing.T) {
+func TestDelegateKeepsOneRetry(t *testing.T) {
 	p := NewRetryBudget(5)
 	if p.Delegate() != 4 || p.Remaining() != 1 || !p.Spend() || p.Delegate() != 0 || p.Spend() {
 		t.Error(p.Remaining())
--- a/internal/clusterview/tracker_test.go
+++ b/internal/clusterview/tracker_test.go
@@ -22,9 +22,9 @@
 	t.Helper()
 	var all []*Tracker
 	for i := range n {
-		set := DefaultConfig()
-		set.ConfiguredReplicas, set.ConfiguredRank = n, i
-		m, err := NewTracker(set, name(i), 1, "1", epoch)
+		config := DefaultConfig()
+		config.ConfiguredReplicas, config.ConfiguredRank = n, i
+		m, err := NewTracker(config, name(i), 1, "1", epoch)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,7 +43,7 @@
 	for _, m := range trackers(t, 50) {
 		v := m.View()
 		if v.Confidence != Agreed || v.Replicas != 50 {
-			t.Fatalf("%v with %d copies", v.Confidence, v.Replicas)
+			t.Fatalf("%v with %d replicas", v.Confidence, v.Replicas)
 		}
 		ranks[v.Rank], hashes[v.Hash] = true, true
 	}
@@ -60,39 +60,39 @@
 		side := rapid.SliceOfN(rapid.Bool(), n, n).Draw(t, "side")
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		all := trackers(t, n)
-		const cut, healed, late = 10.0, 70.0, 4.0 // seconds; a failure is found within late
-		found := map[[2]int]float64{}
+		const partitioned, healed, maxDelay = 10.0, 70.0, 4.0 // seconds; a failure is detected within maxDelay
+		detectedAt := map[[2]int]float64{}
 		for i := range n {
 			for k := range n {
 				if side[i] != side[k] {
-					found[[2]int{i, k}] = cut + late*r.Float64()
+					detectedAt[[2]int{i, k}] = partitioned + maxDelay*r.Float64()
 				}
 			}
 		}
-		heard := map[[2]int]bool{}
-		for now := cut; now < healed+20; now += 0.5 {
+		reported := map[[2]int]bool{}
+		for now := partitioned; now < healed+20; now += 0.5 {
 			sum := 0.0
 			for i, m := range all {
 				for k := range n {
-					if when, ok := found[[2]int{i, k}]; !ok {
+					if when, ok := detectedAt[[2]int{i, k}]; !ok {
 						continue
-					} else if now >= healed+when-cut && heard[[2]int{i, k}] {
+					} else if now >= healed+when-partitioned && reported[[2]int{i, k}] {
 						m.HandleEvent(Event{Name: name(k), Incarnation: 1, State: Alive}, at(now))
-						delete(heard, [2]int{i, k})
-					} else if now >= when && now < healed && !heard[[2]int{i, k}] {
-						heard[[2]int{i, k}] = true
+						delete(reported, [2]int{i, k})
+					} else if now >= when && now < healed && !reported[[2]int{i, k}] {
+						reported[[2]int{i, k}] = true
 						m.HandleEvent(Event{Name: name(k), Incarnation: 1, State: Failed}, at(now))
 					}
 				}
 				m.Tick(at(now))
 				v := m.View()
 				if v.Replicas < 1 || v.Rank < 0 || v.Rank >= v.Replicas {
-					t.Fatalf("at %.1f s %s has rank %d of %d copies (%s)", now, m.self, v.Rank, v.Replicas, v.Reason)
+					t.Fatalf("at %.1f s %s has rank %d of %d replicas (%s)", now, m.self, v.Rank, v.Replicas, v.Reason)
 				}
 				sum += 1 / float64(v.Replicas)
 			}
 			if sum > MaxTotalShare+1e-9 {
-				t.Fatalf("at %.1f s all allow themselves %.3f", now, sum)
+				t.Fatalf("at %.1f s the shares add up to %.3f", now, sum)
 			}
 		}
 		hashes := map[uint64]bool{}
@@ -100,7 +100,7 @@
 			v := m.View()
 			hashes[v.Hash] = true
 			if v.Confidence != Agreed || v.Replicas != n {
-				t.Fatalf("%s has not healed: %v, %d of %d copies (%s)", m.self, v.Confidence, v.Replicas, n, v.Reason)
+				t.Fatalf("%s has not healed: %v, %d of %d replicas (%s)", m.self, v.Confidence, v.Replicas, n, v.Reason)
 			}
 		}
 		if len(hashes) != 1 {
@@ -112,35 +112,35 @@
 // The view does not depend on the order of events or on duplicates, and events of an earlier incarnation change nothing.
 func TestOrderOfEventsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type news struct {
-			who   int
-			start uint64
-			state State
+		type memberEvent struct {
+			member      int
+			incarnation uint64
+			state       State
 		}
-		var last []news // the newest of each member
+		var last []memberEvent // the last event of each member
 		for i := range rapid.IntRange(1, 12).Draw(t, "members") {
-			last = append(last, news{i + 1, rapid.Uint64Range(2, 4).Draw(t, "start"), State(rapid.IntRange(1, 4).Draw(t, "state"))})
+			last = append(last, memberEvent{i + 1, rapid.Uint64Range(2, 4).Draw(t, "incarnation"), State(rapid.IntRange(1, 4).Draw(t, "state"))})
 		}
-		play := func(seed uint64) View {
+		apply := func(seed uint64) View {
 			r := rand.New(rand.NewPCG(seed, 2))
-			set := DefaultConfig()
-			set.ConfiguredReplicas = 20
-			m, err := NewTracker(set, name(0), 1, "1", epoch)
+			config := DefaultConfig()
+			config.ConfiguredReplicas = 20
+			m, err := NewTracker(config, name(0), 1, "1", epoch)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, k := range r.Perm(len(last)) {
 				e := last[k]
-				m.HandleEvent(Event{Name: name(e.who), Incarnation: e.start, State: Alive}, epoch)
+				m.HandleEvent(Event{Name: name(e.member), Incarnation: e.incarnation, State: Alive}, epoch)
 				for range 1 + r.IntN(2) {
-					m.HandleEvent(Event{Name: name(e.who), Incarnation: e.start, State: e.state}, epoch)
-					m.HandleEvent(Event{Name: name(e.who), Incarnation: e.start - 1, State: Alive}, epoch)
+					m.HandleEvent(Event{Name: name(e.member), Incarnation: e.incarnation, State: e.state}, epoch)
+					m.HandleEvent(Event{Name: name(e.member), Incarnation: e.incarnation - 1, State: Alive}, epoch)
 				}
 			}
 			m.Tick(at(3600))
 			return m.View()
 		}
-		a, b := play(1), play(2)
+		a, b := apply(1), apply(2)
 		if a.Hash != b.Hash || a.Replicas != b.Replicas || a.Rank != b.Rank || a.Confidence != b.Confidence {
 			t.Fatalf("%+v and %+v", a, b)
 		}
@@ -153,16 +153,16 @@
 	m.HandleEvent(Event{Name: name(7), Incarnation: 1, State: Suspect}, at(10))
 	m.Tick(at(12))
 	if v := m.View(); v.Replicas != 10 || v.Confidence != Agreed {
-		t.Errorf("one is suspected: %d copies, %v", v.Replicas, v.Confidence)
+		t.Errorf("one is suspected: %d replicas, %v", v.Replicas, v.Confidence)
 	}
 	m.HandleEvent(Event{Name: name(7), Incarnation: 1, State: Failed}, at(13))
 	if v := m.View(); v.Replicas != 10 || v.Confidence != Changing {
-		t.Errorf("one has just failed: %d copies, %v", v.Replicas, v.Confidence)
+		t.Errorf("one has just failed: %d replicas, %v", v.Replicas, v.Confidence)
 	}
 	m.HandleEvent(Event{Name: name(8), Incarnation: 1, State: Suspect}, at(17))
 	m.Tick(at(18.1))
 	if v := m.View(); v.Replicas != 10 || v.Confidence != Changing {
-		t.Errorf("one has failed and another is suspected: %d copies, %v", v.Replicas, v.Confidence)
+		t.Errorf("one has failed and another is suspected: %d replicas, %v", v.Replicas, v.Confidence)
 	}
 	m.HandleEvent(Event{Name: name(8), Incarnation: 1, State: Alive}, at(18.1))
 	before := m.View()
@@ -171,11 +171,11 @@
 	}
 	m.HandleEvent(Event{Name: name(7), Incarnation: 2, State: Alive}, at(19))
 	if v := m.View(); v.Replicas != 10 {
-		t.Errorf("one came and has no part yet: %d copies", v.Replicas)
+		t.Errorf("one has restarted: %d replicas", v.Replicas)
 	}
 	m.Tick(at(20.5))
 	if m.HandleEvent(Event{Name: name(7), Incarnation: 1, State: Failed}, at(21)) {
-		t.Error("news of the process before is believed")
+		t.Error("an event of an earlier incarnation is applied")
 	}
 	for i := range 3 {
 		m.HandleEvent(Event{Name: name(i), Incarnation: 1, State: Left}, at(22))
@@ -185,16 +185,16 @@
 		t.Errorf("three of ten have left: %v, rank %d of %d", v.Confidence, v.Rank, v.Replicas)
 	}
 	if m.HandleEvent(Event{Name: name(3), Incarnation: 9, State: Failed}, at(30)) {
-		t.Error("a copy believes others of itself")
+		t.Error("a replica applies an event about itself")
 	}
 }
 
-// A replica that is alone uses its configured position. Of two that lose each other each keeps its share. The loss of many at once
-// is held, then taken for a partition by the side without a quorum, and believed by the side with one.
+// A replica that is alone uses its configured position. Of two that lose contact each keeps its share. After the loss of many at once
+// the position is held at first; later the side without a quorum assumes a partition, and the side with one accepts the loss.
 func TestPartitions(t *testing.T) {
-	set := DefaultConfig()
-	set.ConfiguredReplicas, set.ConfiguredRank = 12, 5
-	alone, err := NewTracker(set, "a", 1, "1", epoch)
+	config := DefaultConfig()
+	config.ConfiguredReplicas, config.ConfiguredRank = 12, 5
+	alone, err := NewTracker(config, "a", 1, "1", epoch)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,7 +210,7 @@
 	}
 	for _, c := range []struct {
 		lost, soon, later int
-		standing          Confidence
+		confidence        Confidence
 	}{{20, 40, 30, Agreed}, {30, 50, 100, Uncertain}, {5, 50, 45, Agreed}} {
 		m := trackers(t, 50)[49]
 		for i := range c.lost {
@@ -221,17 +221,17 @@
 		m.Tick(at(21))
 		m.Tick(at(31))
 		m.Tick(at(36))
-		if v := m.View(); soon != c.soon || v.Replicas != c.later || v.Confidence != c.standing {
-			t.Errorf("%d of 50 are lost: %d copies soon, then %d, %v, want %+v", c.lost, soon, v.Replicas, v.Confidence, c)
+		if v := m.View(); soon != c.soon || v.Replicas != c.later || v.Confidence != c.confidence {
+			t.Errorf("%d of 50 are lost: %d replicas soon, then %d, %v, want %+v", c.lost, soon, v.Replicas, v.Confidence, c)
 		}
 	}
 }
 
 // Of twelve replicas that start at once one sees only three others at first: it uses its configured position until HoldTime.
 func TestConcurrentStart(t *testing.T) {
-	set := DefaultConfig()
-	set.ConfiguredReplicas = 12
-	m, err := NewTracker(set, name(0), 1, "1", epoch)
+	config := DefaultConfig()
+	config.ConfiguredReplicas = 12
+	m, err := NewTracker(config, name(0), 1, "1", epoch)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -260,7 +260,7 @@
 		m.HandleEvent(Event{Name: name(5), Incarnation: 1, State: []State{Alive, Failed}[i%2]}, at(20+float64(i)))
 	}
 	if v := m.View(); v.Epoch != epochs || v.Replicas != 10 || !v.Members[5].Damped {
-		t.Errorf("it flaps: epoch %d, then %d, %d copies", epochs, v.Epoch, v.Replicas)
+		t.Errorf("it flaps: epoch %d, then %d, %d replicas", epochs, v.Epoch, v.Replicas)
 	}
 	next := m.Tick(at(40))
 	for range 50 {
@@ -270,7 +270,7 @@
 		next = m.Tick(next)
 	}
 	if v := m.View(); v.Replicas != 9 || v.Members[5].Damped {
-		t.Errorf("it stays away: %d copies, damped %v", v.Replicas, v.Members[5].Damped)
+		t.Errorf("it stays failed: %d replicas, damped %v", v.Replicas, v.Members[5].Damped)
 	}
 }
 
@@ -279,10 +279,10 @@
 		func(s *Config) { s.ConfiguredReplicas = 0 }, func(s *Config) { s.ConfiguredRank = 1 }, func(s *Config) { s.HoldTime = s.SettleTime }, func(s *Config) { s.MaxSuddenLoss = 0.3 },
 		func(s *Config) { s.MaxFlaps = 1 },
 	} {
-		set := DefaultConfig()
-		change(&set)
-		if _, err := NewTracker(set, "a", 1, "1", epoch); err == nil {
-			t.Errorf("%+v is taken", set)
+		config := DefaultConfig()
+		change(&config)
+		if _, err := NewTracker(config, "a", 1, "1", epoch); err == nil {
+			t.Errorf("%+v is accepted", config)
 		}
 	}
 }
--- a/internal/degradation/controller_test.go
+++ b/internal/degradation/controller_test.go
@@ -42,16 +42,16 @@
 // testController is a controller with a clock.
 type testController struct {
 	*Controller
-	clock time.Time
-	asked []float64
+	clock  time.Time
+	demand []float64
 }
 
-func begin(l Ladder) *testController {
+func newTestController(l Ladder) *testController {
 	return &testController{NewController(l, epoch), epoch, []float64{10, 5, 5}}
 }
 
-// with returns values of some signals; the others are those of a pool without load.
-func with(pairs ...any) SignalValues {
+// signalsWith returns values of some signals; the others are those of a pool without load.
+func signalsWith(pairs ...any) SignalValues {
 	r := SignalValues{EarnedRatio: 1, UsableRatio: 1, WarmRatio: 1}
 	for i := 0; i < len(pairs); i += 2 {
 		switch v := pairs[i+1].(type) {
@@ -64,68 +64,68 @@
 	return r
 }
 
-// hold feeds values for a time.
+// hold calls Update with the same values for a time.
 func (r *testController) hold(d time.Duration, s SignalValues) {
 	for end := r.clock.Add(d); r.clock.Before(end); {
 		r.clock = r.clock.Add(tick)
-		r.Update(r.clock, s, r.asked)
+		r.Update(r.clock, s, r.demand)
 	}
 }
 
 func (r *testController) level() string { return r.Status(3).Level }
 
-// A script is lines of "TIME SIGNALS LEVEL": the signals have their values for the time, and the level is reached at its end.
+// Each case is a list of steps of a duration, signals and a level: the signals are held for the duration, and the level is checked at its end.
 func TestLadderByScript(t *testing.T) {
-	calm, wait, refused := with(), with(QueueTime, 0.5), with(RejectedRatio, 0.5)
+	idle, waiting, rejected := signalsWith(), signalsWith(QueueTime, 0.5), signalsWith(RejectedRatio, 0.5)
 	for _, k := range []struct {
 		name  string
-		lines []any // time in ms, reading, level
+		steps []any // duration in ms, signals, level
 	}{
-		{"a short burst is none", []any{200, wait, Normal, 500, calm, Normal, 200, wait, Normal}},
-		{"up, and down after least and calm", []any{400, wait, "lean", 3600, calm, "lean", 600, calm, Normal}},
-		{"a higher level is reached step by step", []any{200, refused, Normal, 200, refused, "essential", 4000, calm, "lean", 900, calm, "lean", 400, calm, Normal}},
-		{"the band holds it", []any{400, wait, "lean", 8000, with(QueueTime, 0.15), "lean", 2000, with(QueueTime, 0.09), Normal}},
-		{"calm must be unbroken", []any{400, wait, "lean", 4500, wait, "lean", 800, calm, "lean", 200, wait, "lean", 800, calm, "lean", 300, calm, Normal}},
-		{"not entered again at once", []any{400, wait, "lean", 4300, calm, Normal, 1500, wait, Normal, 700, wait, "lean"}},
-		{"any condition enters", []any{400, with(UsableRatio, 0.5), "lean", 6000, with(UsableRatio, 0.7), "lean", 1200, with(UsableRatio, 0.85), Normal}},
-		{"nothing told falls to normal", []any{400, wait, "lean", 8000, NoSignals(), Normal}},
-		{"a signal that stops coming counts for a while", []any{400, with(QueueTime, 0.5), "lean", 4000, with(QueueTime, 0.5), "lean",
-			1500, with(QueueTime, math.NaN()), "lean", 1800, with(QueueTime, math.NaN()), Normal}},
+		{"a short burst is ignored", []any{200, waiting, Normal, 500, idle, Normal, 200, waiting, Normal}},
+		{"left after MinTime and LeaveAfter", []any{400, waiting, "lean", 3600, idle, "lean", 600, idle, Normal}},
+		{"a higher level is reached step by step", []any{200, rejected, Normal, 200, rejected, "essential", 4000, idle, "lean", 900, idle, "lean", 400, idle, Normal}},
+		{"hysteresis keeps the level", []any{400, waiting, "lean", 8000, signalsWith(QueueTime, 0.15), "lean", 2000, signalsWith(QueueTime, 0.09), Normal}},
+		{"an interruption restarts LeaveAfter", []any{400, waiting, "lean", 4500, waiting, "lean", 800, idle, "lean", 200, waiting, "lean", 800, idle, "lean", 300, idle, Normal}},
+		{"not entered again before MinTimeOff", []any{400, waiting, "lean", 4300, idle, Normal, 1500, waiting, Normal, 700, waiting, "lean"}},
+		{"one condition is enough to enter", []any{400, signalsWith(UsableRatio, 0.5), "lean", 6000, signalsWith(UsableRatio, 0.7), "lean", 1200, signalsWith(UsableRatio, 0.85), Normal}},
+		{"left without any signals", []any{400, waiting, "lean", 8000, NoSignals(), Normal}},
+		{"a missing signal keeps its value until signalTimeout", []any{400, signalsWith(QueueTime, 0.5), "lean", 4000, signalsWith(QueueTime, 0.5), "lean",
+			1500, signalsWith(QueueTime, math.NaN()), "lean", 1800, signalsWith(QueueTime, math.NaN()), Normal}},
 	} {
 		t.Run(k.name, func(t *testing.T) {
-			r := begin(ladder())
-			for i := 0; i < len(k.lines); i += 3 {
-				r.hold(time.Duration(k.lines[i].(int))*time.Millisecond, k.lines[i+1].(SignalValues))
-				if got := r.level(); got != k.lines[i+2] {
-					t.Fatalf("line %d: level %s, want %s", i/3, got, k.lines[i+2])
+			r := newTestController(ladder())
+			for i := 0; i < len(k.steps); i += 3 {
+				r.hold(time.Duration(k.steps[i].(int))*time.Millisecond, k.steps[i+1].(SignalValues))
+				if got := r.level(); got != k.steps[i+2] {
+					t.Fatalf("step %d: level %s, want %s", i/3, got, k.steps[i+2])
 				}
 			}
 		})
 	}
 }
 
-// A level that is entered again soon after it was left is kept for longer each time, until it has not been entered for long.
+// A level that is entered again soon after it was left is kept for twice as long each time, until it has not been entered for long.
 func TestMinTimeBackoff(t *testing.T) {
-	r := begin(ladder())
+	r := newTestController(ladder())
 	var held []time.Duration
 	for range 5 {
 		for r.level() == Normal {
-			r.hold(tick, with(QueueTime, 0.5))
+			r.hold(tick, signalsWith(QueueTime, 0.5))
 		}
 		from := r.clock
 		for r.level() != Normal {
-			r.hold(tick, with())
+			r.hold(tick, signalsWith())
 		}
 		held = append(held, r.clock.Sub(from).Round(time.Second))
 	}
 	if fmt.Sprint(held) != "[4s 8s 16s 32s 32s]" {
 		t.Errorf("held for %v", held)
 	}
-	r.hold(5*32*time.Second, with())
-	r.hold(400*time.Millisecond, with(QueueTime, 0.5))
-	r.hold(4500*time.Millisecond, with())
+	r.hold(5*32*time.Second, signalsWith())
+	r.hold(400*time.Millisecond, signalsWith(QueueTime, 0.5))
+	r.hold(4500*time.Millisecond, signalsWith())
 	if r.level() != Normal {
-		t.Error("it is still held for longer after a long time without")
+		t.Error("the minimum time is still longer after a long time at normal")
 	}
 }
 
@@ -138,20 +138,20 @@
 		"every tick":     func(n int) float64 { return float64(n % 2) },
 		"just over, off": func(n int) float64 { return 0.0999 + 0.11*float64(n/50%2) },
 	} {
-		r := begin(ladder())
+		r := newTestController(ladder())
 		var at []time.Time
 		for n := range 36_000 { // an hour
 			r.clock = r.clock.Add(tick)
-			if r.Update(r.clock, with(QueueTime, signal(n), RejectedRatio, signal(n)), r.asked) {
+			if r.Update(r.clock, signalsWith(QueueTime, signal(n), RejectedRatio, signal(n)), r.demand) {
 				at = append(at, r.clock)
 			}
 		}
-		within(t, name, ladder(), at)
+		checkMaxChanges(t, name, ladder(), at)
 	}
 }
 
-// within checks MaxChanges in windows of many lengths.
-func within(t interface{ Errorf(string, ...any) }, name string, l Ladder, at []time.Time) {
+// checkMaxChanges checks that times of changes respect MaxChanges in windows of many lengths.
+func checkMaxChanges(t interface{ Errorf(string, ...any) }, name string, l Ladder, at []time.Time) {
 	for _, w := range []time.Duration{0, time.Second, 3 * time.Second, 6 * time.Second, 10 * time.Second, time.Minute, 10 * time.Minute} {
 		for i, j := 0, 0; i < len(at); i++ {
 			for ; j < len(at) && at[j].Sub(at[i]) <= w; j++ {
@@ -173,17 +173,17 @@
 	}
 }
 
-// While servers warm up, what was shed is admitted again no faster than they do.
+// While servers warm up, shed requests are admitted again no faster than the warm capacity grows.
 func TestRestoreFollowsWarmup(t *testing.T) {
-	r := begin(ladder())
-	r.hold(time.Second, with(RejectedRatio, 0.9, UsableRatio, 0.5))
+	r := newTestController(ladder())
+	r.hold(time.Second, signalsWith(RejectedRatio, 0.9, UsableRatio, 0.5))
 	for r.level() == "essential" {
-		r.hold(tick, with(WarmRatio, 0.4))
+		r.hold(tick, signalsWith(WarmRatio, 0.4))
 	}
 	last := 1.0
 	for n := range 200 {
 		warm := min(0.4+0.005*float64(n), 1)
-		r.hold(tick, with(WarmRatio, warm))
+		r.hold(tick, signalsWith(WarmRatio, warm))
 		share := 0.0
 		for _, s := range r.Status(3).Shedding {
 			if s.Class == 2 {
@@ -193,34 +193,34 @@
 		if share > last+1e-9 {
 			t.Fatalf("the share of class 2 rises from %v to %v", last, share)
 		}
-		if back := 1 - share/0.6; back > max(warm, float64(n+2)*0.1/16)+1e-9 && warm < warmEnough {
-			t.Fatalf("%v of the callers are back with %v of the capacity warm", back, warm)
+		if restored := 1 - share/0.6; restored > max(warm, float64(n+2)*0.1/16)+1e-9 && warm < warmEnough {
+			t.Fatalf("%v of the callers are restored with %v of the capacity warm", restored, warm)
 		}
 		last = share
 	}
 	if last != 0 {
 		t.Errorf("%v are shed in the end", last)
 	}
-	// Servers that never get warm hold it up for four times the ramp at most.
-	r = begin(ladder())
-	r.hold(400*time.Millisecond, with(QueueTime, 1))
+	// Servers that never warm up delay restoring to at most maxRestoreFactor times RestoreTime.
+	r = newTestController(ladder())
+	r.hold(400*time.Millisecond, signalsWith(QueueTime, 1))
 	for r.level() != Normal {
-		r.hold(tick, with(WarmRatio, 0))
+		r.hold(tick, signalsWith(WarmRatio, 0))
 	}
-	r.hold(maxRestoreFactor*2*time.Second-200*time.Millisecond, with(WarmRatio, 0))
+	r.hold(maxRestoreFactor*2*time.Second-200*time.Millisecond, signalsWith(WarmRatio, 0))
 	if s := r.Status(3); len(s.Shedding) == 0 || s.Restored >= 1 {
-		t.Errorf("all is back with nothing warm: %+v", s)
+		t.Errorf("everything is restored without a warm server: %+v", s)
 	}
-	r.hold(300*time.Millisecond, with(WarmRatio, 0))
+	r.hold(300*time.Millisecond, signalsWith(WarmRatio, 0))
 	if s := r.Status(3); len(s.Shedding) != 0 || s.Restored != 1 {
-		t.Errorf("not all is back: %+v", s)
+		t.Errorf("not everything is restored: %+v", s)
 	}
 }
 
 // The same callers stay shed: those of a lower ratio are among those of a higher one.
 func TestSameCallersAreShed(t *testing.T) {
-	r := begin(ladder())
-	r.hold(400*time.Millisecond, with(QueueTime, 0.5))
+	r := newTestController(ladder())
+	r.hold(400*time.Millisecond, signalsWith(QueueTime, 0.5))
 	const n = 20_000
 	first := map[int]bool{}
 	for i := range n {
@@ -231,8 +231,8 @@
 			t.Fatal("another class is shed")
 		}
 	}
-	if part := float64(len(first)) / n; math.Abs(part-0.5) > 0.01 {
-		t.Errorf("%v are shed", part)
+	if ratio := float64(len(first)) / n; math.Abs(ratio-0.5) > 0.01 {
+		t.Errorf("the shed ratio is %v", ratio)
 	}
 	shed := func() (out map[int]bool) {
 		out = map[int]bool{}
@@ -245,11 +245,11 @@
 	}
 	for i := range shed() {
 		if !first[i] {
-			t.Fatalf("caller %d is shed later than others", i)
+			t.Fatalf("caller %d is shed only in the second round", i)
 		}
 	}
 	for before := first; r.level() != Normal || len(before) > 0; {
-		r.hold(tick, with())
+		r.hold(tick, signalsWith())
 		now := shed()
 		for i := range now {
 			if !before[i] {
@@ -261,74 +261,74 @@
 	if v := r.Admit(1, 0); v.Shed != nil || v.MaxAttempts != 0 || v.DeadlineShare != 1 {
 		t.Errorf("at the normal level %+v", v)
 	}
-	r.hold(500*time.Millisecond, with(RejectedRatio, 0.5))
+	r.hold(500*time.Millisecond, signalsWith(RejectedRatio, 0.5))
 	if v := r.Admit(0, 0); v.Shed != nil || v.MaxAttempts != 1 || v.DeadlineShare != 0.5 {
 		t.Errorf("at the top level %+v", v)
 	}
 }
 
-// A single class is not shed: there is nothing to protect.
+// The only class with demand is not shed, as there is no other one to protect.
 func TestSingleClassIsNotShed(t *testing.T) {
-	r := begin(ladder())
-	r.asked = []float64{0, 7, 0}
-	r.hold(600*time.Millisecond, with(RejectedRatio, 0.5))
+	r := newTestController(ladder())
+	r.demand = []float64{0, 7, 0}
+	r.hold(600*time.Millisecond, signalsWith(RejectedRatio, 0.5))
 	if s := r.Status(3); s.Level != "essential" || len(s.Shedding) != 0 || r.Admit(1, 0).Shed != nil {
 		t.Errorf("%+v", s)
 	}
-	r.asked = []float64{0.2, 7, 0} // a little to protect, a little is shed
-	r.hold(tick, with(RejectedRatio, 0.5))
+	r.demand = []float64{0.2, 7, 0} // little demand to protect, so little is shed
+	r.hold(tick, signalsWith(RejectedRatio, 0.5))
 	if s := r.Status(3); len(s.Shedding) != 2 || s.Shedding[0].Share < 0.2 || s.Shedding[0].Share > 0.3 {
 		t.Errorf("%+v", s.Shedding)
 	}
 }
 
 func TestPin(t *testing.T) {
-	r := begin(ladder())
+	r := newTestController(ladder())
 	if err := r.Pin("none", r.clock, r.clock.Add(time.Minute)); err == nil || !strings.Contains(err.Error(), "none") {
 		t.Errorf("%v", err)
 	}
 	if err := r.Pin("essential", r.clock, r.clock.Add(10*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	r.hold(9900*time.Millisecond, with())
+	r.hold(9900*time.Millisecond, signalsWith())
 	if s := r.Status(3); s.Level != "essential" || s.By != ByOperator || s.PinnedUntil.IsZero() || len(s.Shedding) != 2 {
 		t.Errorf("pinned: %+v", s)
 	}
-	// It ends in overload: the level stays, as its conditions hold.
-	r.hold(time.Second, with(RejectedRatio, 0.5))
+	// The pin ends during an overload: the level stays, as its conditions are met.
+	r.hold(time.Second, signalsWith(RejectedRatio, 0.5))
 	if s := r.Status(3); s.Level != "essential" || !s.PinnedUntil.IsZero() || s.ChangeCount != 1 {
 		t.Errorf("after the pin: %+v", s)
 	}
-	// Normal is pinned in overload: nothing is done until it ends, then the steps follow as the ladder has them.
+	// Normal is pinned during an overload: the level is normal until the pin ends, and then rises step by step.
 	if err := r.Pin(Normal, r.clock, r.clock.Add(5*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	r.hold(4900*time.Millisecond, with(RejectedRatio, 0.5))
+	r.hold(4900*time.Millisecond, signalsWith(RejectedRatio, 0.5))
 	if s := r.Status(3); s.Level != Normal {
 		t.Errorf("pinned: %+v", s)
 	}
-	r.hold(400*time.Millisecond, with(RejectedRatio, 0.5))
+	r.hold(400*time.Millisecond, signalsWith(RejectedRatio, 0.5))
 	if s := r.Status(3); s.Level != "essential" || s.By != BySignals {
 		t.Errorf("after the pin: %+v", s)
 	}
-	// A release in calm: the level is held for its least time from the pin on.
+	// Unpinned without load: MinTime counts from the pin.
 	if err := r.Pin("essential", r.clock, r.clock.Add(time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	r.hold(8*time.Second, with())
+	r.hold(8*time.Second, signalsWith())
 	r.Unpin(r.clock)
-	r.hold(200*time.Millisecond, with())
+	r.hold(200*time.Millisecond, signalsWith())
 	if s := r.Status(3); s.Level != "lean" {
-		t.Errorf("after the release: %+v", s)
+		t.Errorf("after Unpin: %+v", s)
 	}
 }
 
 func TestSetLadder(t *testing.T) {
-	high := func() *testController {
-		r := begin(ladder())
-		r.hold(600*time.Millisecond, with(RejectedRatio, 0.5))
+	atTopLevel := func() *testController {
+		r := newTestController(ladder())
+		r.hold(600*time.Millisecond, signalsWith(RejectedRatio, 0.5))
 		if r.level() != "essential" {
-			t.Fatal("not there")
+			t.Fatalf("level %s, want essential", r.level())
 		}
 		return r
 	}
@@ -348,80 +348,80 @@
 		{"the mildest removed", ladder()[1:], "essential", 2},
 		{"all removed", nil, Normal, 3},
 	} {
-		r := high()
+		r := atTopLevel()
 		r.SetLadder(k.to, r.clock)
 		if s := r.Status(3); s.Level != k.level || s.ChangeCount != k.count {
 			t.Errorf("%s: %s after %d changes", k.name, s.Level, s.ChangeCount)
 		}
-		r.hold(200*time.Millisecond, with(RejectedRatio, 0.5)) // whatever is left of it works
-		r.hold(time.Minute, with())
+		r.hold(200*time.Millisecond, signalsWith(RejectedRatio, 0.5)) // the new ladder is usable
+		r.hold(time.Minute, signalsWith())
 		if s := r.Status(3); s.Level != Normal || len(s.Shedding) != 0 {
-			t.Errorf("%s: does not end: %+v", k.name, s)
+			t.Errorf("%s: the level does not return to normal: %+v", k.name, s)
 		}
 	}
-	// A level that stays was entered when it was: a reload does not hold it for longer, nor let it be entered again sooner.
-	r := high()
-	r.hold(4200*time.Millisecond, with(RejectedRatio, 0.5))
+	// A reload keeps the times of the levels that stay: it neither restarts MinTime nor shortens MinTimeOff.
+	r := atTopLevel()
+	r.hold(4200*time.Millisecond, signalsWith(RejectedRatio, 0.5))
 	r.SetLadder(ladder(), r.clock)
-	r.hold(1200*time.Millisecond, with())
+	r.hold(1200*time.Millisecond, signalsWith())
 	if r.level() == "essential" {
-		t.Error("held anew")
+		t.Error("the reload restarts MinTime")
 	}
-	r = high()
+	r = atTopLevel()
 	for r.level() != Normal {
-		r.hold(tick, with())
+		r.hold(tick, signalsWith())
 	}
 	r.SetLadder(ladder(), r.clock)
-	r.hold(1500*time.Millisecond, with(RejectedRatio, 0.5))
+	r.hold(1500*time.Millisecond, signalsWith(RejectedRatio, 0.5))
 	if r.level() != Normal {
-		t.Error("entered too soon")
+		t.Error("the reload shortens MinTimeOff")
 	}
-	// A copy goes its own way.
-	c := high()
+	// A clone is independent of the original.
+	c := atTopLevel()
 	d := c.Clone()
 	d.SetLadder(nil, c.clock)
 	if c.level() != "essential" || d.Status(3).Level != Normal {
-		t.Error("a copy shares its state")
+		t.Error("a clone shares state with its original")
 	}
 }
 
-// Time that jumps or goes back does no harm, and a stall does not count as a condition that was met.
+// Time that goes back is ignored, and a condition does not count as met during a stall.
 func TestTimeJumps(t *testing.T) {
-	r := begin(ladder())
-	r.Update(epoch.Add(tick), with(QueueTime, 1), nil)
-	r.Update(epoch.Add(-time.Hour), with(QueueTime, 1), nil)
+	r := newTestController(ladder())
+	r.Update(epoch.Add(tick), signalsWith(QueueTime, 1), nil)
+	r.Update(epoch.Add(-time.Hour), signalsWith(QueueTime, 1), nil)
 	if s := r.Status(3); s.Level != Normal {
-		t.Errorf("back: %s", s.Level)
+		t.Errorf("time goes back: %s", s.Level)
 	}
-	r.Update(epoch.Add(24*time.Hour), with(QueueTime, 1), nil)
+	r.Update(epoch.Add(24*time.Hour), signalsWith(QueueTime, 1), nil)
 	if s := r.Status(3); s.Level != "lean" {
-		t.Errorf("a day on: %s", s.Level)
+		t.Errorf("a day later: %s", s.Level)
 	}
-	r.Update(epoch.Add(48*time.Hour), with(), nil)
+	r.Update(epoch.Add(48*time.Hour), signalsWith(), nil)
 	if s := r.Status(3); s.Level != "lean" {
-		t.Errorf("calm for no time: %s", s.Level)
+		t.Errorf("idle at one update only: %s", s.Level)
 	}
-	r.Update(epoch.Add(48*time.Hour+2*time.Second), with(), nil)
+	r.Update(epoch.Add(48*time.Hour+2*time.Second), signalsWith(), nil)
 	if s := r.Status(3); s.Level != Normal {
-		t.Errorf("calm: %s", s.Level)
+		t.Errorf("idle for LeaveAfter: %s", s.Level)
 	}
 }
 
 func TestStatus(t *testing.T) {
-	r := begin(ladder())
-	r.hold(600*time.Millisecond, with(RejectedRatio, 0.5))
+	r := newTestController(ladder())
+	r.hold(600*time.Millisecond, signalsWith(RejectedRatio, 0.5))
 	s := r.Status(3)
 	if !strings.Contains(s.Reason, "refused > 0.3, is 0.5") || !strings.Contains(s.BlockedBy, "refused < 0.15, is 0.5") ||
 		!s.EarliestLeave.After(r.clock.Add(3*time.Second)) {
 		t.Errorf("%+v", s)
 	}
-	r.hold(3*time.Second, with())
+	r.hold(3*time.Second, signalsWith())
 	if s := r.Status(3); s.BlockedBy != "" || !s.EarliestLeave.Equal(s.Since.Add(4*time.Second)) {
-		t.Errorf("forecast %v since %v, waits for %q", s.EarliestLeave, s.Since, s.BlockedBy)
+		t.Errorf("earliest leave %v, since %v, blocked by %q", s.EarliestLeave, s.Since, s.BlockedBy)
 	}
 	for range 40 {
-		r.hold(time.Second, with(RejectedRatio, 0.5))
-		r.hold(time.Minute, with())
+		r.hold(time.Second, signalsWith(RejectedRatio, 0.5))
+		r.hold(time.Minute, signalsWith())
 	}
 	if s := r.Status(3); len(s.Changes) != maxChangesKept || s.ChangeCount < 100 || s.Changes[maxChangesKept-1].To != Normal || !s.EarliestLeave.IsZero() {
 		t.Errorf("%d changes kept of %d", len(s.Changes), s.ChangeCount)
@@ -462,16 +462,16 @@
 	return l
 }
 
-// Whatever the signals and the clock do for hours: the bound on changes holds, shares stay shares, and once all is calm or silent
-// every level is left and every class is back, in a time that the settings tell.
+// With random ladders and signals, changes stay within MaxChanges and shed ratios within 0 and 1. Once the pool is idle or has no signals,
+// every level is left and every class restored within a time that follows from the ladder.
 func TestRandomSignals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawLadder(t)
-		r := begin(l)
+		r := newTestController(l)
 		var at []time.Time
 		step := func(d time.Duration, s SignalValues) {
 			r.clock = r.clock.Add(d)
-			if r.Update(r.clock, s, r.asked) {
+			if r.Update(r.clock, s, r.demand) {
 				at = append(at, r.clock)
 			}
 			if share := r.shedRatio(1); !(share >= 0 && share <= 1) || r.shedRatio(0) != 0 {
@@ -481,36 +481,36 @@
 		for range rapid.IntRange(1, 40).Draw(t, "phases") {
 			var s SignalValues
 			for k := range s {
-				if s[k] = rapid.Float64Range(0, 1.2).Draw(t, "value"); rapid.IntRange(0, 4).Draw(t, "told") == 0 {
+				if s[k] = rapid.Float64Range(0, 1.2).Draw(t, "value"); rapid.IntRange(0, 4).Draw(t, "measured") == 0 {
 					s[k] = math.NaN()
 				}
 			}
-			other, every := with(), rapid.IntRange(1, 60).Draw(t, "every")
+			alternative, period := signalsWith(), rapid.IntRange(1, 60).Draw(t, "period")
 			d := time.Duration(rapid.SampledFrom([]int{10, 50, 100, 100, 100, 1000, 30_000}).Draw(t, "tick")) * time.Millisecond
 			for n := range rapid.IntRange(1, 500).Draw(t, "ticks") {
-				if n/every%2 == 0 {
+				if n/period%2 == 0 {
 					step(d, s)
 				} else {
-					step(d, other)
+					step(d, alternative)
 				}
 			}
 		}
-		within(t, "random", l, at)
-		most := 10 * time.Second
+		checkMaxChanges(t, "random", l, at)
+		settleTime := 10 * time.Second
 		for _, v := range l {
-			most += v.MinTime<<maxBackoff + v.LeaveAfter + maxRestoreFactor*v.RestoreTime + time.Second
+			settleTime += v.MinTime<<maxBackoff + v.LeaveAfter + maxRestoreFactor*v.RestoreTime + time.Second
 		}
-		s := with()
-		if rapid.Bool().Draw(t, "silence") {
+		s := signalsWith()
+		if rapid.Bool().Draw(t, "no signals") {
 			s = NoSignals()
 		}
-		for end := r.clock.Add(most); r.clock.Before(end); {
+		for end := r.clock.Add(settleTime); r.clock.Before(end); {
 			step(tick, s)
 		}
 		if st := r.Status(3); st.Level != Normal || len(st.Shedding) > 0 {
-			t.Fatalf("after %v of calm: %s, shedding %v", most, st.Level, st.Shedding)
+			t.Fatalf("after %v without load: %s, shedding %v", settleTime, st.Level, st.Shedding)
 		}
-		within(t, "random", l, at)
+		checkMaxChanges(t, "random", l, at)
 	})
 }
 
@@ -541,12 +541,12 @@
 	} {
 		l := ladder()
 		change(l)
-		told := ""
+		got := ""
 		for _, e := range l.Validate(3) {
-			told += e.Error() + "\n"
+			got += e.Error() + "\n"
 		}
-		if !strings.Contains(told, want) {
-			t.Errorf("want %q, told %q", want, told)
+		if !strings.Contains(got, want) {
+			t.Errorf("want %q, got %q", want, got)
 		}
 	}
 	if errs := ladder().Validate(3); len(errs) != 0 {
--- a/internal/degradation/meter_test.go
+++ b/internal/degradation/meter_test.go
@@ -11,7 +11,7 @@
 func TestMeterRead(t *testing.T) {
 	m := NewMeter(time.Second, 2, epoch)
 	if r := m.Read(epoch, 0); !math.IsNaN(r[QueueTime]) || !math.IsNaN(r[RejectedRatio]) || !math.IsNaN(r[P95Ratio]) {
-		t.Errorf("of nothing: %v", r)
+		t.Errorf("without requests: %v", r)
 	}
 	now := epoch
 	for i := range 100 {
@@ -36,10 +36,10 @@
 		}
 	}
 	if w := m.Demand(now); w[0] != 50 || w[1] != 600 {
-		t.Errorf("asked %v", w)
+		t.Errorf("demand %v", w)
 	}
 	if r := m.Read(now, time.Minute); r[QueueTime] != 60 {
-		t.Errorf("one that waits still: %v", r[QueueTime])
+		t.Errorf("a request that still waits: %v", r[QueueTime])
 	}
 	if r := m.Read(now.Add(500*time.Millisecond), 0); r[RejectedRatio] != 0 || r[FailedRatio] != 0 {
 		t.Errorf("half a second later: %v", r)
@@ -50,11 +50,11 @@
 	now = now.Add(time.Hour)
 	m.CountResult(now, Served, 1, 2)
 	if r := m.Read(now, 0); !math.IsNaN(r[LateRatio]) || r[QueueTime] != 0 {
-		t.Errorf("one answer is taken for a share: %v", r)
+		t.Errorf("one response is enough for a ratio: %v", r)
 	}
 }
 
-// The memory of a window is bounded, and its percentile is near the true one.
+// The sample of latencies is bounded, and its percentile is near the true one.
 func TestMeterSampleIsBounded(t *testing.T) {
 	m := NewMeter(time.Second, 1, epoch)
 	now := epoch
@@ -73,11 +73,11 @@
 func BenchmarkAdmit(b *testing.B) {
 	m := NewController(ladder(), epoch)
 	for i := range 20 {
-		m.Update(epoch.Add(time.Duration(i)*tick), with(RejectedRatio, 0.9), []float64{10, 5, 5})
+		m.Update(epoch.Add(time.Duration(i)*tick), signalsWith(RejectedRatio, 0.9), []float64{10, 5, 5})
 	}
-	who := HashCaller("10.1.2.3")
+	caller := HashCaller("10.1.2.3")
 	b.ReportAllocs()
 	for b.Loop() {
-		m.Admit(1, who)
+		m.Admit(1, caller)
 	}
 }
--- a/internal/gossip/group_test.go
+++ b/internal/gossip/group_test.go
@@ -25,7 +25,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// memberMain is a process that is a member and nothing else. It prints its address, and its view at each change as a line of JSON.
+// memberMain runs a process that is a member only. It prints its address, and then a report as a line of JSON after each change of its
+// view and once per second.
 func memberMain() error {
 	number, _ := strconv.Atoi(os.Getenv("NUMBER"))
 	count, _ := strconv.Atoi(os.Getenv("COUNT"))
@@ -38,7 +39,7 @@
 	for _, k := range strings.Fields(os.Getenv("KEYS")) {
 		c.Keys = append(c.Keys, []byte(k))
 	}
-	var routes sync.Map // as they come by the input, a line of JSON each: the address here for the address there
+	var routes sync.Map // read from stdin, a JSON object per line: from an advertised address to the one to send to
 	c.TranslateAddress = func(address string) string {
 		if to, ok := routes.Load(address); ok {
 			return to.(string)
@@ -72,19 +73,20 @@
 			continue
 		}
 		last = v
-		sent, held := g.ByteCounts()
-		if err := out.Encode(report{v, sent, held}); err != nil {
+		sent, dropped := g.ByteCounts()
+		if err := out.Encode(report{v, sent, dropped}); err != nil {
 			return err
 		}
 	}
 }
 
+// report is the state of a member process.
 type report struct {
 	clusterview.View
-	Sent, Held uint64
+	Sent, Dropped uint64 // bytes
 }
 
-// testGroup is member processes.
+// testGroup is a group of member processes.
 type testGroup struct {
 	t       *testing.T
 	cluster *testcluster.Cluster
@@ -92,26 +94,27 @@
 	seed    string
 	procs   map[string]*testcluster.Process
 	input   map[string]*os.File
-	links   map[[2]string]*pair
+	links   map[[2]string]*linkPair // from one member to another
 }
 
-// pair is the links from one member to another.
-type pair struct{ udp, tcp *testcluster.Link }
+// linkPair holds the links from one member to another.
+type linkPair struct{ udp, tcp *testcluster.Link }
 
-func (p *pair) cut(on bool) error {
+// setBlocked blocks the links, or opens them again.
+func (p *linkPair) setBlocked(blocked bool) error {
 	for _, l := range []*testcluster.Link{p.udp, p.tcp} {
-		l.SetConditions(testcluster.Forward, testcluster.Conditions{Blocked: on})
-		l.SetConditions(testcluster.Backward, testcluster.Conditions{Blocked: on})
+		l.SetConditions(testcluster.Forward, testcluster.Conditions{Blocked: blocked})
+		l.SetConditions(testcluster.Backward, testcluster.Conditions{Blocked: blocked})
 	}
-	if on {
+	if blocked {
 		p.tcp.Reset()
 		return p.tcp.SetMode(testcluster.Refusing)
 	}
 	return p.tcp.SetMode(testcluster.Accepting)
 }
 
-// route leads all that each member sends another over a pair of links of theirs.
-func (f *testGroup) route() {
+// routeThroughLinks routes the traffic between each two members through links.
+func (f *testGroup) routeThroughLinks() {
 	f.t.Helper()
 	address := map[string]string{}
 	for n, p := range f.procs {
@@ -124,8 +127,8 @@
 			if from == to {
 				continue
 			}
-			// One address has to do for both kinds: the datagrams' link takes a free port, and the other one that of the same number.
-			var p pair
+			// Datagrams and connections use the same address: one link listens at a free TCP port, the other one at the UDP port of that number.
+			var p linkPair
 			var err error
 			for range 20 {
 				if p.tcp, err = f.cluster.Listen(from+">"+to, addr, 1, testcluster.Observer{}); err != nil {
@@ -151,13 +154,13 @@
 	}
 }
 
-// cut cuts the links between two sides, or joins them.
-func (f *testGroup) cut(on bool, a, b []string) {
+// setPartitioned blocks the links between two sides, or opens them again.
+func (f *testGroup) setPartitioned(partitioned bool, a, b []string) {
 	f.t.Helper()
 	for _, x := range a {
 		for _, y := range b {
 			for _, k := range [][2]string{{x, y}, {y, x}} {
-				if err := f.links[k].cut(on); err != nil {
+				if err := f.links[k].setBlocked(partitioned); err != nil {
 					f.t.Fatal(err)
 				}
 			}
@@ -165,14 +168,14 @@
 	}
 }
 
-func newFleet(t *testing.T, n int) *testGroup {
+func newTestGroup(t *testing.T, n int) *testGroup {
 	t.Helper()
 	r, err := testcluster.New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	f := &testGroup{t: t, cluster: r, count: n, procs: map[string]*testcluster.Process{}, input: map[string]*os.File{}, links: map[[2]string]*pair{}}
+	f := &testGroup{t: t, cluster: r, count: n, procs: map[string]*testcluster.Process{}, input: map[string]*os.File{}, links: map[[2]string]*linkPair{}}
 	for i := range n {
 		f.start(fmt.Sprint("m", i), i)
 	}
@@ -193,16 +196,17 @@
 	}
 	f.cluster.OnClose(func() { write.Close() })
 	f.procs[name], f.input[name] = p, write
-	f.wait(name+" listens", func() bool { return strings.Contains(p.Output.String(), "address ") })
+	f.waitFor(name+" listens", func() bool { return strings.Contains(p.Output.String(), "address ") })
 	if f.seed == "" {
 		rest, _, _ := strings.Cut(p.Output.String(), "\n")
 		f.seed = strings.TrimPrefix(rest, "address ")
 	}
 }
 
-func (f *testGroup) wait(what string, holds func() bool) time.Duration {
+// waitFor waits until a condition holds and returns how long that took.
+func (f *testGroup) waitFor(what string, holds func() bool) time.Duration {
 	f.t.Helper()
-	begun := time.Now()
+	startedAt := time.Now()
 	if err := testcluster.WaitFor(context.Background(), what, 40*time.Second, holds); err != nil {
 		for name := range f.procs {
 			v := f.view(name)
@@ -210,10 +214,10 @@
 		}
 		f.t.Fatal(err)
 	}
-	return time.Since(begun)
+	return time.Since(startedAt)
 }
 
-// view is what a member told last.
+// view returns the last report of a member.
 func (f *testGroup) view(name string) (v report) {
 	text := f.procs[name].Output.String()
 	lines := strings.Split(strings.TrimSpace(text), "\n")
@@ -225,13 +229,13 @@
 	return v
 }
 
-// agree tells whether members are agreed on a number of copies, with one hash and a rank each.
-func (f *testGroup) agree(copies int, names ...string) func() bool {
+// agreed returns a condition: the named members agree on a number of replicas, with one hash and a rank each.
+func (f *testGroup) agreed(replicas int, names ...string) func() bool {
 	return func() bool {
 		hashes, ranks := map[uint64]bool{}, map[int]bool{}
 		for _, n := range names {
 			v := f.view(n)
-			if v.Confidence != clusterview.Agreed || v.Replicas != copies {
+			if v.Confidence != clusterview.Agreed || v.Replicas != replicas {
 				return false
 			}
 			hashes[v.Hash], ranks[v.Rank] = true, true
@@ -247,35 +251,36 @@
 	return out
 }
 
-// Ten processes find each other by one seed and agree; one that is killed is left out, comes back as another process under its name and
-// is there again; one that stands still for 10 s and goes on, believing that all others have failed, does not go by that, and all agree again.
+// Ten processes find each other by one seed and agree. One that is killed is left out, and counts again after another process has started
+// under its name. One that is suspended until the others detect a failure, and then resumed, does not act on its failed probes of all
+// others, and all agree again.
 func TestProcesses(t *testing.T) {
-	f := newFleet(t, 10)
-	t.Logf("agreed within %v", f.wait("ten agree", f.agree(10, names(0, 10)...)))
+	f := newTestGroup(t, 10)
+	t.Logf("agreed within %v", f.waitFor("ten agree", f.agreed(10, names(0, 10)...)))
 
 	f.procs["m4"].Kill()
 	rest := append(names(0, 4), names(5, 10)...)
-	t.Logf("a killed one is left out within %v", f.wait("nine agree", f.agree(9, rest...)))
+	t.Logf("a killed process is left out within %v", f.waitFor("nine agree", f.agreed(9, rest...)))
 	f.start("m4", 4)
-	t.Logf("it is back within %v", f.wait("ten agree again", f.agree(10, names(0, 10)...)))
+	t.Logf("it is back within %v", f.waitFor("ten agree again", f.agreed(10, names(0, 10)...)))
 
 	if err := f.procs["m7"].Suspend(); err != nil {
 		t.Fatal(err)
 	}
-	f.wait("nine agree without the one that stands still", f.agree(9, append(names(0, 7), names(8, 10)...)...))
-	time.Sleep(5 * time.Second) // it stands for longer than it takes to be found
+	f.waitFor("nine agree without the suspended one", f.agreed(9, append(names(0, 7), names(8, 10)...)...))
+	time.Sleep(5 * time.Second) // it stays suspended for longer than it takes to detect
 	if err := f.procs["m7"].Resume(); err != nil {
 		t.Fatal(err)
 	}
-	least := 100
-	t.Logf("it is back within %v", f.wait("ten agree with it", func() bool {
+	minReplicas := 100
+	t.Logf("it is back within %v", f.waitFor("ten agree with it", func() bool {
 		if v := f.view("m7"); v.Confidence != 0 {
-			least = min(least, v.Replicas)
+			minReplicas = min(minReplicas, v.Replicas)
 		}
-		return f.agree(10, names(0, 10)...)()
+		return f.agreed(10, names(0, 10)...)()
 	}))
-	if least < 8 {
-		t.Errorf("the one that stood still went by %d copies", least)
+	if minReplicas < 8 {
+		t.Errorf("the suspended process assumed %d replicas", minReplicas)
 	}
 	for n, p := range f.procs {
 		if v := f.view(n); v.Sent == 0 || float64(v.Sent) > 256<<10*(p.Lifetime().Seconds()+2) {
@@ -284,68 +289,68 @@
 	}
 }
 
-// Nine processes are cut into five and four: at no moment do all together allow themselves more than the bound of what each takes a part
-// of; the five go on by themselves, the four by twice as many copies as there were; once the links are back all agree again, without a hand,
-// also as all seeds are on one side.
+// Nine processes are partitioned into five and four. The sum of their shares stays within MaxTotalShare at all times: the five agree among
+// themselves, and the four assume twice as many replicas as there were. After the partition all agree again without intervention, although
+// all seeds are on one side.
 func TestPartition(t *testing.T) {
 	n := 9
 	if more, err := strconv.Atoi(os.Getenv("MEMBERS")); err == nil && more >= 5 && more <= 60 {
-		n = more // the larger run that docs/design/members.md names
+		n = more // the larger run that docs/design/members.md describes
 	}
-	f := newFleet(t, n)
-	t.Logf("%d agree within %v", n, f.wait("all agree", f.agree(n, names(0, n)...)))
-	f.route()
-	few, many := names(0, 2*n/5), names(2*n/5, n)
+	f := newTestGroup(t, n)
+	t.Logf("%d agree within %v", n, f.waitFor("all agree", f.agreed(n, names(0, n)...)))
+	f.routeThroughLinks()
+	minority, majority := names(0, 2*n/5), names(2*n/5, n)
 	if n == 9 {
-		few, many = names(0, 4), names(4, n) // the nearest to a half is the nearest to the bound
+		minority, majority = names(0, 4), names(4, n) // the sum is closest to the bound if the sides are closest to a half
 	}
-	most := 0.0
-	sums := func(holds func() bool) func() bool {
+	maxSum := 0.0
+	recordingSum := func(holds func() bool) func() bool {
 		return func() bool {
 			sum := 0.0
 			for name := range f.procs {
 				sum += 1 / float64(max(f.view(name).Replicas, 1))
 			}
-			most = max(most, sum)
+			maxSum = max(maxSum, sum)
 			return holds()
 		}
 	}
-	f.cut(true, few, many)
-	f.wait("the many go on, and the few are at twice as many", sums(func() bool {
-		for _, name := range few {
+	f.setPartitioned(true, minority, majority)
+	f.waitFor("the majority agrees, and the minority assumes twice as many replicas", recordingSum(func() bool {
+		for _, name := range minority {
 			if v := f.view(name); v.Confidence != clusterview.Uncertain || v.Replicas != 2*n {
 				return false
 			}
 		}
-		return f.agree(len(many), many...)()
+		return f.agreed(len(majority), majority...)()
 	}))
-	f.cut(false, few, many)
-	t.Logf("one view within %v of healing", f.wait("all see the same", sums(func() bool {
+	f.setPartitioned(false, minority, majority)
+	t.Logf("one view within %v of healing", f.waitFor("all see the same", recordingSum(func() bool {
 		hashes := map[uint64]bool{}
 		for name := range f.procs {
 			hashes[f.view(name).Hash] = true
 		}
 		return len(hashes) == 1
 	})))
-	t.Logf("agreed after %v more", f.wait("all agree again", sums(f.agree(n, names(0, n)...))))
-	if t.Logf("the most that all allowed themselves: %.3f", most); most > clusterview.MaxTotalShare {
-		t.Errorf("all allowed themselves %.3f of the whole, over %v", most, clusterview.MaxTotalShare)
+	t.Logf("agreed after %v more", f.waitFor("all agree again", recordingSum(f.agreed(n, names(0, n)...))))
+	if t.Logf("highest sum of the shares: %.3f", maxSum); maxSum > clusterview.MaxTotalShare {
+		t.Errorf("the shares add up to %.3f, over %v", maxSum, clusterview.MaxTotalShare)
 	}
 }
 
-// Members of another cluster, or with another key, are not heard; a key is changed while both are understood.
+// Members of another cluster, or with another key, are ignored. A member with the old and the new key is accepted during a change of keys.
 func TestOtherClustersAndKeys(t *testing.T) {
-	f := newFleet(t, 3)
-	f.wait("three agree", f.agree(3, names(0, 3)...))
+	f := newTestGroup(t, 3)
+	f.waitFor("three agree", f.agreed(3, names(0, 3)...))
 	f.start("other", 0, "CLUSTER=b")
-	f.start("thief", 0, "KEYS=fedcba9876543210")
+	f.start("wrongkey", 0, "KEYS=fedcba9876543210")
 	f.start("next", 0, "KEYS=fedcba9876543210 0123456789abcdef")
 	f.start("both", 0, "KEYS=0123456789abcdef fedcba9876543210")
-	f.wait("the one that understands both is there", f.agree(4, append(names(0, 3), "both")...))
+	f.waitFor("the member with both keys is accepted", f.agreed(4, append(names(0, 3), "both")...))
 	for _, n := range append(names(0, 3), "both") {
 		for _, m := range f.view(n).Members {
-			if m.Name == "other" || m.Name == "thief" {
-				t.Errorf("%s believes in %s", n, m.Name)
+			if m.Name == "other" || m.Name == "wrongkey" {
+				t.Errorf("%s has the member %s", n, m.Name)
 			}
 		}
 	}
@@ -361,7 +366,7 @@
 		change(&c)
 		if g, err := Join(c); err == nil {
 			g.Close()
-			t.Errorf("%+v is taken", c)
+			t.Errorf("%+v is accepted", c)
 		}
 	}
 }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -29,24 +29,24 @@
 	dir := t.TempDir()
 	a := openSharedState(t, dir, "a")
 	if a.IsAnotherAlive() {
-		t.Error("alone, it sees another")
+		t.Error("a single process sees another")
 	}
 	b, err := Open(dir, "b")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !a.IsAnotherAlive() || !b.IsAnotherAlive() {
-		t.Error("two do not see each other")
+		t.Error("two processes do not see each other")
 	}
 	if _, err := Open(dir, "b"); err == nil {
-		t.Error("two have one id")
+		t.Error("two processes have the same id")
 	}
-	b.aliveFile.Close() // as when it is killed: its file stays, the lock does not
+	b.aliveFile.Close() // as when it is killed: its file stays, but its lock is released
 	if a.IsAnotherAlive() {
-		t.Error("one that died is taken for alive")
+		t.Error("a process that has ended counts as alive")
 	}
 	if _, err := os.Stat(b.aliveFile.Name()); err == nil {
-		t.Error("the mark of one that died stays")
+		t.Error("the file of a process that has ended stays")
 	}
 }
 
@@ -54,9 +54,9 @@
 func TestConcurrentUpdates(t *testing.T) {
 	dir := t.TempDir()
 	a, b := openSharedState(t, dir, "a"), openSharedState(t, dir, "b")
-	var both sync.WaitGroup
+	var writers sync.WaitGroup
 	for _, p := range []*SharedState{a, b} {
-		both.Go(func() {
+		writers.Go(func() {
 			for i := range 50 {
 				if _, err := p.Update(func(s State) State {
 					s.Held, _ = s.Held.Hold(fmt.Sprint(p.ID(), i), 1)
@@ -67,7 +67,7 @@
 			}
 		})
 	}
-	both.Wait()
+	writers.Wait()
 	if s, err := a.Read(); err != nil || len(s.Held.Held) != 100 {
 		t.Errorf("%d of 100 changes are kept, %v", len(s.Held.Held), err)
 	}
@@ -76,7 +76,7 @@
 	}
 	c := openSharedState(t, dir, "c")
 	if s, err := c.Update(func(s State) State { s.Serving = "c"; return s }); err != nil || len(s.Held.Held) != 100 {
-		t.Errorf("behind one that died while it wrote: %d held, %v", len(s.Held.Held), err)
+		t.Errorf("after a process ended during a write: %d held, %v", len(s.Held.Held), err)
 	}
 	if s, err := b.Read(); err != nil || s.Serving != "c" {
 		t.Errorf("serving %q, %v", s.Serving, err)
@@ -114,14 +114,14 @@
 		t.Fatal(err)
 	}
 	blocked := filepath.Join(dir, stateFile+".new")
-	if err := os.Mkdir(blocked, 0o700); err != nil { // nothing can be written under this name now
+	if err := os.Mkdir(blocked, 0o700); err != nil { // writes to this path fail now
 		t.Fatal(err)
 	}
 	if s, err := a.Update(func(s State) State { s.Held, _ = s.Held.Hold("s-1", 1); return s }); err == nil || !s.Held.IsHeld("s-1") {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if s, err := a.Read(); err != nil || !s.Held.IsHeld("s-1") || s.Serving != "a" {
-		t.Errorf("it is undone: %+v, %v", s, err)
+		t.Errorf("the change is undone: %+v, %v", s, err)
 	}
 	if err := os.Remove(blocked); err != nil {
 		t.Fatal(err)
@@ -137,49 +137,49 @@
 func TestWatch(t *testing.T) {
 	dir := t.TempDir()
 	a := openSharedState(t, dir, "a")
-	type word struct {
-		serving string
-		others  bool
+	type update struct {
+		serving      string
+		anotherAlive bool
 	}
-	words := make(chan word, 100)
+	updates := make(chan update, 100)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		a.Watch(ctx, time.Millisecond, func(s State, others bool) { words <- word{s.Serving, others} })
+		a.Watch(ctx, time.Millisecond, func(s State, anotherAlive bool) { updates <- update{s.Serving, anotherAlive} })
 	}()
-	hear := func(want word) {
+	expect := func(want update) {
 		t.Helper()
 		timeout := time.After(5 * time.Second)
 		for {
 			select {
-			case got := <-words:
+			case got := <-updates:
 				if got == want {
 					return
 				}
 			case <-timeout:
-				t.Fatalf("never heard %+v", want)
+				t.Fatalf("no update %+v", want)
 			}
 		}
 	}
-	hear(word{"", false})
+	expect(update{"", false})
 	b, err := Open(dir, "b")
 	if err != nil {
 		t.Fatal(err)
 	}
-	hear(word{"", true})
+	expect(update{"", true})
 	if _, err := b.Update(func(s State) State { s.Serving = "b"; return s }); err != nil {
 		t.Fatal(err)
 	}
-	hear(word{"b", true})
+	expect(update{"b", true})
 	b.Close()
-	hear(word{"b", false})
+	expect(update{"b", false})
 	cancel()
 	<-ended
 }
 
-// counting accepts connections and writes a name to each until its listener is closed.
-func counting(t *testing.T, ln net.Listener, name string) {
+// serveName accepts connections and writes a name to each until the listener is closed.
+func serveName(t *testing.T, ln net.Listener, name string) {
 	t.Helper()
 	ended := make(chan struct{})
 	go func() {
@@ -205,8 +205,8 @@
 		t.Fatal(err)
 	}
 	addr := first.Addr().String()
-	counting(t, first, "1")
-	reach := func(what, want string) {
+	serveName(t, first, "1")
+	expectServer := func(what, want string) {
 		t.Helper()
 		for range 64 {
 			c, err := net.Dial("tcp", addr)
@@ -220,11 +220,11 @@
 			_, err = c.Read(got[:])
 			c.Close()
 			if err != nil || string(got[:]) != want {
-				t.Fatalf("%s: came to %q, %v, want %q", what, got[:], err, want)
+				t.Fatalf("%s: served by %q, %v, want %q", what, got[:], err, want)
 			}
 		}
 	}
-	reach("alone", "1")
+	expectServer("one listener", "1")
 	if err := DirectConnections(first, FirstSlot); err != nil {
 		t.Fatal(err)
 	}
@@ -232,29 +232,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	counting(t, second, "2")
-	reach("a second one that is not ready", "1")
+	serveName(t, second, "2")
+	expectServer("a second listener that is not ready", "1")
 	if err := DirectConnections(second, SecondSlot); err != nil {
 		t.Fatal(err)
 	}
-	reach("a second one that is", "2")
+	expectServer("a second listener that is ready", "2")
 	first.Close()
-	reach("the first one gone", "2")
+	expectServer("the first listener closed", "2")
 	if err := DirectConnections(second, FirstSlot); err != nil {
 		t.Fatal(err)
 	}
-	reach("steered to its new place", "2")
+	expectServer("directed to its new slot", "2")
 	third, err := Listen(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	counting(t, third, "3")
-	reach("the next one", "2")
+	serveName(t, third, "3")
+	expectServer("a third listener that is not ready", "2")
 	if err := DirectConnections(third, SecondSlot); err != nil {
 		t.Fatal(err)
 	}
-	third.Close() // it fails before the other is told to end
-	reach("the next one failed", "2")
+	third.Close() // it fails before the second one is asked to end
+	expectServer("the third listener closed", "2")
 }
 
 func FuzzState(f *testing.F) {
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestTwiceOutOnceBack(t *testing.T) {
+func TestHoldTwiceReleaseOnce(t *testing.T) {
 	var s Set
 	for range 2 {
 		var err error
@@ -20,35 +20,35 @@
 	}
 	s = s.Release("a", 200)
 	if s.IsHeld("a") || s.StartTime("a", 50) != 200 || s.StartTime("a", 300) != 300 || s.StartTime("b", 50) != 50 {
-		t.Errorf("given back: %+v", s)
+		t.Errorf("released: %+v", s)
 	}
 	if again := s.Release("a", 900); !reflect.DeepEqual(again, s) {
-		t.Errorf("a second call back moves it to %+v", again)
+		t.Errorf("a second release changes the set to %+v", again)
 	}
 	s, _ = s.Hold("a", 1000)
 	if s.StartTime("a", 50) != 50 {
-		t.Errorf("out again, and yet started at %v", s.StartTime("a", 50))
+		t.Errorf("held again, but started at %v", s.StartTime("a", 50))
 	}
 }
 
-func TestTooMany(t *testing.T) {
+func TestHoldLimit(t *testing.T) {
 	s := Set{Held: map[string]float64{}}
 	for i := range MaxHeld {
 		s.Held[fmt.Sprint("s-", i)] = 1
 	}
 	if got, err := s.Hold("one more", 2); err == nil || got.IsHeld("one more") {
-		t.Error("there is no bound")
+		t.Error("MaxHeld is not enforced")
 	}
 	if _, err := s.Hold("s-1", 2); err != nil {
-		t.Errorf("one that is out already: %v", err)
+		t.Errorf("a server that is held already: %v", err)
 	}
 }
 
-// TestSetAgainstModel plays calls at random against a plain list of who is out and when each came back.
+// TestSetAgainstModel compares a set after random calls with maps of the held servers and of the release times.
 func TestSetAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Set
-		out, back := map[string]bool{}, map[string]float64{}
+		held, releasedAt := map[string]bool{}, map[string]float64{}
 		now := 1e12
 		for range rapid.IntRange(1, 40).Draw(t, "calls") {
 			now += rapid.Float64Range(0, releaseRetentionMS).Draw(t, "later")
@@ -57,24 +57,24 @@
 			old.Held, old.ReleasedAt = maps.Clone(s.Held), maps.Clone(s.ReleasedAt)
 			if rapid.Bool().Draw(t, "hold") {
 				s, _ = s.Hold(id, now)
-				out[id] = true
+				held[id] = true
 			} else {
 				s = s.Release(id, now)
-				if out[id] {
-					back[id] = now
+				if held[id] {
+					releasedAt[id] = now
 				}
-				delete(out, id)
+				delete(held, id)
 			}
 			if !reflect.DeepEqual(before, old) {
 				t.Fatalf("the set before has changed: %+v, was %+v", before, old)
 			}
 			for _, id := range []string{"a", "b", "c", `"`, "\n", "d"} {
 				want := 0.0
-				if now-back[id] <= releaseRetentionMS && !out[id] {
-					want = back[id]
+				if now-releasedAt[id] <= releaseRetentionMS && !held[id] {
+					want = releasedAt[id]
 				}
-				if s.IsHeld(id) != out[id] || s.StartTime(id, 0) < want {
-					t.Fatalf("%q: out %v and started %v, want %v and %v", id, s.IsHeld(id), s.StartTime(id, 0), out[id], want)
+				if s.IsHeld(id) != held[id] || s.StartTime(id, 0) < want {
+					t.Fatalf("%q: held %v and started %v, want %v and %v", id, s.IsHeld(id), s.StartTime(id, 0), held[id], want)
 				}
 				moved := old.IsHeld(id) != s.IsHeld(id)
 				if slices.Contains(ChangedServers(old, s), id) != moved {
@@ -93,7 +93,7 @@
 	})
 }
 
-// What is read and written again is the same set, whatever stood in the file.
+// A set that is parsed, encoded and parsed again is the same set.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{`{}`, `{"out":{"s-1":1e12},"back":{"s-2":5}}`, `{"out":null}`, `[]`, `{"out":{"a":"b"}}`} {
 		f.Add([]byte(text))
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// The files in testdata/golden were written by the program before its types were renamed, and never change: a later program reads what an
-// earlier one left.
+// The files in testdata/golden were written before the types of this package were renamed, and never change: later versions must read the
+// files of earlier ones and write the same format.
 const (
 	goldenFolder   = "testdata/golden"
 	goldenInstance = "golden-1"
@@ -19,7 +19,7 @@
 func goldenContents() *Contents {
 	at := time.Date(2026, 12, 2, 9, 42, 33, 0, time.UTC)
 	return &Contents{
-		Pools: map[string]PoolState{"lab": one(1.5, 3), "docks": one(2.25, 1)},
+		Pools: map[string]PoolState{"lab": testPool(1.5, 3), "docks": testPool(2.25, 1)},
 		durableState: durableState{
 			Pins:     map[string]DegradationPin{"lab": {Level: "essential", Until: at.Add(time.Hour)}},
 			LastGood: &OperatorFile{Path: "operator.toml", Hash: "ab12", Text: []byte("[listener]\n"), AppliedAt: at},
@@ -30,9 +30,9 @@
 // writeGolden writes the golden files to a folder.
 func writeGolden(t *testing.T, folder string) {
 	t.Helper()
-	s, _, aside, err := Open(folder, goldenInstance)
-	if err != nil || aside != nil {
-		t.Fatal(err, aside)
+	s, _, setAside, err := Open(folder, goldenInstance)
+	if err != nil || setAside != nil {
+		t.Fatal(err, setAside)
 	}
 	defer s.Close()
 	c := goldenContents()
@@ -49,9 +49,9 @@
 	if err := os.CopyFS(folder, os.DirFS(goldenFolder)); err != nil {
 		t.Fatal(err)
 	}
-	s, got, aside, err := Open(folder, goldenInstance)
-	if err != nil || aside != nil {
-		t.Fatal(err, aside)
+	s, got, setAside, err := Open(folder, goldenInstance)
+	if err != nil || setAside != nil {
+		t.Fatal(err, setAside)
 	}
 	defer s.Close()
 	if want := goldenContents(); !reflect.DeepEqual(got, want) {
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(got, want) {
-			t.Errorf("%s is written in another form:\n%s\nwant\n%s", file, got, want)
+			t.Errorf("%s has another format:\n%s\nwant\n%s", file, got, want)
 		}
 	}
 }
--- a/internal/stats/samplering_test.go
+++ b/internal/stats/samplering_test.go
@@ -16,9 +16,9 @@
 	}{
 		{"empty ring", nil, 0, RecentWindow{}, nil},
 		{"all since a time", nil, 5, RecentWindow{From: 35}, []float64{5, 4}},
-		{"older ones to have enough", nil, 5, RecentWindow{From: 45, MinSamples: 3}, []float64{5, 4, 3}},
+		{"older ones up to MinSamples", nil, 5, RecentWindow{From: 45, MinSamples: 3}, []float64{5, 4, 3}},
 		{"none that are too old", nil, 5, RecentWindow{From: 45, OldestFrom: 25, MinSamples: 9}, []float64{5, 4, 3}},
-		{"what is there counts as enough", []float64{7, 8}, 5, RecentWindow{From: 45, MinSamples: 2}, []float64{7, 8, 5}},
+		{"given values count toward MinSamples", []float64{7, 8}, 5, RecentWindow{From: 45, MinSamples: 2}, []float64{7, 8, 5}},
 		{"ring that is not full", nil, 1, RecentWindow{}, []float64{5}},
 	} {
 		if got := AppendRecent(slices.Clone(c.values), ring, c.count, c.window); !slices.Equal(got, c.want) {
--- a/internal/stats/tokenbucket_test.go
+++ b/internal/stats/tokenbucket_test.go
@@ -16,6 +16,6 @@
 		}
 	}
 	if small := NewTokenBucket(0.1, 300, 0); !small.Take(0) || small.Take(9_000) || !small.Take(10_000) {
-		t.Error("a bucket for less than one event does not hold exactly one")
+		t.Error("a bucket whose burst is less than one event does not hold exactly one")
 	}
 }
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -18,8 +18,8 @@
 	return r
 }
 
-// cover counts the copies that chose each server.
-func cover(r *Ring, s Spec, alive func(rank int) bool) (count map[string]int, sizes []int) {
+// countSelections returns for each server the number of replicas that select it, and the sizes of their subsets.
+func countSelections(r *Ring, s Spec, alive func(rank int) bool) (count map[string]int, sizes []int) {
 	count = map[string]int{}
 	for rank := range s.Replicas {
 		if !alive(rank) {
@@ -29,59 +29,59 @@
 		if s.Zones > 1 {
 			s.Zone = rank % s.Zones
 		}
-		chosen := r.Select(s)
-		sizes = append(sizes, len(chosen))
-		for id := range chosen {
+		selected := r.Select(s)
+		sizes = append(sizes, len(selected))
+		for id := range selected {
 			count[id]++
 		}
 	}
 	return count, sizes
 }
 
-func all(int) bool { return true }
+func allAlive(int) bool { return true }
 
-// Whatever the sizes: no server is left to nobody, all are chosen by as many copies as any other, give or take one, and no copy has
-// fewer than it asked for, nor many more than it takes.
+// With random sizes, each server is selected by the same number of replicas, plus or minus one and at least one, and each replica selects
+// at least Size servers and few more than coverage requires.
 func TestCoverageAndBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, copies := rapid.IntRange(1, 400).Draw(t, "servers"), rapid.IntRange(1, 40).Draw(t, "copies")
-		s := Spec{Replicas: copies, Size: rapid.IntRange(1, 60).Draw(t, "size"), SpareReplicas: rapid.IntRange(0, 2).Draw(t, "spare")}
+		n, replicas := rapid.IntRange(1, 400).Draw(t, "servers"), rapid.IntRange(1, 40).Draw(t, "replicas")
+		s := Spec{Replicas: replicas, Size: rapid.IntRange(1, 60).Draw(t, "size"), SpareReplicas: rapid.IntRange(0, 2).Draw(t, "spare")}
 		r := ring(n, 1)
-		count, sizes := cover(r, s, all)
+		count, sizes := countSelections(r, s, allAlive)
 		if len(count) != n {
 			t.Fatalf("%d of %d servers are covered", len(count), n)
 		}
 		values := slices.Collect(maps.Values(count))
 		if most, least := slices.Max(values), slices.Min(values); most-least > 1 {
-			t.Fatalf("servers are chosen by %d to %d copies", least, most)
+			t.Fatalf("servers are selected by %d to %d replicas", least, most)
 		}
 		for _, size := range sizes {
-			need := max(s.Size, ((1+s.SpareReplicas)*n+copies-1)/copies)
+			need := max(s.Size, ((1+s.SpareReplicas)*n+replicas-1)/replicas)
 			if size < min(s.Size, n) || size > min(need+1, n) {
-				t.Fatalf("a copy has %d servers, needs %d", size, need)
+				t.Fatalf("a replica has %d servers, needs %d", size, need)
 			}
 		}
 	})
 }
 
-// With so many neighbours gone that nobody knows of, no server is left to nobody.
-func TestCopiesThatLeave(t *testing.T) {
+// Each server stays selected while SpareReplicas adjacent replicas are lost and the others have not detected it.
+func TestLostReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, copies, spare := rapid.IntRange(1, 400).Draw(t, "servers"), rapid.IntRange(4, 40).Draw(t, "copies"), rapid.IntRange(1, 3).Draw(t, "spare")
-		gone := rapid.IntRange(0, copies-1).Draw(t, "first")
-		count, _ := cover(ring(n, 1), Spec{Replicas: copies, Size: 1, SpareReplicas: spare}, func(rank int) bool { return (rank-gone+copies)%copies >= spare })
+		n, replicas, spare := rapid.IntRange(1, 400).Draw(t, "servers"), rapid.IntRange(4, 40).Draw(t, "replicas"), rapid.IntRange(1, 3).Draw(t, "spare")
+		firstLost := rapid.IntRange(0, replicas-1).Draw(t, "first")
+		count, _ := countSelections(ring(n, 1), Spec{Replicas: replicas, Size: 1, SpareReplicas: spare}, func(rank int) bool { return (rank-firstLost+replicas)%replicas >= spare })
 		if len(count) != n {
-			t.Fatalf("%d of %d servers are covered with %d of %d copies gone", len(count), n, spare, copies)
+			t.Fatalf("%d of %d servers are covered with %d of %d replicas lost", len(count), n, spare, replicas)
 		}
 	})
 }
 
-// One server that comes or goes moves no more than two others in the subset of any copy.
+// Removing one server changes at most three others in the subset of any replica, and adding it again restores the subset.
 func TestSmallChurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, copies := rapid.IntRange(2, 300).Draw(t, "servers"), rapid.IntRange(1, 40).Draw(t, "copies")
-		s := Spec{Replicas: copies, Size: rapid.IntRange(1, 60).Draw(t, "size")}
-		for rank := range copies {
+		n, replicas := rapid.IntRange(2, 300).Draw(t, "servers"), rapid.IntRange(1, 40).Draw(t, "replicas")
+		s := Spec{Replicas: replicas, Size: rapid.IntRange(1, 60).Draw(t, "size")}
+		for rank := range replicas {
 			s.Rank = rank
 			r := ring(n, 1)
 			before := r.Select(s)
@@ -100,25 +100,25 @@
 				}
 			}
 			if moved > 3 {
-				t.Fatalf("%d others move with one of %d", moved, n)
+				t.Fatalf("%d other servers change with one of %d", moved, n)
 			}
 			r.Add(id, 0)
 			if !maps.Equal(r.Select(s), before) {
-				t.Fatal("it is not as before once the server is back")
+				t.Fatal("the subset differs after the server was added again")
 			}
 		}
 	})
 }
 
-// A ring does not depend on the order in which it heard of servers.
-func TestOrderDoesNotCount(t *testing.T) {
+// A selection does not depend on the order in which servers were added.
+func TestOrderDoesNotMatter(t *testing.T) {
 	a, b := &Ring{}, &Ring{}
 	for i := range 200 {
 		a.Add(fmt.Sprint(i), i%3)
 		b.Add(fmt.Sprint(199-i), 0)
 	}
 	for i := range 200 {
-		b.Add(fmt.Sprint(i), i%3) // into its zone
+		b.Add(fmt.Sprint(i), i%3) // moves it to its zone
 		b.Add(fmt.Sprint("x", i), 1)
 	}
 	for i := range 200 {
@@ -127,30 +127,30 @@
 	}
 	s := Spec{Replicas: 7, Rank: 3, Zones: 3, Size: 20}
 	if !maps.Equal(a.Select(s), b.Select(s)) || a.Len() != b.Len() {
-		t.Error("the order counts")
+		t.Error("the selections differ by order")
 	}
 }
 
-// Most of a subset is of the copy's own zone, each server is covered by a copy of its zone, and a zone that is gone, or too small,
-// leaves the copy servers of others.
+// Most of a subset is of the replica's own zone, and each server is selected by a replica of its zone. If the zone has no or too few
+// servers, servers of other zones are selected.
 func TestZones(t *testing.T) {
 	r := ring(300, 3)
 	count := map[string]int{}
 	for rank := range 12 {
 		s := Spec{Replicas: 12, Rank: rank, Zones: 3, Zone: rank % 3, Size: 40}
-		chosen, own := r.Select(s), 0
-		for id := range chosen {
+		selected, own := r.Select(s), 0
+		for id := range selected {
 			if r.zoneOf[id] == s.Zone {
 				own++
 				count[id]++
 			}
 		}
-		if own < 35 || len(chosen)-own < 4 || len(chosen) > 42 {
-			t.Errorf("copy %d: %d of its zone of %d", rank, own, len(chosen))
+		if own < 35 || len(selected)-own < 4 || len(selected) > 42 {
+			t.Errorf("replica %d: %d of its zone of %d", rank, own, len(selected))
 		}
 	}
 	if len(count) != 300 {
-		t.Errorf("%d servers are covered by copies of their zone", len(count))
+		t.Errorf("%d servers are covered by replicas of their zone", len(count))
 	}
 	for i := range 300 {
 		if i%3 == 1 {
@@ -158,7 +158,7 @@
 		}
 	}
 	if got := r.Select(Spec{Replicas: 12, Rank: 4, Zones: 3, Zone: 1, Size: 40}); len(got) < 40 {
-		t.Errorf("%d servers with the own zone gone", len(got))
+		t.Errorf("%d servers without any of the own zone", len(got))
 	}
 	r.Add("last", 1)
 	if got := r.Select(Spec{Replicas: 12, Rank: 4, Zones: 3, Zone: 1, Size: 40}); len(got) < 40 || !got["last"] {
@@ -166,8 +166,8 @@
 	}
 }
 
-// A subset all of whose servers die grows to others within seconds, and comes back slowly; one that is at its edge does not swing.
-func TestKeeper(t *testing.T) {
+// A subset with too few usable servers grows within seconds and shrinks slowly. One that is neither good nor bad does not oscillate.
+func TestSizer(t *testing.T) {
 	k := &Sizer{Spec: Spec{Replicas: 10, Size: 8}}
 	now := time.Date(2026, 11, 1, 0, 0, 0, 0, time.UTC)
 	r := ring(200, 1)
@@ -177,29 +177,29 @@
 		now = now.Add(100 * time.Millisecond)
 		k.Update(now, size(), 200, 3)
 		if n == 0 && size() <= first {
-			t.Fatal("it does not grow at once")
+			t.Fatal("the subset does not grow at once")
 		}
 	}
 	if got := size(); got < 100 {
-		t.Fatalf("%d servers after 4 s with 3 that are usable", got)
+		t.Fatalf("%d servers after 4 s with 3 usable ones", got)
 	}
 	grown := size()
 	for range 290 {
 		now = now.Add(100 * time.Millisecond)
 		if k.Update(now, size(), 200, size()) {
-			t.Fatal("it shrinks before its time")
+			t.Fatal("the subset shrinks before shrinkAfter")
 		}
 	}
 	for n := range 3000 {
 		now = now.Add(100 * time.Millisecond)
 		usable := size()
 		if n%100 == 0 {
-			usable = usable * 8 / 10 // neither bad nor good: the time begins anew
+			usable = usable * 8 / 10 // neither good nor bad: shrinkAfter starts again
 		}
 		k.Update(now, size(), 200, usable)
 	}
 	if size() != grown {
-		t.Errorf("it shrinks while it is not good for long: %d of %d", size(), grown)
+		t.Errorf("the subset shrinks without being usable for long: %d of %d", size(), grown)
 	}
 	for range 3000 {
 		now = now.Add(100 * time.Millisecond)
@@ -209,11 +209,11 @@
 		t.Errorf("%d servers in the end, %d at first", size(), first)
 	}
 	if k.Update(now.Add(time.Hour), 200, 200, 0) {
-		t.Error("it grows beyond all servers")
+		t.Error("the subset grows beyond all servers")
 	}
 }
 
-func BenchmarkAddAndChoose(b *testing.B) {
+func BenchmarkAddAndSelect(b *testing.B) {
 	for _, n := range []int{400, 4000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := ring(n, 1)
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -20,7 +20,7 @@
 		Pool: "p", Class: "c", Server: "127.0.0.1:1", Number: n, Outcome: "ok", TookMS: 1.5, Weight: 12}
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestConcurrentWrites(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "trace")
 	w, err := NewWriter(path)
 	if err != nil {
@@ -37,7 +37,7 @@
 	all.Wait()
 	w.Close()
 	w.Close()
-	w.Add(sample(0)) // too late, and no harm
+	w.Add(sample(0)) // ignored after Close
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestFileIsMovedWhenItIsLong(t *testing.T) {
+func TestRotation(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "trace")
 	if err := os.WriteFile(path, bytes.Repeat([]byte("\n"), maxFileBytes-100), 0o600); err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 		t.Fatal(list, err)
 	}
 	if _, err := NewWriter(filepath.Join(path, "none")); err == nil {
-		t.Error("a file that cannot be was opened")
+		t.Error("a file below a regular file was opened")
 	}
 }
 
@@ -83,7 +83,7 @@
 	line, _ := json.Marshal(sample(1))
 	good := string(line) + "\n"
 	if list, err := Read("f", strings.NewReader(good+good+good[:30])); err != nil || len(list) != 2 {
-		t.Errorf("a last line that is cut: %d records, %v", len(list), err)
+		t.Errorf("an incomplete last line: %d records, %v", len(list), err)
 	}
 	for text, want := range map[string]string{
 		good + "{\n" + good:                             "f:2:",
@@ -98,17 +98,17 @@
 	}
 }
 
-func TestTreesAreJoined(t *testing.T) {
+func TestPrintJoinsTrees(t *testing.T) {
 	back := sample(1)
 	back.Sidecar, back.Parent, back.ID, back.Number, back.Hop = "back", sample(2).ID, "aaaaaaaa", 0, 1
 	again := back
 	again.ID, again.Number, again.Outcome = "bbbbbbbb", 1, "error"
 	other := sample(7)
 	other.Root = "ffffffffffffffff"
-	circle := sample(9) // a made-up file: it must end all the same
-	circle.Root, circle.Parent, circle.ID = "eeeeeeeeeeeeeeee", "cccccccc", "cccccccc"
+	cycle := sample(9) // its own parent, as in a forged file: Print must return
+	cycle.Root, cycle.Parent, cycle.ID = "eeeeeeeeeeeeeeee", "cccccccc", "cccccccc"
 	var out bytes.Buffer
-	if err := Print(&out, []Attempt{again, back, sample(2), other, circle}, back.Root); err != nil {
+	if err := Print(&out, []Attempt{again, back, sample(2), other, cycle}, back.Root); err != nil {
 		t.Fatal(err)
 	}
 	want := "0123456789abcdef: attempts 3\n" +
@@ -119,12 +119,12 @@
 		t.Errorf("printed\n%swant\n%s", out.String(), want)
 	}
 	out.Reset()
-	if err := Print(&out, []Attempt{again, back, sample(2), other, circle}, ""); err != nil || strings.Count(out.String(), ": attempts ") != 3 {
+	if err := Print(&out, []Attempt{again, back, sample(2), other, cycle}, ""); err != nil || strings.Count(out.String(), ": attempts ") != 3 {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 }
 
-// FuzzRead reads any file and prints what it holds: neither may fail but with an error that names the file.
+// FuzzRead reads any file and prints its records. Reading may fail only with an error that names the file, and printing must not fail.
 func FuzzRead(f *testing.F) {
 	line, _ := json.Marshal(sample(1))
 	f.Add(append(append(line, '\n'), line...))
--- a/internal/warmstart/decay_test.go
+++ b/internal/warmstart/decay_test.go
@@ -28,7 +28,7 @@
 	}
 	late, _ := Decay(m, m.At+40_000)
 	if s := late.Servers[2]; s.Ejected || s.Load != 0 || s.FailureRun == 0 || s.FailureRun >= 4 || s.StartedAt != 5 {
-		t.Errorf("a cut one after 40 s: %+v", s)
+		t.Errorf("an ejected server after 40 s: %+v", s)
 	}
 	for _, at := range []float64{m.At - 1, m.At - 86_400_000, m.At + 60_000, m.At + 3e10, math.NaN(), math.Inf(1)} {
 		if none, age := Decay(m, at); len(none.Servers) > 0 || len(none.Classes) > 0 || none.ConcurrencyPerServer != 0 || none.ArrivalRate != 0 || age != 0 {
@@ -41,12 +41,12 @@
 func TestTrustOnlyFalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := sample()
-		odd := rapid.SampledFrom([]float64{0, 1, -3, 1e300, math.NaN(), math.Inf(1), math.Inf(-1), 50})
+		value := rapid.SampledFrom([]float64{0, 1, -3, 1e300, math.NaN(), math.Inf(1), math.Inf(-1), 50})
 		for i := range m.Servers {
-			m.Servers[i].Load, m.Servers[i].LatencyRatio, m.Servers[i].FailureRun = odd.Draw(t, "load"), odd.Draw(t, "pace"), odd.Draw(t, "run")
-			m.Servers[i].Ejected = rapid.Bool().Draw(t, "cut")
+			m.Servers[i].Load, m.Servers[i].LatencyRatio, m.Servers[i].FailureRun = value.Draw(t, "load"), value.Draw(t, "latency ratio"), value.Draw(t, "run")
+			m.Servers[i].Ejected = rapid.Bool().Draw(t, "ejected")
 		}
-		m.ConcurrencyPerServer, m.ArrivalRate, m.Classes[0].RequestShare = odd.Draw(t, "room"), odd.Draw(t, "demand"), odd.Draw(t, "share")
+		m.ConcurrencyPerServer, m.ArrivalRate, m.Classes[0].RequestShare = value.Draw(t, "concurrency"), value.Draw(t, "arrival rate"), value.Draw(t, "share")
 		a := rapid.Float64Range(0, 70_000).Draw(t, "age")
 		b := a + rapid.Float64Range(0, 30_000).Draw(t, "more")
 		young, _ := Decay(m, m.At+a)
@@ -54,14 +54,14 @@
 		if old.ConcurrencyPerServer > young.ConcurrencyPerServer || old.ArrivalRate > young.ArrivalRate || len(old.Servers) > len(young.Servers) {
 			t.Fatalf("%+v grew to %+v", young, old)
 		}
-		load, pace := meanLoadAndLatencyRatio(m.Servers)
+		load, latencyRatio := meanLoadAndLatencyRatio(m.Servers)
 		for i, o := range old.Servers {
 			y := young.Servers[i]
 			if o.Ejected && !y.Ejected || o.FailureRun > y.FailureRun || o.MaxLoad > y.MaxLoad {
 				t.Fatalf("server %+v became %+v", y, o)
 			}
-			if o.Load > 0 && math.Abs(o.Load-load) > math.Abs(y.Load-load)+1e-6 || o.LatencyRatio > 0 && math.Abs(o.LatencyRatio-pace) > math.Abs(y.LatencyRatio-pace)+1e-6 {
-				t.Fatalf("server %+v is believed more as %+v", y, o)
+			if o.Load > 0 && math.Abs(o.Load-load) > math.Abs(y.Load-load)+1e-6 || o.LatencyRatio > 0 && math.Abs(o.LatencyRatio-latencyRatio) > math.Abs(y.LatencyRatio-latencyRatio)+1e-6 {
+				t.Fatalf("server %+v is trusted more as %+v", y, o)
 			}
 		}
 		for _, k := range []balancer.LearnedState{young, old} {
