--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -163,9 +163,9 @@
 }
 
 func TestCallsOfOneAttemptShareItsRetries(t *testing.T) {
-	l, now := NewTable(2), time.Unix(1, 0)
+	table, now := NewTable(2), time.Unix(1, 0)
 	c := sample()
-	first, second := l.Get(c, now), l.Get(c, now)
+	first, second := table.Get(c, now), table.Get(c, now)
 	for n := range 4 {
 		if budget := []*RetryBudget{first, second}[n%2]; budget.Spend() != (n < 3) {
 			t.Errorf("retry %d of 3", n+1)
@@ -173,26 +173,26 @@
 	}
 	other := sample()
 	other.Attempt = "11111111"
-	if l.Get(other, now).Remaining() != 3 {
+	if table.Get(other, now).Remaining() != 3 {
 		t.Error("another attempt shares the budget")
 	}
 	third := sample()
 	third.Attempt = "22222222"
-	if l.Get(third, now).Remaining() != 0 {
+	if table.Get(third, now).Remaining() != 0 {
 		t.Error("a call gets retries from a full table")
 	}
 	now = now.Add(2*c.TimeLeft + time.Millisecond)
-	if l.Get(third, now).Remaining() != 3 || l.Len() != 1 {
-		t.Errorf("expired budgets are kept: %d", l.Len())
+	if table.Get(third, now).Remaining() != 3 || table.Len() != 1 {
+		t.Errorf("expired budgets are kept: %d", table.Len())
 	}
 }
 
 func TestDelegateKeepsOneRetry(t *testing.T) {
-	p := NewRetryBudget(5)
-	if p.Delegate() != 4 || p.Remaining() != 1 || !p.Spend() || p.Delegate() != 0 || p.Spend() {
-		t.Error(p.Remaining())
+	budget := NewRetryBudget(5)
+	if budget.Delegate() != 4 || budget.Remaining() != 1 || !budget.Spend() || budget.Delegate() != 0 || budget.Spend() {
+		t.Error(budget.Remaining())
 	}
-	if p = NewRetryBudget(1); p.Delegate() != 1 || p.Spend() {
-		t.Error(p.Remaining())
+	if budget = NewRetryBudget(1); budget.Delegate() != 1 || budget.Spend() {
+		t.Error(budget.Remaining())
 	}
 }
--- a/internal/budget/table.go
+++ b/internal/budget/table.go
@@ -32,42 +32,42 @@
 }
 
 // Remaining returns the number of retries left.
-func (p *RetryBudget) Remaining() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.left
+func (b *RetryBudget) Remaining() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.left
 }
 
 // Spend takes one retry, and reports whether there was one.
-func (p *RetryBudget) Spend() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.left == 0 {
+func (b *RetryBudget) Spend() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.left == 0 {
 		return false
 	}
-	p.left--
+	b.left--
 	return true
 }
 
 // Delegate takes the retries that an attempt passes to the tiers below: all but one, as a retry there
 // is cheaper than one here, which repeats all calls below. The one is for failures between this tier
 // and the next. A single retry is passed down.
-func (p *RetryBudget) Delegate() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n := p.left
+func (b *RetryBudget) Delegate() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	n := b.left
 	if n > 1 {
 		n--
 	}
-	p.left -= n
+	b.left -= n
 	return n
 }
 
 // Return adds the retries that were delegated to an attempt that was certainly never executed.
-func (p *RetryBudget) Return(n int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.left = min(p.left+max(n, 0), MaxRetries)
+func (b *RetryBudget) Return(n int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.left = min(b.left+max(n, 0), MaxRetries)
 }
 
 // Table holds the budgets of attempts by root and attempt. An entry that is evicted early would grant
@@ -96,43 +96,43 @@
 const MinRetention = time.Second
 
 // Get returns the budget of the attempt that a call is part of.
-func (l *Table) Get(c *Context, now time.Time) *RetryBudget {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (t *Table) Get(c *Context, now time.Time) *RetryBudget {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	key := c.Root + c.Attempt
-	if e := l.entries[key]; e != nil {
+	if e := t.entries[key]; e != nil {
 		return e.Value.(*entry).budget
 	}
-	l.expire(now)
-	if l.lru.Len() >= l.maxEntries {
+	t.expire(now)
+	if t.lru.Len() >= t.maxEntries {
 		return NewRetryBudget(0)
 	}
 	e := &entry{key: key, budget: NewRetryBudget(c.Retries), expiresAt: now.Add(max(2*c.TimeLeft, MinRetention))}
-	l.entries[key] = l.lru.PushBack(e)
+	t.entries[key] = t.lru.PushBack(e)
 	return e.budget
 }
 
 // expire removes expired entries. It checks a few at each call, and moves those that are kept to the
 // end.
-func (l *Table) expire(now time.Time) {
+func (t *Table) expire(now time.Time) {
 	for n := 0; n < 8; n++ {
-		first := l.lru.Front()
+		first := t.lru.Front()
 		if first == nil {
 			return
 		}
 		e := first.Value.(*entry)
 		if now.Before(e.expiresAt) {
-			l.lru.MoveToBack(first)
+			t.lru.MoveToBack(first)
 			continue
 		}
-		l.lru.Remove(first)
-		delete(l.entries, e.key)
+		t.lru.Remove(first)
+		delete(t.entries, e.key)
 	}
 }
 
 // Len returns the number of budgets.
-func (l *Table) Len() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.lru.Len()
+func (t *Table) Len() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.lru.Len()
 }
--- a/internal/degradation/controller_test.go
+++ b/internal/degradation/controller_test.go
@@ -104,7 +104,8 @@
 	}
 }
 
-// A level that is entered again soon after it was left is kept for twice as long each time, until it has not been entered for long.
+// A level that is entered again soon after it was left is kept for twice as long each time, up to a limit and until it has not
+// been entered for long.
 func TestMinTimeBackoff(t *testing.T) {
 	r := newTestController(ladder())
 	var held []time.Duration
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -207,9 +207,9 @@
 	return nil
 }
 
-func (h durableState) copyOf() durableState {
-	c := durableState{Pins: map[string]DegradationPin{}, LastGood: h.LastGood}
-	for name, p := range h.Pins {
+func (d durableState) copyOf() durableState {
+	c := durableState{Pins: map[string]DegradationPin{}, LastGood: d.LastGood}
+	for name, p := range d.Pins {
 		c.Pins[name] = p
 	}
 	return c
@@ -276,16 +276,16 @@
 
 // SavePin sets the pin of a pool's degradation level; nil removes it.
 func (s *Store) SavePin(pool string, p *DegradationPin) error {
-	return s.updateDurable(func(h *durableState) {
-		if delete(h.Pins, pool); p != nil {
-			h.Pins[pool] = *p
+	return s.updateDurable(func(d *durableState) {
+		if delete(d.Pins, pool); p != nil {
+			d.Pins[pool] = *p
 		}
 	})
 }
 
 // SaveLastGood stores the operator file that was applied.
 func (s *Store) SaveLastGood(g *OperatorFile) error {
-	return s.updateDurable(func(h *durableState) { h.LastGood = g })
+	return s.updateDurable(func(d *durableState) { d.LastGood = g })
 }
 
 // updateDurable changes the durable state on disk, and then in memory.
--- a/internal/stats/decayingrate.go
+++ b/internal/stats/decayingrate.go
@@ -8,22 +8,22 @@
 type DecayingRate struct{ Sum, At, Weight float64 }
 
 // Add records n events.
-func (a *DecayingRate) Add(now, n, span float64) {
+func (r *DecayingRate) Add(now, n, span float64) {
 	decay := 0.0
-	if a.At > 0 {
-		decay = math.Exp((a.At - now) / span)
-		a.Weight = 1 - decay + decay*a.Weight
+	if r.At > 0 {
+		decay = math.Exp((r.At - now) / span)
+		r.Weight = 1 - decay + decay*r.Weight
 	}
-	a.Sum, a.At = decay*a.Sum+n*1000/span, now
+	r.Sum, r.At = decay*r.Sum+n*1000/span, now
 }
 
 // Rate returns the rate per second at the last event, with at least minWeight of the span counted as
 // observed.
-func (a *DecayingRate) Rate(minWeight float64) float64 { return a.Sum / max(a.Weight, minWeight) }
+func (r *DecayingRate) Rate(minWeight float64) float64 { return r.Sum / max(r.Weight, minWeight) }
 
 // RateAt returns the rate per second, decayed since the last event.
-func (a *DecayingRate) RateAt(at, span, minWeight float64) float64 {
-	return a.Rate(minWeight) * math.Exp(min(0, (a.At-at)/span))
+func (r *DecayingRate) RateAt(at, span, minWeight float64) float64 {
+	return r.Rate(minWeight) * math.Exp(min(0, (r.At-at)/span))
 }
 
 // SteadyRate returns a rate that has observed its whole span.
--- a/internal/stats/slidingcounter.go
+++ b/internal/stats/slidingcounter.go
@@ -10,20 +10,20 @@
 }
 
 // Add records an event.
-func (t *SlidingCounter) Add(now float64) { t.times = append(t.times, now) }
+func (c *SlidingCounter) Add(now float64) { c.times = append(c.times, now) }
 
 // CountSince returns the number of events from a time on, and forgets older ones. The time must not go
 // back.
-func (t *SlidingCounter) CountSince(from float64) int {
-	for t.first < len(t.times) && t.times[t.first] < from {
-		t.first++
+func (c *SlidingCounter) CountSince(from float64) int {
+	for c.first < len(c.times) && c.times[c.first] < from {
+		c.first++
 	}
-	if t.first > len(t.times)/2 {
-		t.times = t.times[:copy(t.times, t.times[t.first:])]
-		t.first = 0
+	if c.first > len(c.times)/2 {
+		c.times = c.times[:copy(c.times, c.times[c.first:])]
+		c.first = 0
 	}
-	return len(t.times) - t.first
+	return len(c.times) - c.first
 }
 
 // Len returns the number of events in memory, including forgotten ones that were not dropped yet.
-func (t *SlidingCounter) Len() int { return len(t.times) }
+func (c *SlidingCounter) Len() int { return len(c.times) }
--- a/internal/stats/tokenbucket.go
+++ b/internal/stats/tokenbucket.go
@@ -17,12 +17,12 @@
 }
 
 // Take takes a token, and reports whether there was one.
-func (t *TokenBucket) Take(now float64) bool {
-	t.tokens = min(t.burst, t.tokens+(now-t.updatedAt)/1000*t.Rate)
-	t.updatedAt = now
-	if t.tokens < 1 {
+func (b *TokenBucket) Take(now float64) bool {
+	b.tokens = min(b.burst, b.tokens+(now-b.updatedAt)/1000*b.Rate)
+	b.updatedAt = now
+	if b.tokens < 1 {
 		return false
 	}
-	t.tokens--
+	b.tokens--
 	return true
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -168,37 +168,37 @@
 )
 
 // Current returns the spec to use, given the number of known servers.
-func (k *Sizer) Current(known int) Spec {
-	s := k.Spec
-	if k.growth > 0 {
-		s.Size = min(max(s.Size, (1+s.SpareReplicas)*known/max(s.Replicas, 1))<<k.growth, known)
+func (s *Sizer) Current(known int) Spec {
+	spec := s.Spec
+	if s.growth > 0 {
+		spec.Size = min(max(spec.Size, (1+spec.SpareReplicas)*known/max(spec.Replicas, 1))<<s.growth, known)
 	}
-	return s
+	return spec
 }
 
 // Update takes the numbers of servers that are selected, known, and selected and usable. It reports
 // whether the spec has changed.
-func (k *Sizer) Update(now time.Time, selected, known, usable int) bool {
+func (s *Sizer) Update(now time.Time, selected, known, usable int) bool {
 	share := float64(usable) / float64(max(selected, 1))
 	switch {
-	case share < growBelow && selected < known && k.growth < maxGrowth:
-		k.healthy = false
-		if now.Sub(k.changedAt) < growInterval {
+	case share < growBelow && selected < known && s.growth < maxGrowth:
+		s.healthy = false
+		if now.Sub(s.changedAt) < growInterval {
 			return false
 		}
-		k.growth++
-	case share > shrinkAbove && k.growth > 0:
-		if !k.healthy {
-			k.healthy, k.changedAt = true, now
+		s.growth++
+	case share > shrinkAbove && s.growth > 0:
+		if !s.healthy {
+			s.healthy, s.changedAt = true, now
 		}
-		if now.Sub(k.changedAt) < shrinkAfter {
+		if now.Sub(s.changedAt) < shrinkAfter {
 			return false
 		}
-		k.growth--
+		s.growth--
 	default:
-		k.healthy = false
+		s.healthy = false
 		return false
 	}
-	k.changedAt = now
+	s.changedAt = now
 	return true
 }
