--- a/internal/budget/context.go
+++ b/internal/budget/context.go
@@ -25,7 +25,7 @@
 	notExecuted = "no" // value of the field again if no earlier attempt may have been executed
 )
 
-// Context is what a call carries from the tiers before it. Its grammar is in docs/operate/tiers.md.
+// Context is passed with a call from tier to tier. Its grammar is in docs/operate/tiers.md.
 type Context struct {
 	Root            string        // of the external request: 16 hexadecimal digits
 	Attempt         string        // of the calling tier, that this call is part of: 8 hexadecimal digits
@@ -42,13 +42,13 @@
 
 // String returns the canonical text of a context.
 func (c *Context) String() string {
-	worth := strings.TrimSuffix(strings.TrimRight(strconv.FormatFloat(c.Worth, 'f', 3, 64), "0"), ".")
+	weight := strings.TrimSuffix(strings.TrimRight(strconv.FormatFloat(c.Worth, 'f', 3, 64), "0"), ".")
 	again := notExecuted
 	if c.MayHaveExecuted {
 		again = strconv.FormatInt(min(max(c.FirstSentAgo, 0), maxTimeLeft).Milliseconds(), 10)
 	}
 	return fmt.Sprintf("1;root=%s;at=%s;worth=%s;ms=%d;retries=%d;again=%s;path=%s",
-		c.Root, c.Attempt, worth, min(max(c.TimeLeft, 0), maxTimeLeft).Milliseconds(), c.Retries, again, strings.Join(c.Path, "."))
+		c.Root, c.Attempt, weight, min(max(c.TimeLeft, 0), maxTimeLeft).Milliseconds(), c.Retries, again, strings.Join(c.Path, "."))
 }
 
 var (
--- a/internal/budget/table.go
+++ b/internal/budget/table.go
@@ -11,14 +11,14 @@
 //   - the front tier gives an external request R retries;
 //   - an attempt delegates the retries that its call has left, less one if there are more, to the
 //     calls that it causes, in their Context; none to servers that make no calls through sidecars;
-//   - what was delegated to an attempt that was certainly never executed is returned;
-//   - all calls of one attempt share what was delegated to it (Table);
+//   - the retries of an attempt that was certainly never executed are returned;
+//   - all calls of one attempt share the retries that were delegated to it (Table);
 //   - each attempt after a call's first spends one.
 //
 // Invariant: with F calls at the last tier in a run without failures, that tier sees at most (1+R)*F
 // attempts. By induction from there upward: a call with r retries and f calls below it causes at most
 // (1+r)*f, since k attempts that delegate r1..rk have k-1+r1+..+rk <= r, and the calls of one attempt
-// share what was delegated to it.
+// share its retries.
 
 // RetryBudget holds the retries that the calls of one attempt share. It is safe for concurrent use.
 type RetryBudget struct {
--- a/internal/clusterview/tracker_test.go
+++ b/internal/clusterview/tracker_test.go
@@ -248,7 +248,7 @@
 	}
 }
 
-// A member that comes and goes all the time counts as present until it stays away.
+// A member that alternates between alive and failed counts as present until it stays failed.
 func TestFlapping(t *testing.T) {
 	m := trackers(t, 10)[0]
 	for i := range 6 {
--- a/internal/degradation/level.go
+++ b/internal/degradation/level.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// ShedRule says that a level sheds requests of a class.
+// ShedRule makes a level shed requests of a class.
 type ShedRule struct {
 	Class    int
 	Share    float64 // share of the callers that is shed, always the same ones; 1 for all
@@ -27,7 +27,7 @@
 	Body        string        // "" for that of a rejected request
 	ContentType string        // "" for none
 	Warning     string        // value of the header Warning (RFC 7234, section 5.5); "" for none
-	RetryAfter  time.Duration // 0 for what the decision module says
+	RetryAfter  time.Duration // 0 for the value of the decision module
 }
 
 // Level is one level of a ladder.
--- a/internal/degradation/meter.go
+++ b/internal/degradation/meter.go
@@ -24,7 +24,7 @@
 	minSamples       = 10 // ended requests, or responses, that a ratio or percentile needs
 )
 
-// slot counts what happened in a part of the window.
+// slot holds the counts of a part of the window.
 type slot struct {
 	ended, rejected, failed int
 	responses, late         int
--- a/internal/hotrestart/sharedstate.go
+++ b/internal/hotrestart/sharedstate.go
@@ -66,7 +66,7 @@
 
 // Close ends the use of the shared state. The other process sees this one as ended.
 func (s *SharedState) Close() {
-	_ = os.Remove(s.aliveFile.Name()) // the next process removes what is left
+	_ = os.Remove(s.aliveFile.Name()) // on failure the next process removes it
 	_ = s.aliveFile.Close()           // nothing was written to it
 }
 
--- a/internal/loadshed/controller.go
+++ b/internal/loadshed/controller.go
@@ -48,7 +48,7 @@
 	msPerSecond        = 1000
 )
 
-// Decision is what a replica admits until the next decision.
+// Decision is the share of the requests that a replica admits until the next decision.
 type Decision struct {
 	AdmitRatio         []float64 // admitted ratio of the callers, by class; nil for all
 	Level              float64   // sum of the ratios; the number of classes if all are admitted
--- a/internal/loadshed/controller_test.go
+++ b/internal/loadshed/controller_test.go
@@ -205,9 +205,9 @@
 
 // One replica with false reports costs at most 0.02 of the weights. With all partitioned off everything is admitted.
 func TestFalseSummariesAndPartitions(t *testing.T) {
-	honest := unevenFleet(t)
-	honest.mean(0, 40, 16)
-	want := honest.mean(40, 120, 16)
+	baseline := unevenFleet(t)
+	baseline.mean(0, 40, 16)
+	want := baseline.mean(40, 120, 16)
 	for name, falsify := range map[string]func(c []ClassRates){
 		"reports excess arrivals":      func(c []ClassRates) { c[1].Arrived = 1e6 },
 		"reports that all is served":   func(c []ClassRates) { c[1] = ClassRates{Arrived: 5000, Admitted: 5000, OnTime: 5000, Cost: 20} },
@@ -291,7 +291,7 @@
 	later := protowire.AppendVarint(protowire.AppendTag(s.Marshal("box"), 1, protowire.VarintType), 2)
 	none := Summary{}
 	for name, b := range map[string][]byte{
-		"nothing": nil, "cut short": b[:25], "too many classes": many.Marshal("p"), "another version": later, "no name": none.Marshal("p"), "too long": make([]byte, 2000),
+		"nothing": nil, "truncated": b[:25], "too many classes": many.Marshal("p"), "another version": later, "no name": none.Marshal("p"), "too long": make([]byte, 2000),
 	} {
 		if _, _, err := Unmarshal(b); err == nil {
 			t.Errorf("decoded: %s", name)
--- a/internal/loadshed/cost.go
+++ b/internal/loadshed/cost.go
@@ -5,7 +5,7 @@
 // costDrift is the factor by which the lowest cost of a class rises at each decision, so that an old minimum expires.
 const costDrift = 1.0025
 
-// costEstimator estimates the cost of a request of each class: the lowest recent median of what the replicas report. The
+// costEstimator estimates the cost of a request of each class: the lowest recent median of the replicas' reports. The
 // median ignores single false reports, the lowest value ignores times of high load.
 type costEstimator struct {
 	lowest []float64 // ms, by class; 0 if unknown
--- a/internal/loadshed/shedder.go
+++ b/internal/loadshed/shedder.go
@@ -35,7 +35,7 @@
 	s.meter.CountResult(class, rejected, onTime)
 }
 
-// Update makes the next decision, and returns the summary for the other replicas of what was counted under the last one. It
+// Update makes the next decision, and returns the summary for the other replicas of the requests that were counted under the last one. It
 // is to be called every Interval. The incarnation is of this process; costOf returns the known cost of a class in ms, or 0.
 func (s *Shedder) Update(incarnation uint64, costOf func(class int) float64, now time.Time) Summary {
 	s.sequence++
--- a/internal/loadshed/summary.go
+++ b/internal/loadshed/summary.go
@@ -44,7 +44,7 @@
 	receivedAt time.Time
 }
 
-// Bounds of what a summary may report.
+// Bounds of the values of a summary.
 const (
 	maxRate = 1e7 // requests per second
 	maxCost = 1e7 // ms
--- a/internal/rules/answers.go
+++ b/internal/rules/answers.go
@@ -23,7 +23,7 @@
 	Body   string
 }
 
-// recordedRequest is what is known of one request.
+// recordedRequest is the recorded history of one request.
 type recordedRequest struct {
 	atMostOnce    bool       // whether it must run at most once
 	executions    []Response // the response of each execution
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -144,7 +144,7 @@
 	requests      map[uint64]*request
 	servers       map[uint32]*server
 	drainingSince map[replicaServer]float64 // when the sidecar's list first reported the server as draining or gone
-	inList        map[replicaServer]bool    // whether the sidecar's list has had the server
+	wasListed     map[replicaServer]bool    // whether the sidecar's list has had the server
 	byReplica     map[uint32]map[uint64]bool
 
 	Violations     []Violation
@@ -156,7 +156,7 @@
 func NewChecker(l Limits) *Checker {
 	return &Checker{
 		limits: l, requests: map[uint64]*request{}, servers: map[uint32]*server{},
-		drainingSince: map[replicaServer]float64{}, inList: map[replicaServer]bool{},
+		drainingSince: map[replicaServer]float64{}, wasListed: map[replicaServer]bool{},
 		byReplica: map[uint32]map[uint64]bool{},
 	}
 }
@@ -222,7 +222,7 @@
 
 func (c *Checker) serverListed(f *Fact) {
 	p := replicaServer{f.Copy, f.Server}
-	c.inList[p] = true
+	c.wasListed[p] = true
 	if f.Serves {
 		delete(c.drainingSince, p)
 	} else if _, draining := c.drainingSince[p]; !draining {
@@ -344,7 +344,7 @@
 	if s == nil || !s.cold || s.overloaded {
 		return
 	}
-	informed := c.inList[replicaServer{f.Copy, f.Server}]
+	informed := c.wasListed[replicaServer{f.Copy, f.Server}]
 	s.arrivals = append(s.arrivals, arrival{f.At, f.Work, informed})
 	s.work += f.Work
 	if informed {
--- a/internal/state/record.go
+++ b/internal/state/record.go
@@ -35,7 +35,7 @@
 	AppliedAt time.Time `json:"at"`
 }
 
-// Limits of what is stored.
+// Limits of stored state.
 const (
 	maxServers   = 20_000   // servers of a pool
 	maxFileBytes = 32 << 20 // bytes of a file
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -42,7 +42,7 @@
 	Pools map[string]PoolState `json:"pools"`
 }
 
-// Contents is what a store holds.
+// Contents is the stored state of an instance.
 type Contents struct {
 	Pools map[string]PoolState `json:"pools"`
 	durableState
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -52,8 +52,8 @@
 			t.Fatalf("%d of %d servers are covered", len(count), n)
 		}
 		values := slices.Collect(maps.Values(count))
-		if most, least := slices.Max(values), slices.Min(values); most-least > 1 {
-			t.Fatalf("servers are selected by %d to %d replicas", least, most)
+		if highest, lowest := slices.Max(values), slices.Min(values); highest-lowest > 1 {
+			t.Fatalf("servers are selected by %d to %d replicas", lowest, highest)
 		}
 		for _, size := range sizes {
 			need := max(s.Size, ((1+s.SpareReplicas)*n+replicas-1)/replicas)
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -222,7 +222,7 @@
 	}
 }
 
-// Bounds of what Print writes.
+// Bounds of the output of Print.
 const (
 	maxRoots = 1000
 	maxDepth = 32
