--- a/internal/budget/table.go
+++ b/internal/budget/table.go
@@ -11,14 +11,14 @@
 //   - the front tier gives an external request R retries;
 //   - an attempt delegates the retries that its call has left, less one if there are more, to the
 //     calls that it causes, in their Context; none to servers that make no calls through sidecars;
-//   - what was delegated to an attempt that was certainly never executed is returned;
-//   - all calls of one attempt share what was delegated to it (Table);
+//   - the retries of an attempt that was certainly never executed are returned;
+//   - all calls of one attempt share the retries that were delegated to it (Table);
 //   - each attempt after a call's first spends one.
 //
 // Invariant: with F calls at the last tier in a run without failures, that tier sees at most (1+R)*F
 // attempts. By induction from there upward: a call with r retries and f calls below it causes at most
 // (1+r)*f, since k attempts that delegate r1..rk have k-1+r1+..+rk <= r, and the calls of one attempt
-// share what was delegated to it.
+// share its retries.
 
 // RetryBudget holds the retries that the calls of one attempt share. It is safe for concurrent use.
 type RetryBudget struct {
@@ -32,45 +32,45 @@
 }
 
 // Remaining returns the number of retries left.
-func (p *RetryBudget) Remaining() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.left
+func (b *RetryBudget) Remaining() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.left
 }
 
 // Spend takes one retry, and reports whether there was one.
-func (p *RetryBudget) Spend() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.left == 0 {
+func (b *RetryBudget) Spend() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.left == 0 {
 		return false
 	}
-	p.left--
+	b.left--
 	return true
 }
 
 // Delegate takes the retries that an attempt passes to the tiers below: all but one, as a retry there
 // is cheaper than one here, which repeats all calls below. The one is for failures between this tier
 // and the next. A single retry is passed down.
-func (p *RetryBudget) Delegate() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n := p.left
+func (b *RetryBudget) Delegate() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	n := b.left
 	if n > 1 {
 		n--
 	}
-	p.left -= n
+	b.left -= n
 	return n
 }
 
-// Return adds what was delegated to an attempt that was certainly never executed.
-func (p *RetryBudget) Return(n int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.left = min(p.left+max(n, 0), MaxRetries)
+// Return adds the retries that were delegated to an attempt that was certainly never executed.
+func (b *RetryBudget) Return(n int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.left = min(b.left+max(n, 0), MaxRetries)
 }
 
-// Table holds the budgets of attempts by root and attempt. An entry that was evicted early would give
+// Table holds the budgets of attempts by root and attempt. An entry that is evicted early would grant
 // its retries twice, so none is: when the table is full, calls get an empty budget.
 type Table struct {
 	maxEntries int
@@ -87,52 +87,52 @@
 }
 
 // NewTable returns a table of at most maxEntries budgets.
-func NewTable(most int) *Table {
-	return &Table{maxEntries: most, entries: map[string]*list.Element{}, lru: list.New()}
+func NewTable(maxEntries int) *Table {
+	return &Table{maxEntries: maxEntries, entries: map[string]*list.Element{}, lru: list.New()}
 }
 
-// MinRetention is for how long a budget is kept at least: calls of an attempt arrive while its time
-// runs.
+// MinRetention is the minimum time for which a budget is kept, as calls of an attempt may arrive until
+// its deadline.
 const MinRetention = time.Second
 
 // Get returns the budget of the attempt that a call is part of.
-func (l *Table) Get(c *Context, now time.Time) *RetryBudget {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (t *Table) Get(c *Context, now time.Time) *RetryBudget {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	key := c.Root + c.Attempt
-	if e := l.entries[key]; e != nil {
+	if e := t.entries[key]; e != nil {
 		return e.Value.(*entry).budget
 	}
-	l.expire(now)
-	if l.lru.Len() >= l.maxEntries {
+	t.expire(now)
+	if t.lru.Len() >= t.maxEntries {
 		return NewRetryBudget(0)
 	}
 	e := &entry{key: key, budget: NewRetryBudget(c.Retries), expiresAt: now.Add(max(2*c.TimeLeft, MinRetention))}
-	l.entries[key] = l.lru.PushBack(e)
+	t.entries[key] = t.lru.PushBack(e)
 	return e.budget
 }
 
 // expire removes expired entries. It checks a few at each call, and moves those that are kept to the
 // end.
-func (l *Table) expire(now time.Time) {
+func (t *Table) expire(now time.Time) {
 	for n := 0; n < 8; n++ {
-		first := l.lru.Front()
+		first := t.lru.Front()
 		if first == nil {
 			return
 		}
 		e := first.Value.(*entry)
 		if now.Before(e.expiresAt) {
-			l.lru.MoveToBack(first)
+			t.lru.MoveToBack(first)
 			continue
 		}
-		l.lru.Remove(first)
-		delete(l.entries, e.key)
+		t.lru.Remove(first)
+		delete(t.entries, e.key)
 	}
 }
 
 // Len returns the number of budgets.
-func (l *Table) Len() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.lru.Len()
+func (t *Table) Len() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.lru.Len()
 }
