--- a/internal/mesh/controlapi/controlapi.go
+++ b/internal/mesh/controlapi/controlapi.go
@@ -96,19 +96,19 @@
 func Decode(method, path string, body []byte) (c Command, status int, err error) {
 	verb, rest, _ := strings.Cut(strings.TrimPrefix(path, "/api/"), "/")
 	if !strings.HasPrefix(path, "/api/") {
-		return nil, http.StatusNotFound, InvalidCall.New("path %s does not begin with /api/", path)
+		return nil, http.StatusNotFound, InvalidCall.New("%s is no call", path)
 	}
 	want := http.MethodPost
 	if verb == "Config.Read" || verb == "readiness" {
 		want = http.MethodGet
 	}
 	if method != want {
-		return nil, http.StatusMethodNotAllowed, InvalidCall.New("method %s is not allowed for %s: use %s", method, path, want)
+		return nil, http.StatusMethodNotAllowed, InvalidCall.New("%s wants %s", path, want)
 	}
 	// withName returns a command whose path must end with one name.
 	withName := func(c Command) (Command, int, error) {
 		if rest == "" || strings.Contains(rest, "/") {
-			return nil, http.StatusBadRequest, InvalidCall.New("path %s does not end with the name of one endpoint or zone", path)
+			return nil, http.StatusBadRequest, InvalidCall.New("%s names nothing", path)
 		}
 		return c, 0, nil
 	}
@@ -116,7 +116,7 @@
 	if strings.HasPrefix(verb, "Evacuation.") {
 		rest, ticket, _ = strings.Cut(rest, "/")
 		if strings.Contains(ticket, "/") {
-			return nil, http.StatusBadRequest, InvalidCall.New("path %s has more segments than a zone and a ticket", path)
+			return nil, http.StatusBadRequest, InvalidCall.New("%s names more than a zone and a ticket", path)
 		}
 	}
 	switch verb {
@@ -131,8 +131,7 @@
 		h.Endpoint = registry.Endpoint{ID: rest, Target: b.Target, State: states[b.State], Capacity: int(min(max(b.Capacity, 0), 1e6))}
 		h.Endpoint.WarmupLeft = time.Duration(min(max(b.WarmupLeft, 0), 1e6) * float64(time.Second))
 		if h.Endpoint.State == 0 || b.Target == "" {
-			return nil, http.StatusBadRequest, InvalidCall.New(
-				"heartbeat: state %q must be serving or draining, and target %q must not be empty", b.State, b.Target)
+			return nil, http.StatusBadRequest, InvalidCall.New("heartbeat: state %q or target %q cannot be", b.State, b.Target)
 		}
 		return withName(h)
 	case "Endpoints.Deregister":
@@ -146,7 +145,7 @@
 	case "Evacuation.Finish":
 		return withName(FinishEvacuation{rest, ticket})
 	}
-	return nil, http.StatusNotFound, InvalidCall.New("path %s names no call of the control API", path)
+	return nil, http.StatusNotFound, InvalidCall.New("%s is no call", path)
 }
 
 // Runner runs a command and calls done with the result, once, from any goroutine.
@@ -171,8 +170,7 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	if err != nil {
-		reason := "the body cannot be read to its end or exceeds " + strconv.FormatInt(maxBytes, 10) + " bytes\n"
-		writeResult(w, Result{Status: http.StatusBadRequest, Body: []byte(reason)})
+		writeResult(w, Result{Status: http.StatusBadRequest, Body: []byte("the body cannot be read whole\n")})
 		return
 	}
 	c, status, err := Decode(r.Method, r.URL.Path, body)
@@ -184,8 +182,7 @@
 	case h.slots <- struct{}{}:
 		defer func() { <-h.slots }()
 	default:
-		reason := "too many concurrent calls: the limit is " + strconv.Itoa(maxConcurrentCalls) + "\n"
-		writeResult(w, Result{Status: http.StatusServiceUnavailable, Body: []byte(reason)})
+		writeResult(w, Result{Status: http.StatusServiceUnavailable, Body: []byte("too many calls are under way\n")})
 		return
 	}
 	done := make(chan Result, 1)
--- a/internal/mesh/controlplane/api.go
+++ b/internal/mesh/controlplane/api.go
@@ -53,14 +53,14 @@
 				controlapi.Result{
 					Status:   http.StatusTemporaryRedirect,
 					Location: path + "/" + s.tickets.issue(now, path),
-					Body:     []byte("repeat the call at the location of this redirect: its ticket shows that the caller still waits\n"),
+					Body:     []byte("call again with this ticket: it shows that you are there\n"),
 				},
 			)
 		case !s.tickets.redeem(now, ticket, path):
 			done(
 				controlapi.Result{
 					Status: http.StatusServiceUnavailable,
-					Body:   []byte("the ticket is unknown, was used before or has expired: the command was not run\n"),
+					Body:   []byte("the ticket is unknown or has expired: nothing was ordered\n"),
 				},
 			)
 		default:
