--- a/cmd/milletagent/main.go
+++ b/cmd/milletagent/main.go
@@ -1,5 +1,5 @@
 // Command milletagent runs beside the instances of one host: it starts or attaches to them, holds their configuration
-// durably, and answers milletctl. See docs/operate/fleet.md.
+// durably, and serves milletctl. See docs/operate/fleet.md.
 package main
 
 import (
@@ -22,13 +22,13 @@
 	}
 }
 
-// rootCommand returns the command.
+// rootCommand returns the command of the program, which has no subcommands.
 func rootCommand() *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
 		Use: "milletagent -f FILE", Short: "Run the agent of one host", Args: cobra.NoArgs, SilenceUsage: true, SilenceErrors: true,
 		Long: `Runs until SIGTERM or an interrupt, and then stops the instances that it started. Its state survives a crash at any
-instant; what an instance runs is told by the instance alone.`,
+instant. The configuration that an instance runs is always the one that the instance itself reports.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, err := agent.LoadConfig(path)
 			if err != nil {
@@ -44,9 +44,9 @@
 			return a.Run(ctx)
 		},
 	}
-	cmd.Flags().StringVarP(&path, "file", "f", "", "the agent's file")
+	cmd.Flags().StringVarP(&path, "file", "f", "", "the configuration file of the agent")
 	if err := cmd.MarkFlagRequired("file"); err != nil {
-		panic(err) // the flag does not exist: an error of the program
+		panic(err) // only if the flag is not defined above
 	}
 	return cmd
 }
--- a/cmd/milletctl/config.go
+++ b/cmd/milletctl/config.go
@@ -10,7 +10,7 @@
 	"milletmast/internal/operator"
 )
 
-// configCommands are the subcommands on configurations.
+// configCommands returns the subcommands on configurations.
 func (c *cli) configCommands() *cobra.Command {
 	cmd := &cobra.Command{Use: "config", Short: "Get, compare and check configurations"}
 	get := func(ctx context.Context, name string) ([]byte, error) {
--- a/cmd/milletctl/events.go
+++ b/cmd/milletctl/events.go
@@ -12,11 +12,11 @@
 	"milletmast/internal/ctl"
 )
 
-// eventsCommand is the subcommand that prints the events that the agents keep.
+// eventsCommand returns the subcommand that prints the audit logs of the agents.
 func (c *cli) eventsCommand() *cobra.Command {
 	var perAgent uint32
 	cmd := &cobra.Command{
-		Use: "events", Short: "Tell who changed what, as the agents have it", Args: cobra.NoArgs,
+		Use: "events", Short: "Print the audit logs of the agents: who changed what", Args: cobra.NoArgs,
 		RunE: c.withAgents(func(ctx context.Context, cmd *cobra.Command, _ []string) error {
 			var rows [][]string
 			var unreachable []ctl.AgentReply
@@ -36,14 +36,14 @@
 			return reportUnreachable(cmd, unreachable)
 		}),
 	}
-	cmd.Flags().Uint32Var(&perAgent, "most", 50, "lines of each agent, the latest ones")
+	cmd.Flags().Uint32Var(&perAgent, "most", 50, "maximum number of events of each agent, the latest ones")
 	return cmd
 }
 
 // eventsPerCall bounds the events of one response.
 const eventsPerCall = 1000
 
-// latestEvents reads the events of an agent in pages and returns the last ones, at most count. After an error it returns
+// latestEvents reads the events of an agent in pages and returns the latest ones, at most count. After an error it returns
 // those that it has read.
 func latestEvents(ctx context.Context, agent *ctl.Agent, count int) ([]*agentpb.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, ctl.CallTimeout)
--- a/cmd/milletctl/instances.go
+++ b/cmd/milletctl/instances.go
@@ -15,10 +15,10 @@
 	"milletmast/internal/ctl"
 )
 
-// listCommand is the subcommand that lists instances.
+// listCommand returns the subcommand that lists instances.
 func (c *cli) listCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "list", Short: "List instances: what each says that it runs, and how old that word is", Args: cobra.NoArgs,
+		Use: "list", Short: "List instances with the configuration that each reports, and the age of the report", Args: cobra.NoArgs,
 		RunE: c.withAgents(func(ctx context.Context, cmd *cobra.Command, _ []string) error {
 			list, _, unreachable := ctl.SelectInstances(c.agents.ListInstances(ctx, true), &c.selector)
 			var rows [][]string
@@ -50,23 +50,23 @@
 	}
 }
 
-// findInstance returns the instance of a name and its agent.
+// findInstance returns the instance with a name, and its agent.
 func (c *cli) findInstance(ctx context.Context, name string) (*agentpb.Member, *ctl.Agent, error) {
 	members, agentOf, unreachable := ctl.SelectInstances(c.agents.ListInstances(ctx, true), &ctl.Selector{})
 	i := slices.IndexFunc(members, func(m *agentpb.Member) bool { return m.Name == name })
 	if i < 0 {
 		if len(unreachable) > 0 {
-			return nil, nil, fmt.Errorf("no agent that answers has an instance %q; %d do not answer", name, len(unreachable))
+			return nil, nil, fmt.Errorf("no agent that responds has an instance %q; %d agents do not respond", name, len(unreachable))
 		}
 		return nil, nil, fmt.Errorf("there is no instance %q", name)
 	}
 	return members[i], agentOf[name], nil
 }
 
-// inspectCommand is the subcommand that prints all that is known of one instance.
+// inspectCommand returns the subcommand that prints the last known state of one instance.
 func (c *cli) inspectCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "inspect NAME", Short: "Tell all that is known of one instance", Args: cobra.ExactArgs(1),
+		Use: "inspect NAME", Short: "Print the last known state of one instance", Args: cobra.ExactArgs(1),
 		RunE: c.withAgents(func(ctx context.Context, cmd *cobra.Command, args []string) error {
 			m, _, err := c.findInstance(ctx, args[0])
 			if err != nil {
@@ -95,21 +95,21 @@
 	}
 }
 
-// instanceCall is a call of an agent that concerns the instance of a name.
+// instanceCall is a call of an agent for the instance with a name.
 type instanceCall func(ctx context.Context, agent *ctl.Agent, name string) (*agentpb.ChangeReply, error)
 
 // instanceCallTimeout bounds an instanceCall.
 const instanceCallTimeout = 30 * time.Second
 
-// onEachInstance is a subcommand that makes one call for each selected instance and prints the outcomes.
-func (c *cli) onEachInstance(use, help string, call instanceCall) *cobra.Command {
+// newInstanceCommand returns a subcommand that makes one call for each selected instance and prints the outcomes.
+func (c *cli) newInstanceCommand(use, help string, call instanceCall) *cobra.Command {
 	return &cobra.Command{
 		Use: use + " [NAME]...", Short: help,
 		RunE: c.withAgents(func(ctx context.Context, cmd *cobra.Command, args []string) error {
 			selector := c.selector
 			selector.Names = append(selector.Names, args...)
 			if len(selector.Names) == 0 && selector.Site == "" && len(selector.Labels) == 0 {
-				return fmt.Errorf("%s: name instances, or select them by --site, --name '*' or --label", use)
+				return fmt.Errorf("%s: no instances given: name them, or select them by --site, --name '*' or --label", use)
 			}
 			members, agentOf, unreachable := ctl.SelectInstances(c.agents.ListInstances(ctx, false), &selector)
 			if len(members) == 0 {
@@ -158,7 +158,7 @@
 	return row, outcome
 }
 
-// describeInstance returns the rows of all that is known of an instance: the value of each field.
+// describeInstance returns the last known state of an instance, in rows of a name and a value.
 func describeInstance(m *agentpb.Member) [][]string {
 	st := m.GetStatus()
 	rows := [][]string{
--- a/cmd/milletctl/level.go
+++ b/cmd/milletctl/level.go
@@ -14,11 +14,11 @@
 	"milletmast/internal/ctl"
 )
 
-// levelCommands is the subcommands on levels of reduced service.
+// levelCommands returns the subcommands on degradation levels.
 func (c *cli) levelCommands() *cobra.Command {
-	cmd := &cobra.Command{Use: "level", Short: "List levels of reduced service, pin one at instances or release it"}
+	cmd := &cobra.Command{Use: "level", Short: "List degradation levels, pin one at instances or release it"}
 	list := &cobra.Command{
-		Use: "list", Short: "List the level of each pool that has some, at each instance", Args: cobra.NoArgs,
+		Use: "list", Short: "List the level of each pool with levels, at each instance", Args: cobra.NoArgs,
 		RunE: c.withAgents(func(ctx context.Context, cmd *cobra.Command, _ []string) error {
 			members, _, unreachable := ctl.SelectInstances(c.agents.ListInstances(ctx, true), &c.selector)
 			var rows [][]string
@@ -41,20 +41,20 @@
 		}),
 	}
 	var pool, name string
-	var hold time.Duration
-	command := func(level func() string) instanceCall {
+	var pinTime time.Duration
+	pinCall := func(level func() string) instanceCall {
 		return func(ctx context.Context, a *ctl.Agent, at string) (*agentpb.ChangeReply, error) {
 			return a.Pin(ctx, &agentpb.MemberPinRequest{
-				Name: at, Pin: &controlpb.PinRequest{Pool: pool, Level: level(), ForMs: hold.Milliseconds()},
+				Name: at, Pin: &controlpb.PinRequest{Pool: pool, Level: level(), ForMs: pinTime.Milliseconds()},
 			})
 		}
 	}
-	pin := c.onEachInstance("pin", "Keep a level of a pool in force at instances, whatever their signals, for a time",
-		command(func() string { return name }))
+	pin := c.newInstanceCommand("pin", "Keep a level of a pool in force at instances for a time, whatever their signals",
+		pinCall(func() string { return name }))
 	pin.Flags().StringVar(&name, "level", "", "the level")
-	pin.Flags().DurationVar(&hold, "for", 10*time.Minute, "for so long")
+	pin.Flags().DurationVar(&pinTime, "for", 10*time.Minute, "how long the pin lasts")
 	cobra.CheckErr(pin.MarkFlagRequired("level"))
-	release := c.onEachInstance("release", "End a pin at instances: their signals decide again", command(func() string { return "" }))
+	release := c.newInstanceCommand("release", "End a pin at instances: their signals decide again", pinCall(func() string { return "" }))
 	for _, c := range []*cobra.Command{pin, release} {
 		c.Flags().StringVar(&pool, "pool", "", "the pool")
 		cobra.CheckErr(c.MarkFlagRequired("pool"))
--- a/cmd/milletctl/members.go
+++ b/cmd/milletctl/members.go
@@ -12,10 +12,10 @@
 	"milletmast/internal/ctl"
 )
 
-// membersCommand lists what each instance believes of its fleet, and who sees whom where they differ.
+// membersCommand returns the subcommand that lists each instance's view of its cluster, and where the views differ.
 func (c *cli) membersCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "members", Short: "List each instance's view of its fleet and, where views differ, who sees whom", Args: cobra.NoArgs,
+		Use: "members", Short: "List each instance's view of its cluster, and the members on which views differ", Args: cobra.NoArgs,
 		RunE: c.withAgents(func(ctx context.Context, cmd *cobra.Command, _ []string) error {
 			members, _, unreachable := ctl.SelectInstances(c.agents.ListInstances(ctx, true), &c.selector)
 			now := time.Now()
--- a/cmd/milletctl/output.go
+++ b/cmd/milletctl/output.go
@@ -15,7 +15,7 @@
 	"milletmast/internal/ctl"
 )
 
-// printRows writes rows as a table or, with --output json, as a list of objects with the header as keys.
+// printRows prints rows as a table or, with --output json, as a list of objects with the column names as keys.
 func (c *cli) printRows(w io.Writer, head []string, rows [][]string) error {
 	if c.output == "json" {
 		list := make([]map[string]string, len(rows))
@@ -48,10 +48,10 @@
 	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
-// reportUnreachable prints the agents that did not answer, and returns errNotAnswered if there are any.
+// reportUnreachable prints the agents that did not respond, and returns errNotAnswered if there are any.
 func reportUnreachable(cmd *cobra.Command, unreachable []ctl.AgentReply) error {
 	for _, reply := range unreachable {
-		fmt.Fprintf(cmd.ErrOrStderr(), "agent %s does not answer: %s\n", reply.Agent.Name, status.Convert(reply.Err).Message())
+		fmt.Fprintf(cmd.ErrOrStderr(), "agent %s does not respond: %s\n", reply.Agent.Name, status.Convert(reply.Err).Message())
 	}
 	if len(unreachable) > 0 {
 		return errNotAnswered
--- a/cmd/milletctl/rollout.go
+++ b/cmd/milletctl/rollout.go
@@ -15,29 +15,32 @@
 	"milletmast/internal/operator"
 )
 
-// rolloutCommands are the subcommands on rollouts.
+// rolloutCommands returns the subcommands on rollouts.
 func (c *cli) rolloutCommands() *cobra.Command {
-	cmd := &cobra.Command{Use: "rollout", Short: "Bring a configuration to many instances, in waves"}
+	cmd := &cobra.Command{Use: "rollout", Short: "Roll out a configuration over many instances, in waves"}
 	cmd.AddCommand(c.rolloutStart(), c.rolloutStatus(), c.rolloutWatch())
 	for use, help := range map[string]string{
-		"pause": "Have the tool that runs a rollout begin nothing new", "resume": "Have it go on", "abort": "Have it end where it is",
-		"rollback": "Have it bring back what each instance had before",
+		"pause":    "Have the tool that runs a rollout start no further change",
+		"resume":   "Have the tool continue a paused rollout",
+		"abort":    "Have the tool end a rollout in its current state",
+		"rollback": "Have the tool restore the previous configuration of each changed instance",
 	} {
 		cmd.AddCommand(c.rolloutCommand(use, help))
 	}
 	return cmd
 }
 
-// rolloutStart is the subcommand that carries a rollout out.
+// rolloutStart returns the subcommand that carries out a rollout.
 func (c *cli) rolloutStart() *cobra.Command {
 	var path string
 	var settle, timeout, limit time.Duration
 	r := &ctl.Rollout{}
 	cmd := &cobra.Command{
-		Use: "start -f FILE", Short: "Begin a rollout, or go on with one that was interrupted, and stay until it ends", Args: cobra.NoArgs,
-		Long: `Brings an operator file to the selected instances: first to --canary of them, then in waves. Between waves the instances
-that have it must be no worse than before (--gate flags). Run again with the same --id to go on with a rollout whose tool was
-interrupted; a tool that still runs it is then shut out. Ends with a table of what each instance has said itself.`,
+		Use: "start -f FILE", Short: "Start a rollout, or continue an interrupted one, and wait until it ends", Args: cobra.NoArgs,
+		Long: `Applies an operator file to the selected instances: first to --canary of them, then in waves. Before each further wave, the
+health of the changed instances is compared with that before their change (--gate flags). Run again with the same --id to
+continue a rollout whose tool was interrupted; a tool that still runs it is then fenced off. Ends with a table of what each
+instance has reported itself.`,
 		RunE: c.withAgents(func(ctx context.Context, cmd *cobra.Command, _ []string) error {
 			cfg, err := operator.Load(path)
 			if err != nil {
@@ -55,25 +58,25 @@
 	f := cmd.Flags()
 	f.StringVarP(&path, "file", "f", "", "the operator file")
 	cobra.CheckErr(cmd.MarkFlagRequired("file"))
-	f.StringVar(&r.Plan.ID, "id", "", "of the rollout (default: a new one)")
+	f.StringVar(&r.Plan.ID, "id", "", "id of the rollout (default: a new one)")
 	f.IntVar(&r.Plan.CanarySize, "canary", 1, "instances of the first wave")
-	f.Float64Var(&r.Plan.WaveShare, "share", 0.25, "of all instances, in each later wave")
-	f.IntVar(&r.Plan.MaxUnavailable, "away", 2, "instances that may be changed or out of sight at once")
-	f.IntVar(&r.Plan.MaxFailed, "failed", 0, "instances that may refuse or not answer before it stops")
-	f.DurationVar(&settle, "settle", 5*time.Second, "between the end of a wave and its gate")
-	f.DurationVar(&timeout, "timeout", 30*time.Second, "for one change to be confirmed")
-	f.DurationVar(&limit, "limit", time.Hour, "for the whole rollout")
-	f.IntVar(&r.Plan.MaxAttempts, "tries", 3, "changes sent to one instance")
-	f.Float64Var(&r.Plan.Gate.MaxRefusedIncrease, "gate-refused", 0.05, "more refused than before, as a share of requests; 0 not looked at")
-	f.Float64Var(&r.Plan.Gate.MaxFailedIncrease, "gate-failed", 0.02, "more failed than before")
-	f.Float64Var(&r.Plan.Gate.MaxP99Ratio, "gate-p99", 3, "times the p99 from before")
-	f.Uint64Var(&r.Plan.Gate.MinRequests, "gate-requests", 100, "an instance with fewer since its change is not judged")
-	f.BoolVar(&r.Plan.RollBackOnFailure, "rollback", false, "roll back, and do not only halt, when a gate stays shut")
+	f.Float64Var(&r.Plan.WaveShare, "share", 0.25, "fraction of all instances in each later wave")
+	f.IntVar(&r.Plan.MaxUnavailable, "away", 2, "instances that may be changing or unreachable at once")
+	f.IntVar(&r.Plan.MaxFailed, "failed", 0, "instances that may refuse or be unreachable before the rollout stops")
+	f.DurationVar(&settle, "settle", 5*time.Second, "time between the end of a wave and its gate")
+	f.DurationVar(&timeout, "timeout", 30*time.Second, "time for one change to be confirmed")
+	f.DurationVar(&limit, "limit", time.Hour, "time for the whole rollout")
+	f.IntVar(&r.Plan.MaxAttempts, "tries", 3, "maximum number of changes sent to one instance")
+	f.Float64Var(&r.Plan.Gate.MaxRefusedIncrease, "gate-refused", 0.05, "allowed increase of the fraction of refused requests; 0 for no check")
+	f.Float64Var(&r.Plan.Gate.MaxFailedIncrease, "gate-failed", 0.02, "allowed increase of the fraction of failed requests; 0 for no check")
+	f.Float64Var(&r.Plan.Gate.MaxP99Ratio, "gate-p99", 3, "allowed p99 latency as a multiple of that before the change; 0 for no check")
+	f.Uint64Var(&r.Plan.Gate.MinRequests, "gate-requests", 100, "an instance with fewer requests since its change is not checked")
+	f.BoolVar(&r.Plan.RollBackOnFailure, "rollback", false, "roll back instead of pausing or stopping at a failed gate or too many failures")
 	f.BoolVar(&r.WaitForOther, "queue", false, "wait for another rollout to end")
 	return cmd
 }
 
-// runRollout carries a rollout out, shows its progress, and prints its result.
+// runRollout carries out a rollout, shows its progress, and prints its result.
 func (c *cli) runRollout(ctx context.Context, cmd *cobra.Command, r *ctl.Rollout) error {
 	out := cmd.ErrOrStderr()
 	r.Log = func(s string) { fmt.Fprintf(out, "%s %s\n", time.Now().UTC().Format("15:04:05"), s) }
@@ -88,9 +91,9 @@
 	}
 	var rows [][]string
 	for _, inst := range result.Instances {
-		seen := "never"
-		if inst.LastHeard > 0 {
-			seen = time.UnixMilli(int64(inst.LastHeard)).UTC().Format(time.RFC3339)
+		reportedAt := "never"
+		if inst.LastReportAt > 0 {
+			reportedAt = time.UnixMilli(int64(inst.LastReportAt)).UTC().Format(time.RFC3339)
 		}
 		rows = append(
 			rows,
@@ -99,7 +102,7 @@
 				inst.State.String(),
 				shortHash(inst.Hash),
 				shortHash(inst.StartID),
-				seen,
+				reportedAt,
 				fmt.Sprint(inst.Restarts),
 				inst.Reason,
 			},
@@ -109,7 +112,7 @@
 		return err
 	}
 	for _, agent := range result.UnreachableAgents {
-		fmt.Fprintf(out, "agent %s did not answer at the start: what its instances run is not known\n", agent)
+		fmt.Fprintf(out, "agent %s did not respond at the start: the state of its instances is unknown\n", agent)
 	}
 	fmt.Fprintf(out, "%s: %s\n", result.Phase, result.Reason)
 	if !result.OK {
@@ -147,7 +150,7 @@
 	return line
 }
 
-// printStatus prints the state of the latest rollout, by the ledgers of the agents and the reports of the instances. It
+// printStatus prints the state of the latest rollout, from the ledgers of the agents and the reports of the instances. It
 // returns whether the rollout has ended.
 func (c *cli) printStatus(ctx context.Context, cmd *cobra.Command) (bool, error) {
 	replies := c.agents.ListInstances(ctx, true)
@@ -184,7 +187,7 @@
 	}
 	fmt.Fprintf(
 		cmd.ErrOrStderr(),
-		"rollout %s of %s, epoch %d, ended %v: %d of %d instances say that they run it\n",
+		"rollout %s of %s, epoch %d, ended %v: %d of %d instances report that they run it\n",
 		ledger.Rollout,
 		shortHash(ledger.Target),
 		ledger.Epoch,
@@ -204,10 +207,10 @@
 	return ledger.Ended, nil
 }
 
-// rolloutStatus is the subcommand that prints the state of the latest rollout.
+// rolloutStatus returns the subcommand that prints the state of the latest rollout.
 func (c *cli) rolloutStatus() *cobra.Command {
 	return &cobra.Command{
-		Use: "status", Short: "Tell how the last rollout stands, by what instances say", Args: cobra.NoArgs,
+		Use: "status", Short: "Print the state of the latest rollout, as the instances report it", Args: cobra.NoArgs,
 		RunE: c.withAgents(func(ctx context.Context, cmd *cobra.Command, _ []string) error {
 			_, err := c.printStatus(ctx, cmd)
 			return err
@@ -215,11 +218,11 @@
 	}
 }
 
-// rolloutWatch is the subcommand that prints it again and again.
+// rolloutWatch returns the subcommand that prints the state of the latest rollout repeatedly, until it ends.
 func (c *cli) rolloutWatch() *cobra.Command {
 	var interval time.Duration
 	cmd := &cobra.Command{
-		Use: "watch", Short: "Tell so again and again, until the rollout ends", Args: cobra.NoArgs,
+		Use: "watch", Short: "Print the state of the latest rollout repeatedly, until it ends", Args: cobra.NoArgs,
 		RunE: c.withAgents(func(ctx context.Context, cmd *cobra.Command, _ []string) error {
 			for {
 				if isTerminal(cmd.OutOrStdout()) {
@@ -237,14 +240,14 @@
 			}
 		}),
 	}
-	cmd.Flags().DurationVar(&interval, "every", time.Second, "between two looks")
+	cmd.Flags().DurationVar(&interval, "every", time.Second, "time between two updates")
 	return cmd
 }
 
 // clearScreen moves the cursor to the top left and clears a terminal.
 const clearScreen = "\x1b[H\x1b[J"
 
-// rolloutCommand is a subcommand that leaves a command at the agents, for the tool that runs a rollout.
+// rolloutCommand returns a subcommand that stores a command at the agents, for the tool that runs a rollout.
 func (c *cli) rolloutCommand(use, help string) *cobra.Command {
 	var toolIsGone bool
 	cmd := &cobra.Command{
@@ -271,14 +274,14 @@
 				agents++
 			}
 			if agents == 0 {
-				return fmt.Errorf("no agent that answers knows a rollout %q that is under way", args[0])
+				return fmt.Errorf("no agent that responds has a rollout %q that is under way", args[0])
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: left at %d agents\n", use, agents)
 			return nil
 		}),
 	}
 	if use == "abort" {
-		cmd.Flags().BoolVar(&toolIsGone, "dead", false, "end it for a tool that is gone")
+		cmd.Flags().BoolVar(&toolIsGone, "dead", false, "end the rollout at the agents because its tool no longer runs")
 	}
 	return cmd
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,5 @@
 // Package agent manages the sidecar instances of one host: it starts them or attaches to them, stores
-// their desired configuration, and reconciles them with it. It serves the tool over gRPC.
+// their desired configuration, and reconciles them with it. It serves milletctl over gRPC.
 package agent
 
 import (
@@ -45,15 +45,15 @@
 // its directory.
 func LoadConfig(path string) (*Config, error) {
 	var c Config
-	err := operator.Decode(path, &c, func(complain func(field, text string)) { c.check(filepath.Dir(path), complain) })
+	err := operator.Decode(path, &c, func(report func(field, text string)) { c.check(filepath.Dir(path), report) })
 	if err != nil {
 		return nil, err
 	}
 	return &c, nil
 }
 
-// check makes paths absolute and reports invalid fields.
-func (c *Config) check(dir string, complain func(field, text string)) {
+// check makes paths absolute and calls report for each invalid field.
+func (c *Config) check(dir string, report func(field, text string)) {
 	for _, p := range []*string{&c.State, &c.TLS.CA, &c.TLS.Cert, &c.TLS.Key} {
 		operator.ResolvePath(dir, p)
 	}
@@ -64,11 +64,11 @@
 	}
 	for field, value := range map[string]string{"name": c.Name, "listen": c.Listen, "state": c.State} {
 		if value == "" {
-			complain(field, "is missing")
+			report(field, "is missing")
 		}
 	}
 	if !unix && (c.TLS.CA == "" || c.TLS.Cert == "" || c.TLS.Key == "") {
-		complain("tls", "ca, cert and key are needed unless listen is unix:PATH")
+		report("tls", "ca, cert and key are needed unless listen is unix:PATH")
 	}
 	seen := map[string]bool{}
 	for i := range c.Instances {
@@ -76,13 +76,13 @@
 		operator.ResolvePath(dir, &s.Socket)
 		operator.ResolvePath(dir, &s.Config)
 		if s.Name == "" || seen[s.Name] || strings.ContainsAny(s.Name, "/\\") {
-			complain(at+".name", fmt.Sprintf("%q is empty, comes twice or is no name", s.Name))
+			report(at+".name", fmt.Sprintf("%q must not be empty, must be unique and must not contain / or \\", s.Name))
 		}
 		if s.Socket == "" {
-			complain(at+".socket", "is missing")
+			report(at+".socket", "is missing")
 		}
 		if len(s.Command) > 0 && s.Config == "" {
-			complain(at+".config", "is missing, for an instance that the agent starts")
+			report(at+".config", "is missing, for an instance that the agent starts")
 		}
 		seen[s.Name] = true
 	}
@@ -95,7 +95,7 @@
 	store           *Store
 	instances       []*managedInstance
 	byName          map[string]*managedInstance
-	boot            uint64
+	boot            uint64 // number of times that the store was opened
 	lastStatusOrder atomic.Uint64
 	tls             *tlsReloader
 }
@@ -145,7 +145,7 @@
 // nextStatusOrder returns an increasing number for a status report, across restarts of the agent.
 func (a *Agent) nextStatusOrder() uint64 { return a.boot<<32 | a.lastStatusOrder.Add(1)&0xffffffff }
 
-// audit appends an event to the audit log. A full disk does not stop the agent.
+// audit appends an event to the audit log. An error, as on a full disk, is logged and does not stop the agent.
 func (a *Agent) audit(who, what string) {
 	if err := a.store.AppendEvent(time.Now(), who, what); err != nil {
 		slog.Error("write audit log", "err", err)
@@ -157,7 +157,7 @@
 	maxStreams      = 64 // concurrent calls of a connection
 )
 
-// Run supervises the instances and serves the tool until the context ends. Then it stops the instances
+// Run supervises the instances and serves milletctl until the context ends. Then it stops the instances
 // that it started.
 func (a *Agent) Run(ctx context.Context) error {
 	defer a.store.Close()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -27,7 +27,8 @@
 	"milletmast/internal/pki"
 )
 
-// TestMain is also the agent of the crash tests: a process of its own that kills itself at a named write.
+// TestMain runs an agent if AGENT_TEST_FILE names its configuration file. The crash tests start the test program that way;
+// with AGENT_TEST_DIE set, the process kills itself before the write of that name.
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	if path := os.Getenv("AGENT_TEST_FILE"); path != "" {
@@ -55,8 +56,8 @@
 	os.Exit(m.Run())
 }
 
-// fake is an instance on a control socket.
-type fake struct {
+// fakeInstance is an instance on a control socket.
+type fakeInstance struct {
 	mu      sync.Mutex
 	name    string
 	text    []byte
@@ -67,13 +68,13 @@
 	applied int
 }
 
-func (f *fake) Status() *controlpb.InstanceStatus {
+func (f *fakeInstance) Status() *controlpb.InstanceStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return &controlpb.InstanceStatus{Name: f.name, StartId: f.start, Hash: operator.TextHash(f.text), Draining: f.drained}
 }
 
-func (f *fake) Apply(text []byte) error {
+func (f *fakeInstance) Apply(text []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.refuse != "" {
@@ -84,13 +85,13 @@
 	return nil
 }
 
-func (f *fake) Drain(on bool) {
+func (f *fakeInstance) Drain(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drained = on
 }
 
-func (f *fake) Pin(pool, level string, ttl time.Duration) error {
+func (f *fakeInstance) Pin(pool, level string, ttl time.Duration) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if pool != "p" {
@@ -100,21 +101,22 @@
 	return nil
 }
 
-// refusing has it refuse changes, or take them again.
-func (f *fake) refusing(why string) {
+// setRefusal makes the instance refuse changes with a reason, or accept them again if the reason is empty.
+func (f *fakeInstance) setRefusal(reason string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.refuse = why
+	f.refuse = reason
 }
 
-// restart has it come back with another configuration, as one that loads its old file.
-func (f *fake) restart(text []byte) {
+// restart simulates a restart of the instance with the configuration text.
+func (f *fakeInstance) restart(text []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.start, f.text = f.start+"'", text
 }
 
-func file(n int) []byte {
+// operatorFile returns an operator file whose hash depends on n.
+func operatorFile(n int) []byte {
 	return fmt.Appendf(nil, `# %d
 [[listener]]
 name = "in"
@@ -134,24 +136,24 @@
 `, n)
 }
 
-// host is a folder with an agent's file and a fake instance named one.
-type host struct {
+// testHost is a directory with an agent's configuration file and the socket of a fake instance named one.
+type testHost struct {
 	dir, path string
-	fake      *fake
+	instance  *fakeInstance
 }
 
-func newHost(t *testing.T) *host {
+func newHost(t *testing.T) *testHost {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "agent") // paths of sockets have to be short
+	dir, err := os.MkdirTemp("", "agent") // t.TempDir may be too long for the path of a Unix socket
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	h := &host{dir: dir, path: filepath.Join(dir, "agent.toml"), fake: &fake{name: "one", text: file(0), start: "s"}}
+	h := &testHost{dir: dir, path: filepath.Join(dir, "agent.toml"), instance: &fakeInstance{name: "one", text: operatorFile(0), start: "s"}}
 	h.write(t, "agent.toml", "name = \"a\"\nsite = \"east\"\nlisten = \"unix:a.sock\"\nstate = \"state\"\n[[instance]]\nname = \"one\"\nsocket = \"one.sock\"\nlabels = { ring = \"first\" }\n")
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
-	go func() { served <- control.Serve(ctx, filepath.Join(dir, "one.sock"), h.fake) }()
+	go func() { served <- control.Serve(ctx, filepath.Join(dir, "one.sock"), h.instance) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-served; err != nil {
@@ -161,15 +163,15 @@
 	return h
 }
 
-func (h *host) write(t *testing.T, name, text string) {
+func (h *testHost) write(t *testing.T, name, text string) {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(h.dir, name), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// begin runs the agent in this process.
-func (h *host) begin(t *testing.T) (agentpb.AgentClient, func()) {
+// startAgent runs the agent in this process. It returns a client and a function that stops the agent.
+func (h *testHost) startAgent(t *testing.T) (agentpb.AgentClient, func()) {
 	t.Helper()
 	cfg, err := LoadConfig(h.path)
 	if err != nil {
@@ -187,7 +189,7 @@
 	return h.client(t), stop
 }
 
-func (h *host) client(t *testing.T) agentpb.AgentClient {
+func (h *testHost) client(t *testing.T) agentpb.AgentClient {
 	t.Helper()
 	conn, err := grpc.NewClient("unix:"+filepath.Join(h.dir, "a.sock"), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -197,19 +199,20 @@
 	return agentpb.NewAgentClient(conn)
 }
 
-const long = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-func until(t *testing.T, what string, f func() bool) {
+// waitFor waits until a condition holds, and fails the test after waitTimeout.
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(long); !f(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("still not: ", what)
+			t.Fatal("timed out waiting until ", what)
 		}
 	}
 }
 
-// one is what the agent tells of the instance; nil while the agent does not answer.
-func one(c agentpb.AgentClient) *agentpb.Member {
+// fetchInstance returns the agent's fresh report of the instance; nil if the agent does not respond.
+func fetchInstance(c agentpb.AgentClient) *agentpb.Member {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	reply, err := c.List(ctx, &agentpb.ListRequest{Name: "one", Fresh: true})
@@ -221,7 +224,7 @@
 
 func claim(t *testing.T, c agentpb.AgentClient, id string, epoch uint64) error {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), long)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	_, err := c.Claim(ctx, &agentpb.ClaimRequest{Rollout: id, Epoch: epoch}, grpc.WaitForReady(true))
 	return err
@@ -229,23 +232,27 @@
 
 func change(t *testing.T, c agentpb.AgentClient, text []byte, id string, epoch uint64) (*agentpb.ChangeReply, error) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), long)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	return c.Change(ctx, &agentpb.ChangeRequest{Name: "one", Config: text, Rollout: id, Epoch: epoch})
 }
 
+// An agent applies changes only for the tool with the highest epoch of the rollout in progress.
 func TestAgentChangesAndFences(t *testing.T) {
 	h := newHost(t)
-	c, _ := h.begin(t)
-	until(t, "it is in sight", func() bool { m := one(c); return m.GetInSight() && m.Site == "east" && m.Labels["ring"] == "first" })
+	c, _ := h.startAgent(t)
+	waitFor(t, "the instance is reachable", func() bool {
+		m := fetchInstance(c)
+		return m.GetInSight() && m.Site == "east" && m.Labels["ring"] == "first"
+	})
 	if err := claim(t, c, "r1", 1); err != nil {
 		t.Fatal(err)
 	}
-	reply, err := change(t, c, file(1), "r1", 1)
-	if err != nil || reply.Refused != "" || reply.Member.Status.Hash != operator.TextHash(file(1)) || reply.Member.Desired != operator.TextHash(file(1)) {
+	reply, err := change(t, c, operatorFile(1), "r1", 1)
+	if err != nil || reply.Refused != "" || reply.Member.Status.Hash != operator.TextHash(operatorFile(1)) || reply.Member.Desired != operator.TextHash(operatorFile(1)) {
 		t.Fatalf("change: %+v, %v", reply, err)
 	}
-	// Only one rollout at a time, and of one rollout the tool with the highest epoch.
+	// Only one rollout may be in progress, and only its tool with the highest epoch may change instances.
 	if err := claim(t, c, "r2", 9); status.Code(err) != codes.FailedPrecondition {
 		t.Errorf("a second rollout: %v", err)
 	}
@@ -255,24 +262,24 @@
 	if err := claim(t, c, "r1", 2); err != nil {
 		t.Error(err)
 	}
-	if _, err := change(t, c, file(2), "r1", 1); status.Code(err) != codes.FailedPrecondition {
-		t.Errorf("the tool that was taken over from: %v", err)
+	if _, err := change(t, c, operatorFile(2), "r1", 1); status.Code(err) != codes.FailedPrecondition {
+		t.Errorf("a change by a tool that was fenced off: %v", err)
 	}
-	// What the instance cannot take is refused, changes nothing and is not held.
-	for name, text := range map[string][]byte{"not a file": []byte("x = 1"), "port taken": file(3)} {
-		h.fake.refusing("listener in: address already in use")
+	// A configuration that the instance rejects changes nothing, and does not become the desired one.
+	for name, text := range map[string][]byte{"not a file": []byte("x = 1"), "port taken": operatorFile(3)} {
+		h.instance.setRefusal("listener in: address already in use")
 		reply, err = change(t, c, text, "r1", 2)
-		if err != nil || reply.Refused == "" || reply.Member.Desired != operator.TextHash(file(1)) || reply.Member.Status.Hash != operator.TextHash(file(1)) {
+		if err != nil || reply.Refused == "" || reply.Member.Desired != operator.TextHash(operatorFile(1)) || reply.Member.Status.Hash != operator.TextHash(operatorFile(1)) {
 			t.Errorf("%s: %+v, %v", name, reply, err)
 		}
 	}
-	if n := h.fake.applied; n != 1 {
-		t.Errorf("%d changes were taken, want one", n)
+	if n := h.instance.applied; n != 1 {
+		t.Errorf("%d changes were applied, want one", n)
 	}
 	if _, err := c.End(t.Context(), &agentpb.EndRequest{Rollout: "r1", Epoch: 2}); err != nil {
 		t.Error(err)
 	}
-	if _, err := change(t, c, file(4), "r1", 2); status.Code(err) != codes.FailedPrecondition {
+	if _, err := change(t, c, operatorFile(4), "r1", 2); status.Code(err) != codes.FailedPrecondition {
 		t.Errorf("a change of a rollout that has ended: %v", err)
 	}
 	if err := claim(t, c, "r2", 3); err != nil {
@@ -282,103 +289,103 @@
 	if err != nil || len(events.Entries) < 4 || events.Entries[0].Who != "local" {
 		t.Errorf("audit log %v, %v", events, err)
 	}
-	if _, err := c.Drain(t.Context(), &agentpb.MemberDrainRequest{Name: "one", Drain: true}); err != nil || !one(c).Status.Draining {
+	if _, err := c.Drain(t.Context(), &agentpb.MemberDrainRequest{Name: "one", Drain: true}); err != nil || !fetchInstance(c).Status.Draining {
 		t.Errorf("drain: %v", err)
 	}
 	pin := &controlpb.PinRequest{Pool: "p", Level: "lean", ForMs: 60_000}
-	if r, err := c.Pin(t.Context(), &agentpb.MemberPinRequest{Name: "one", Pin: pin}); err != nil || r.Refused != "" || h.fake.pinned != "lean 1m0s" {
-		t.Errorf("pin: %v, %v, %q", r, err, h.fake.pinned)
+	if r, err := c.Pin(t.Context(), &agentpb.MemberPinRequest{Name: "one", Pin: pin}); err != nil || r.Refused != "" || h.instance.pinned != "lean 1m0s" {
+		t.Errorf("pin: %v, %v, %q", r, err, h.instance.pinned)
 	}
 	pin.Pool = "q"
 	if r, err := c.Pin(t.Context(), &agentpb.MemberPinRequest{Name: "one", Pin: pin}); err != nil || r.Refused != "there is no such pool" {
-		t.Errorf("pin at a pool that is none: %v, %v", r, err)
+		t.Errorf("pin at an unknown pool: %v, %v", r, err)
 	}
 }
 
-// An instance that comes back with its old file is brought to what is held for it, as it reports otherwise.
+// An instance that restarts with its old configuration is changed to the desired one, also by the next process of the agent.
 func TestAgentReconciles(t *testing.T) {
 	h := newHost(t)
-	c, stop := h.begin(t)
+	c, stop := h.startAgent(t)
 	if err := claim(t, c, "r", 1); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the change is taken", func() bool { r, err := change(t, c, file(1), "r", 1); return err == nil && r.Refused == "" })
-	order := one(c).Order
-	h.fake.restart(file(0))
-	until(t, "it is brought back", func() bool { return h.fake.Status().Hash == operator.TextHash(file(1)) })
+	waitFor(t, "the change is applied", func() bool { r, err := change(t, c, operatorFile(1), "r", 1); return err == nil && r.Refused == "" })
+	order := fetchInstance(c).Order
+	h.instance.restart(operatorFile(0))
+	waitFor(t, "the instance runs the desired configuration", func() bool { return h.instance.Status().Hash == operator.TextHash(operatorFile(1)) })
 	stop()
-	h.fake.restart(file(0))
-	c, _ = h.begin(t)
-	until(t, "the next agent does so too", func() bool { return one(c).GetStatus().GetHash() == operator.TextHash(file(1)) })
-	if m := one(c); m.Order <= order {
+	h.instance.restart(operatorFile(0))
+	c, _ = h.startAgent(t)
+	waitFor(t, "the next agent has reconciled the instance", func() bool { return fetchInstance(c).GetStatus().GetHash() == operator.TextHash(operatorFile(1)) })
+	if m := fetchInstance(c); m.Order <= order {
 		t.Errorf("order %d after a restart of the agent, %d before", m.Order, order)
 	}
 }
 
-// An agent that is killed at any write comes back to what its instance reports, and holds just that.
+// An agent is killed at each kind of write to its store. After its restart, the desired configuration must be the one that the
+// instance runs, and changes work again.
 func TestAgentKilledAtEachWrite(t *testing.T) {
 	for _, write := range []string{"claim", "log", "intend", "settle", "drop", "command", "end"} {
 		t.Run(write, func(t *testing.T) {
 			t.Parallel()
 			h := newHost(t)
-			c, stop := h.begin(t)
+			c, stop := h.startAgent(t)
 			if err := claim(t, c, "r", 1); err != nil {
 				t.Fatal(err)
 			}
-			until(t, "the first change is taken", func() bool { r, err := change(t, c, file(1), "r", 1); return err == nil && r.Refused == "" })
+			waitFor(t, "the first change is applied", func() bool { r, err := change(t, c, operatorFile(1), "r", 1); return err == nil && r.Refused == "" })
 			stop()
 			cmd := exec.Command(os.Args[0])
 			cmd.Env = append(os.Environ(), "AGENT_TEST_FILE="+h.path, "AGENT_TEST_DIE="+write)
 			if err := cmd.Start(); err != nil {
 				t.Fatal(err)
 			}
-			dies := make(chan error, 1)
-			go func() { dies <- cmd.Wait() }()
+			exited := make(chan error, 1)
+			go func() { exited <- cmd.Wait() }()
 			c = h.client(t)
-			until(t, "the second agent answers", func() bool { return one(c) != nil })
+			waitFor(t, "the second agent responds", func() bool { return fetchInstance(c) != nil })
 			short, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 			_, _ = c.Claim(short, &agentpb.ClaimRequest{Rollout: "r", Epoch: 2})
 			cancel()
 			switch write {
 			case "drop":
-				h.fake.refusing("port taken")
-				_, _ = change(t, c, file(2), "r", 2)
+				h.instance.setRefusal("port taken")
+				_, _ = change(t, c, operatorFile(2), "r", 2)
 			case "command":
 				_, _ = c.Command(t.Context(), &agentpb.CommandRequest{Rollout: "r", Command: "pause:1"})
 			case "end":
 				_, _ = c.End(t.Context(), &agentpb.EndRequest{Rollout: "r", Epoch: 2})
 			default:
-				_, _ = change(t, c, file(2), "r", 2) // where the claim has not killed it already
+				_, _ = change(t, c, operatorFile(2), "r", 2) // unless the write of the claim has killed the agent already
 			}
 			select {
-			case err := <-dies:
+			case err := <-exited:
 				if err == nil {
-					t.Fatal("it ended by itself")
+					t.Fatal("the second agent exited without being killed")
 				}
-			case <-time.After(long):
+			case <-time.After(waitTimeout):
 				_ = cmd.Process.Kill()
-				t.Fatal("it was not killed")
+				t.Fatal("the second agent was not killed at the write")
 			}
-			h.fake.refusing("")
-			c, _ = h.begin(t)
-			until(t, "the third agent holds what the instance runs", func() bool {
-				m := one(c)
-				return m.GetInSight() && m.Desired == m.Status.Hash && m.Status.Hash == h.fake.Status().Hash
+			h.instance.setRefusal("")
+			c, _ = h.startAgent(t)
+			waitFor(t, "the desired configuration at the third agent is the one that the instance runs", func() bool {
+				m := fetchInstance(c)
+				return m.GetInSight() && m.Desired == m.Status.Hash && m.Status.Hash == h.instance.Status().Hash
 			})
-			if got, want := h.fake.Status().Hash, map[bool][]byte{true: file(2), false: file(1)}[write == "settle"]; got != operator.TextHash(want) {
+			if got, want := h.instance.Status().Hash, map[bool][]byte{true: operatorFile(2), false: operatorFile(1)}[write == "settle"]; got != operator.TextHash(want) {
 				t.Errorf("the instance runs %.12s", got)
 			}
 			if err := claim(t, c, "r", 3); err != nil {
 				t.Error(err)
 			}
-			until(t, "the change is taken", func() bool { r, err := change(t, c, file(2), "r", 3); return err == nil && r.Refused == "" })
+			waitFor(t, "the change is applied", func() bool { r, err := change(t, c, operatorFile(2), "r", 3); return err == nil && r.Refused == "" })
 		})
 	}
 }
 
-// A state that cannot be written, as on a full disk, keeps the change from being sent: what could not be reconciled after a
-// crash is not begun.
-func TestStateThatCannotBeWritten(t *testing.T) {
+// If the store cannot be written, as on a full disk, a change is not sent: it could not be reconciled after a crash.
+func TestChangeWithUnwritableStore(t *testing.T) {
 	h := newHost(t)
 	cfg, err := LoadConfig(h.path)
 	if err != nil {
@@ -389,17 +396,17 @@
 		t.Fatal(err)
 	}
 	a.store.Close()
-	if refused, err := a.instances[0].applyChange(t.Context(), file(1), "r"); err == nil || refused != "" {
+	if refused, err := a.instances[0].applyChange(t.Context(), operatorFile(1), "r"); err == nil || refused != "" {
 		t.Errorf("refused %q, %v, want an error", refused, err)
 	}
-	if h.fake.applied != 0 {
-		t.Error("the change was sent all the same")
+	if h.instance.applied != 0 {
+		t.Error("the change was sent although the intent was not stored")
 	}
 }
 
-// Certificates that are replaced on disk count from the next connection on, without a restart; files that cannot be read
-// change nothing.
-func TestCertificatesAreReadAgain(t *testing.T) {
+// Certificates that are replaced on disk are used from the next connection on, without a restart. While the files are
+// invalid, the previous certificate stays in use.
+func TestCertificateReload(t *testing.T) {
 	dir := t.TempDir()
 	for _, err := range []error{pki.Init(dir), pki.Agent(dir, "a")} {
 		if err != nil {
@@ -416,7 +423,7 @@
 	}
 	r.reloadAt = time.Time{}
 	if kept, _ := r.current(); kept != first {
-		t.Error("a certificate that cannot be read was taken")
+		t.Error("an invalid certificate has replaced the valid one")
 	}
 	if err := pki.Agent(dir, "a"); err != nil {
 		t.Fatal(err)
@@ -431,14 +438,14 @@
 	}
 }
 
-// A torn last page of the state must not lose what was written before.
-func TestStateSurvivesATornEnd(t *testing.T) {
+// A torn write at the end of the store must not lose what was written before.
+func TestStoreWithTornTail(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent.db")
 	s, boot, err := OpenStore(path)
 	if err != nil || boot != 1 {
 		t.Fatal(boot, err)
 	}
-	if err := s.SetInitialConfig("one", file(1)); err != nil {
+	if err := s.SetInitialConfig("one", operatorFile(1)); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -446,7 +453,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.Write(make([]byte, 777)); err != nil { // a write that the crash cut short
+	if _, err := f.Write(make([]byte, 777)); err != nil { // a write that a crash has truncated
 		t.Fatal(err)
 	}
 	f.Close()
@@ -455,13 +462,13 @@
 		t.Fatal(boot, err)
 	}
 	defer s.Close()
-	if d, err := s.Desired("one"); err != nil || d.Hash != operator.TextHash(file(1)) {
-		t.Errorf("held %+v, %v", d, err)
+	if d, err := s.Desired("one"); err != nil || d.Hash != operator.TextHash(operatorFile(1)) {
+		t.Errorf("desired %+v, %v", d, err)
 	}
 }
 
-// With TLS only certificates of the CA come in, each may call what its role allows, and an agent that passes for another
-// is not believed.
+// With TLS, an agent accepts only certificates of the CA, and each may call only the methods of its role. A tool does not
+// connect to an agent with the certificate of another.
 func TestRoles(t *testing.T) {
 	h := newHost(t)
 	for _, err := range []error{
@@ -473,7 +480,7 @@
 		}
 	}
 	if pki.Init(h.dir) == nil {
-		t.Error("a CA was made over one that is there")
+		t.Error("pki.Init has replaced an existing CA")
 	}
 	h.write(t, "agent.toml", "tls = { ca = \"ca.pem\", cert = \"a.pem\", key = \"a.key\" }\n"+
 		"name = \"a\"\nlisten = \"127.0.0.1:0\"\nstate = \"state\"\n[[instance]]\nname = \"one\"\nsocket = \"one.sock\"\n")
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -13,10 +13,10 @@
 	"milletmast/internal/operator"
 )
 
-// goldenStore was written by the program before its types were renamed, and never changes.
+// goldenStore was written before the stored Go types were renamed. It must not be regenerated.
 const goldenStore = "testdata/golden/agent.db"
 
-// writeGolden makes the changes that the golden store holds.
+// writeGolden writes a store with the contents of the golden store.
 func writeGolden(path string) error {
 	s, _, err := OpenStore(path)
 	if err != nil {
@@ -38,8 +38,8 @@
 	)
 }
 
-// dump returns every key and value of a store by bucket.
-func dump(t *testing.T, path string) map[string]map[string]string {
+// readBuckets returns the keys and values of a store by bucket.
+func readBuckets(t *testing.T, path string) map[string]map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
@@ -80,7 +80,7 @@
 	if err := writeGolden(path); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := dump(t, path), dump(t, copyGolden(t)); !reflect.DeepEqual(got, want) {
+	if got, want := readBuckets(t, path), readBuckets(t, copyGolden(t)); !reflect.DeepEqual(got, want) {
 		t.Errorf("the store is written in another form:\n%q\nwant\n%q", got, want)
 	}
 }
@@ -102,7 +102,7 @@
 		t.Errorf("intent %+v, %v", i, err)
 	}
 	if i, err := s.Intent("front-1"); err != nil || i != (Intent{}) {
-		t.Errorf("intent of the instance that settled: %+v, %v", i, err)
+		t.Errorf("intent of the instance whose change is committed: %+v, %v", i, err)
 	}
 	if text, err := s.Config(after); err != nil || string(text) != "[listener]\nport = 1\n" {
 		t.Errorf("configuration %q, %v", text, err)
--- a/internal/agent/instance.go
+++ b/internal/agent/instance.go
@@ -25,7 +25,7 @@
 	pollInterval       = 500 * time.Millisecond // between two polls of an instance, if there are few
 	maxPollsPerSecond  = 200                    // of all instances
 	maxConcurrentPolls = 64                     // of a List call with fresh set
-	callTimeout        = time.Second            // for an instance to answer
+	callTimeout        = time.Second            // for an instance to respond
 	applyTimeout       = 15 * time.Second       // for an instance to apply a configuration
 	minBackoff         = 200 * time.Millisecond // before the first restart of a process; doubles
 	maxBackoff         = 10 * time.Second
@@ -34,8 +34,8 @@
 	stopTimeout        = 10 * time.Second // between SIGTERM and SIGKILL
 )
 
-// managedInstance is an instance of the host. What the agent reports of it is what it has reported
-// itself.
+// managedInstance is an instance of the host. Its status is always the one that the instance has
+// reported itself.
 type managedInstance struct {
 	spec       InstanceSpec
 	agent      *Agent
@@ -48,12 +48,12 @@
 	status           *controlpb.InstanceStatus
 	statusAt         time.Time
 	statusOrder      uint64
-	polledAt         time.Time // when the latest poll was sent that is recorded, or the process was seen to exit
+	polledAt         time.Time // when the latest recorded poll was sent, or when the process exited
 	reachable        bool
 	lastError        string
-	rejectedHash     string // hash of a configuration that it has rejected since it started
+	rejectedHash     string // hash of a configuration that the instance has rejected since its start
 	exits            uint32
-	consecutiveExits int // each before stableAfter
+	consecutiveExits int // exits in a row, each before stableAfter
 }
 
 // run supervises, polls and reconciles the instance until the context ends.
@@ -64,7 +64,7 @@
 	}
 	goroutines.Go(func() {
 		interval := max(pollInterval, time.Duration(len(m.agent.instances))*time.Second/maxPollsPerSecond)
-		if interval > pollInterval { // many instances: their polls are spread over the interval
+		if interval > pollInterval { // with many instances, polls are spread over the interval
 			select {
 			case <-ctx.Done():
 				return
@@ -167,7 +167,7 @@
 	}
 	defer log.Close()
 	cmd.Stdout, cmd.Stderr = log, log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // it outlives an agent that is killed, and the next agent adopts it
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // the process outlives a killed agent, and the next agent adopts it
 	if err := cmd.Start(); err != nil {
 		return err
 	}
@@ -244,7 +244,7 @@
 	return err
 }
 
-// pollStatus asks the instance for its status and records it.
+// pollStatus requests the status of the instance and records it.
 func (m *managedInstance) pollStatus(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -307,7 +307,7 @@
 	switch {
 	case err != nil:
 		return
-	case intent.Hash != "" && hash == intent.Hash: // it has applied the change, and the response was lost
+	case intent.Hash != "" && hash == intent.Hash: // the instance has applied the change, but the response was lost
 		if err := m.commitChange(hash); err != nil {
 			slog.Error("persist configuration", "instance", m.spec.Name, "err", err)
 		}
@@ -338,8 +338,8 @@
 	return reply, err
 }
 
-// applyChange has the instance apply a configuration. If it has rejected it, refused is the reason; after
-// an error the outcome is unknown.
+// applyChange has the instance apply a configuration. If the instance rejects it, refused is the reason.
+// After an error the outcome is unknown.
 func (m *managedInstance) applyChange(ctx context.Context, text []byte, rollout string) (refused string, err error) {
 	m.changeMu.Lock()
 	defer m.changeMu.Unlock()
@@ -367,8 +367,8 @@
 // isSupervised reports whether the agent starts the instance.
 func (m *managedInstance) isSupervised() bool { return len(m.spec.Command) > 0 }
 
-// commitChange makes the configuration that the instance reports the desired one, also in the operator
-// file that its process reads at a reload or a restart.
+// commitChange makes the configuration that the instance reports the desired one, and writes it to the
+// operator file that its process reads at a reload or a restart.
 func (m *managedInstance) commitChange(hash string) error {
 	err := m.agent.store.CommitIntent(m.spec.Name, hash)
 	if err == nil && m.isSupervised() {
@@ -377,7 +377,7 @@
 	return err
 }
 
-// toProto returns the instance as last reported.
+// toProto returns the instance with its latest reported status.
 func (m *managedInstance) toProto() *agentpb.Member {
 	d, _ := m.agent.store.Desired(m.spec.Name)
 	m.mu.Lock()
--- a/internal/agent/instance_test.go
+++ b/internal/agent/instance_test.go
@@ -8,7 +8,7 @@
 	"milletmast/internal/control/controlpb"
 )
 
-// Polls of one instance overlap: the result of the one that was sent last stands, in whatever order the results come.
+// Polls of one instance overlap. The result of the poll that was sent last counts, in whatever order the results arrive.
 func TestOlderPollDoesNotReplaceNewer(t *testing.T) {
 	first := time.Now()
 	second := first.Add(time.Millisecond)
@@ -20,8 +20,8 @@
 		reachable bool
 	}{
 		{"alive, then gone", func(m *managedInstance) { m.recordPoll(first, alive, nil); m.recordPoll(second, nil, gone) }, false},
-		{"gone, and the older answer comes late", func(m *managedInstance) { m.recordPoll(second, nil, gone); m.recordPoll(first, alive, nil) }, false},
-		{"alive, and the older error comes late", func(m *managedInstance) { m.recordPoll(second, alive, nil); m.recordPoll(first, nil, gone) }, true},
+		{"gone, and the older response arrives late", func(m *managedInstance) { m.recordPoll(second, nil, gone); m.recordPoll(first, alive, nil) }, false},
+		{"alive, and the older error arrives late", func(m *managedInstance) { m.recordPoll(second, alive, nil); m.recordPoll(first, nil, gone) }, true},
 		{"the reply to a change counts whenever its poll was sent", func(m *managedInstance) { m.recordPoll(second, nil, gone); m.recordStatus(alive, nil) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -28,8 +28,8 @@
 
 type callerKey struct{}
 
-// authorize checks a call against the roles in the caller's certificate. On a Unix socket, the file
-// mode has decided.
+// authorize checks a call against the roles in the caller's certificate. On a Unix socket, access is
+// restricted by the mode of the socket file instead.
 func (a *Agent) authorize(ctx context.Context, req any, info *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
 	who := "local"
 	if a.tls != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// List returns the instances as last reported. With fresh set, it polls them first.
+// List returns the instances with their latest reported status. With fresh set, it polls them first.
 func (a *Agent) List(ctx context.Context, req *agentpb.ListRequest) (*agentpb.ListReply, error) {
 	out := &agentpb.ListReply{Agent: a.cfg.Name, Site: a.cfg.Site}
 	list := a.instances
@@ -131,7 +131,7 @@
 	return out, nil
 }
 
-// Claim makes a tool the owner of the ledger, which alone may change instances.
+// Claim makes a tool the owner of the ledger. Only the owner may change instances.
 func (a *Agent) Claim(ctx context.Context, req *agentpb.ClaimRequest) (*agentpb.ClaimReply, error) {
 	l, err := a.store.Claim(req.Rollout, req.Target, req.Plan, req.Epoch)
 	if err != nil {
@@ -143,7 +143,7 @@
 
 // Command stores a command for the tool that owns the rollout.
 func (a *Agent) Command(ctx context.Context, req *agentpb.CommandRequest) (*agentpb.ClaimReply, error) {
-	// After a colon, the tool adds what distinguishes a command from an equal one before.
+	// The tool appends a colon and a suffix that distinguishes the command from earlier ones of the same kind.
 	switch kind, _, _ := strings.Cut(req.Command, ":"); kind {
 	case "pause", "resume", "abort", "rollback":
 	default:
@@ -186,8 +186,9 @@
 	return a.changeReply(m, func() (string, error) { return m.applyChange(ctx, text, req.Rollout) })
 }
 
-func (a *Agent) changeReply(m *managedInstance, f func() (string, error)) (*agentpb.ChangeReply, error) {
-	refused, err := f()
+// changeReply calls change, which returns the reason of a refusal, and returns the outcome and the instance's status.
+func (a *Agent) changeReply(m *managedInstance, change func() (string, error)) (*agentpb.ChangeReply, error) {
+	refused, err := change()
 	if err != nil {
 		return nil, status.Errorf(codes.Unavailable, "%s: %v", m.spec.Name, err)
 	}
@@ -284,11 +285,11 @@
 
 // Events returns events of the audit log.
 func (a *Agent) Events(_ context.Context, req *agentpb.EventsRequest) (*agentpb.EventsReply, error) {
-	most := int(req.Most)
-	if most < 1 || most > 1000 {
-		most = 1000
+	limit := int(req.Most)
+	if limit < 1 || limit > 1000 {
+		limit = 1000
 	}
-	list, err := a.store.Events(req.After, most)
+	list, err := a.store.Events(req.After, limit)
 	if err != nil {
 		return nil, statusError(err)
 	}
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -23,12 +23,12 @@
 // Desired is the desired configuration of an instance.
 type Desired struct{ Hash string }
 
-// Intent is a change that was sent, or is about to be, and whose result is unknown.
+// Intent is a change that was sent, or is about to be sent, and whose result is unknown.
 type Intent struct {
 	Hash, Rollout string
 }
 
-// Ledger is the last rollout that claimed the agent.
+// Ledger is the latest rollout that claimed the agent. Its owner is the tool that claimed it with Epoch.
 type Ledger struct {
 	Rollout, Target, Plan, Command, Result string
 	Epoch                                  uint64
@@ -87,7 +87,7 @@
 // Close closes the store.
 func (s *Store) Close() error { return s.db.Close() }
 
-// update runs a transaction that writes.
+// update runs a read-write transaction. write is its name in errors and for BeforeWrite.
 func (s *Store) update(write string, f func(*bbolt.Tx) error) error {
 	s.BeforeWrite(write)
 	if err := s.db.Update(f); err != nil {
@@ -158,8 +158,8 @@
 	})
 }
 
-// CommitIntent removes the intent of an instance that reports to run a configuration, and makes that
-// the desired one.
+// CommitIntent makes the configuration that an instance reports the desired one, and removes the intent of
+// the instance.
 func (s *Store) CommitIntent(name, hash string) error {
 	return s.update("settle", func(tx *bbolt.Tx) error {
 		if err := put(tx, bucketDesired, []byte(name), Desired{Hash: hash}); err != nil {
@@ -183,7 +183,7 @@
 	})
 }
 
-// DropIntent removes the intent of an instance that has rejected it.
+// DropIntent removes the intent of an instance that has rejected the change.
 func (s *Store) DropIntent(name string) error {
 	return s.update("drop", func(tx *bbolt.Tx) error { return tx.Bucket(bucketIntents).Delete([]byte(name)) })
 }
@@ -191,7 +191,7 @@
 // ErrFenced means that another tool has claimed the agent, or that another rollout is in progress.
 var ErrFenced = errors.New("fenced")
 
-// Claim makes a tool the owner of the ledger, by an epoch higher than all before. It returns ErrFenced
+// Claim makes a tool the owner of the ledger, by an epoch above the previous one. It returns ErrFenced
 // while another rollout is in progress. The same rollout may be claimed again, which fences off its
 // previous owner.
 func (s *Store) Claim(rollout, target, plan string, epoch uint64) (l Ledger, err error) {
@@ -221,7 +221,7 @@
 	return nil
 }
 
-// CheckEpoch returns ErrFenced unless a tool still owns the ledger.
+// CheckEpoch returns ErrFenced unless the tool with this rollout and epoch still owns the ledger.
 func (s *Store) CheckEpoch(rollout string, epoch uint64) error {
 	l, err := s.Ledger()
 	if err != nil {
@@ -263,7 +263,7 @@
 	return l, err
 }
 
-// AppendEvent appends an event to the audit log, which holds the last maxEvents.
+// AppendEvent appends an event to the audit log, which keeps the latest maxEvents events.
 func (s *Store) AppendEvent(at time.Time, who, what string) error {
 	return s.update("log", func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketEvents)
--- a/internal/agent/tls.go
+++ b/internal/agent/tls.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TLS names the PEM files of one side of a connection: the CA that the other side's certificate has to
-// be from, and its own certificate and key.
+// TLS names the PEM files of one side of a connection: the CA that must have issued the peer's
+// certificate, and its own certificate and key.
 type TLS struct {
 	CA   string `toml:"ca"`
 	Cert string `toml:"cert"`
@@ -20,8 +20,8 @@
 
 const tlsReloadInterval = time.Second // between two checks for changed files
 
-// tlsReloader holds the contents of TLS files, and reads them again when they have changed. Unusable
-// files change nothing.
+// tlsReloader holds the contents of TLS files, and reads them again when they have changed. While the
+// files are unusable, the previous contents stay in use.
 type tlsReloader struct {
 	files    TLS
 	mu       sync.Mutex
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// current returns the certificate and the CA pool, after reading changed files.
+// current returns the certificate and the CA pool. It first reloads changed files, at most once per
+// tlsReloadInterval.
 func (r *tlsReloader) current() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,8 +76,8 @@
 	return r.cert, r.caPool
 }
 
-// serverConfig returns the configuration of an agent, which accepts only clients with a certificate from
-// the CA.
+// serverConfig returns the configuration of an agent, which accepts only clients with a certificate that
+// the CA has issued.
 func (r *tlsReloader) serverConfig() *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"}}
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -89,8 +90,8 @@
 	return base
 }
 
-// ClientTLS returns the configuration of a tool. The agent's certificate has to be from the CA and for
-// the expected name, so that no agent passes for another.
+// ClientTLS returns the configuration of a tool. The agent's certificate must be issued by the CA for
+// the expected name, so that no agent can impersonate another.
 func ClientTLS(files TLS, agent string) (*tls.Config, error) {
 	r, err := newTLSReloader(files)
 	if err != nil {
--- a/internal/ctl/agents.go
+++ b/internal/ctl/agents.go
@@ -1,5 +1,5 @@
-// Package ctl is the client side of milletctl: connections to the agents, selection of instances, and rollouts, which
-// package fleet decides.
+// Package ctl is the client side of milletctl: connections to the agents, selection of instances, and rollouts, whose
+// state machine is package fleet.
 package ctl
 
 import (
@@ -17,13 +17,13 @@
 	"milletmast/internal/control/agentpb"
 )
 
-// maxMessageBytes bounds a message in either direction.
+// maxMessageBytes bounds a request or a response.
 const maxMessageBytes = 16 << 20
 
-// CallTimeout bounds a call of an agent, other than a change.
+// CallTimeout bounds a call of an agent that does not change the configuration of an instance.
 const CallTimeout = 3 * time.Second
 
-// minConnectTimeout is the least time that an attempt to connect gets.
+// minConnectTimeout is the minimum timeout of an attempt to connect.
 const minConnectTimeout = time.Second
 
 // Agent is a connection to one agent.
@@ -33,11 +33,11 @@
 	conn *grpc.ClientConn
 }
 
-// Agents are the connections to all agents of a file.
+// Agents are the connections to all agents of a configuration file.
 type Agents []*Agent
 
-// Connect returns connections to all agents of a file. They open at the first call, and again after they broke. The
-// library retries no call.
+// Connect returns connections to all agents of a configuration file. A connection is opened at its first call and reopened
+// after it breaks. Calls are not retried.
 func Connect(c *Config) (Agents, error) {
 	var list Agents
 	for _, a := range c.Agents {
@@ -69,7 +69,7 @@
 	}
 }
 
-// AgentReply is the response of one agent, or the error of the call.
+// AgentReply is the response of one agent to a List call, or the error of the call.
 type AgentReply struct {
 	Agent *Agent
 	Reply *agentpb.ListReply
@@ -82,7 +82,7 @@
 	defer cancel()
 	reply, err := a.List(ctx, req)
 	if err == nil && reply.Agent != a.Name {
-		return nil, fmt.Errorf("agent %s answers as %q", a.Name, reply.Agent)
+		return nil, fmt.Errorf("agent %s identifies itself as %q", a.Name, reply.Agent)
 	}
 	return reply, err
 }
--- a/internal/ctl/claim.go
+++ b/internal/ctl/claim.go
@@ -11,11 +11,11 @@
 	"milletmast/internal/fleet"
 )
 
-// waitForOtherInterval is the time between two looks whether another rollout has ended.
+// waitForOtherInterval is the time between two checks whether another rollout has ended.
 const waitForOtherInterval = time.Second
 
-// claim makes this tool the only one that may change instances at the agents, by an epoch above all that they know
-// (fencing). If the agents hold a plan of the same rollout, it replaces the plan of this tool.
+// claim makes this tool the only one that may change instances at the agents, by an epoch above all of their
+// ledgers (fencing). If the agents hold a plan of the same rollout, it replaces the plan of this tool.
 func (r *Rollout) claim(ctx context.Context, replies []AgentReply) error {
 	for {
 		r.endStaleRollouts(ctx, replies)
@@ -49,12 +49,12 @@
 		claimed++
 	}
 	if claimed == 0 {
-		return errors.New("no agent answers")
+		return errors.New("no agent responded")
 	}
 	return nil
 }
 
-// readLedgers takes the highest epoch, and the plan of this rollout if there is one, from the agents' ledgers. It returns
+// readLedgers reads the highest epoch, and the plan of this rollout if there is one, from the agents' ledgers. It returns
 // the id of another rollout that has not ended, or "".
 func (r *Rollout) readLedgers(replies []AgentReply) (other string, err error) {
 	r.epoch = 0
@@ -80,21 +80,21 @@
 	return other, nil
 }
 
-// adoptPlan replaces the plan by the one that an agent holds for the same rollout.
+// adoptPlan replaces the plan by the one that an agent has stored for the same rollout.
 func (r *Rollout) adoptPlan(agent, encoded string) error {
 	var held fleet.Plan
 	if err := json.Unmarshal([]byte(encoded), &held); err != nil {
-		return fmt.Errorf("the plan that %s holds: %w", agent, err)
+		return fmt.Errorf("decode the plan that agent %s holds: %w", agent, err)
 	}
 	if held.Target != r.Plan.Target {
-		return fmt.Errorf("rollout %s is of another configuration, %.12s: take another id", held.ID, held.Target)
+		return fmt.Errorf("rollout %s has another target configuration, %.12s: use another id", held.ID, held.Target)
 	}
 	r.Plan = held
 	return nil
 }
 
-// endStaleRollouts ends other rollouts at agents that were unreachable when these ended; the ledger of another agent says
-// that they did.
+// endStaleRollouts ends other rollouts at agents that were unreachable when these rollouts ended. That they ended is
+// recorded in the ledger of another agent.
 func (r *Rollout) endStaleRollouts(ctx context.Context, replies []AgentReply) {
 	ended := map[string]bool{}
 	for _, reply := range replies {
@@ -114,7 +114,7 @@
 	}
 }
 
-// claimAt claims one agent. It is refused with FailedPrecondition if another tool has claimed it with a higher epoch.
+// claimAt claims one agent. The agent refuses with FailedPrecondition if another tool has claimed it with a higher epoch.
 func (r *Rollout) claimAt(ctx context.Context, agent *Agent) error {
 	plan, err := json.Marshal(r.Plan)
 	if err != nil {
--- a/internal/ctl/fleet_test.go
+++ b/internal/ctl/fleet_test.go
@@ -29,8 +29,8 @@
 	"milletmast/internal/testcluster"
 )
 
-// seedCount returns how many seeds TestRolloutUnderKills plays: few by default; FLEET_SEEDS=20 is the long run that
-// docs/operate/fleet.md names.
+// seedCount returns how many seeds TestRolloutUnderKills runs: 2 by default; FLEET_SEEDS=20 is the long run of
+// docs/operate/fleet.md.
 func seedCount() int {
 	if n, err := strconv.Atoi(os.Getenv("FLEET_SEEDS")); err == nil && n > 0 {
 		return n
@@ -44,7 +44,7 @@
 	waitTimeout       = 30 * time.Second
 )
 
-// testSite is instances and agents as real processes.
+// testSite runs agents and instances as processes.
 type testSite struct {
 	t       testing.TB
 	cluster *testcluster.Cluster
@@ -85,7 +85,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := testcluster.New() // ends agents and instances with the test, however it ends
+	r, err := testcluster.New() // ends agents and instances however the test ends
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 func (s *testSite) waitUntilReachable(n int) {
 	s.t.Helper()
 	seen := 0
-	err := testcluster.WaitFor(s.t.Context(), "all instances in sight", waitTimeout, func() bool {
+	err := testcluster.WaitFor(s.t.Context(), "all instances reachable", waitTimeout, func() bool {
 		seen = 0
 		list, _, _ := SelectInstances(s.client.ListInstances(context.Background(), true), &Selector{})
 		for _, m := range list {
@@ -143,7 +143,7 @@
 		return seen == n
 	})
 	if err != nil {
-		s.t.Fatalf("%d of %d instances are in sight: %v", seen, n, err)
+		s.t.Fatalf("%d of %d instances are reachable: %v", seen, n, err)
 	}
 }
 
@@ -157,8 +157,8 @@
 	s.agents[n] = p
 }
 
-// operatorFile returns an operator file that differs by a word.
-func (s *testSite) operatorFile(word string) []byte {
+// operatorFile returns an operator file with a comment that makes its hash differ from that of others.
+func (s *testSite) operatorFile(comment string) []byte {
 	return fmt.Appendf(nil, `# %s
 [limits]
 drain = "300ms"
@@ -179,10 +179,10 @@
 prefix = "/"
 pool = "p"
 class = "c"
-`, word, s.server.Addr())
+`, comment, s.server.Addr())
 }
 
-// statusOf asks an instance directly; nil if it does not answer.
+// statusOf requests the status of an instance from its own control socket; nil if it does not respond.
 func (s *testSite) statusOf(name string) *controlpb.InstanceStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -193,7 +193,7 @@
 	return st
 }
 
-// writeToolConfig writes the tool's file for the first agents and returns its path.
+// writeToolConfig writes milletctl's configuration file for the first agents and returns its path.
 func (s *testSite) writeToolConfig(agents int) string {
 	s.t.Helper()
 	var text string
@@ -207,14 +207,14 @@
 	return path
 }
 
-// waitUntilGone waits until the process with this start id answers no more.
+// waitUntilGone waits until the process with this start id no longer responds.
 func (s *testSite) waitUntilGone(name, startID string) {
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); {
 		if st := s.statusOf(name); st == nil || st.StartId != startID {
 			return
 		}
 	}
-	s.t.Errorf("%s still answers as %s after SIGKILL", name, startID)
+	s.t.Errorf("%s still responds with start id %s after SIGKILL", name, startID)
 }
 
 func (s *testSite) newRollout(id string, text []byte) *Rollout {
@@ -224,9 +224,9 @@
 	}
 }
 
-// sendRequests sends non-idempotent requests through an instance, one after the other, until ctx ends. One that is answered
-// 200 has run once; one that is not may have been lost with a process that was killed.
-func (s *testSite) sendRequests(ctx context.Context, name string, answered map[string]bool, mu *sync.Mutex) {
+// sendRequests sends non-idempotent requests through an instance, one after the other, until ctx ends. It records in served
+// whether the response was 200: then the request has run once; otherwise it may have been lost with a killed process.
+func (s *testSite) sendRequests(ctx context.Context, name string, served map[string]bool, mu *sync.Mutex) {
 	for n := 0; ctx.Err() == nil; {
 		st := s.statusOf(name)
 		if st == nil {
@@ -255,7 +255,7 @@
 				break
 			}
 			mu.Lock()
-			answered[id] = res.StatusCode == 200
+			served[id] = res.StatusCode == 200
 			mu.Unlock()
 			time.Sleep(2 * time.Millisecond)
 			if res.Close {
@@ -266,22 +266,22 @@
 	}
 }
 
-// Twenty instances under four agents. A third of the instances and one agent are killed at seeded times during a rollout: the
-// result must equal what each instance answers when asked directly.
+// A third of the instances and one of the agents are killed at seeded times during a rollout. The result must agree with the
+// status that each instance reports on its own control socket.
 func TestRolloutUnderKills(t *testing.T) {
 	s := startSite(t, agentCount, instancesPerAgent)
-	answered, mu := map[string]bool{}, sync.Mutex{}
+	served, mu := map[string]bool{}, sync.Mutex{}
 	ctx, stopLoad := context.WithCancel(t.Context())
 	var loads sync.WaitGroup
 	for a := range agentCount {
-		loads.Go(func() { s.sendRequests(ctx, fmt.Sprintf("i%d0", a), answered, &mu) })
+		loads.Go(func() { s.sendRequests(ctx, fmt.Sprintf("i%d0", a), served, &mu) })
 	}
 	begun := time.Now()
-	calm, err := s.newRollout("calm", s.operatorFile("calm")).Run(t.Context())
-	if err != nil || !calm.OK {
-		t.Fatalf("with nothing in the way: %+v, %v", calm, err)
+	undisturbed, err := s.newRollout("calm", s.operatorFile("calm")).Run(t.Context())
+	if err != nil || !undisturbed.OK {
+		t.Fatalf("without faults: %+v, %v", undisturbed, err)
 	}
-	t.Logf("with nothing in the way: %d instances in %v", len(calm.Instances), time.Since(begun).Round(time.Millisecond))
+	t.Logf("without faults: %d instances in %v", len(undisturbed.Instances), time.Since(begun).Round(time.Millisecond))
 	for seed := range seedCount() {
 		rng := rand.New(rand.NewPCG(uint64(seed), 7))
 		text := s.operatorFile(fmt.Sprint("seed ", seed))
@@ -327,15 +327,15 @@
 			if inst.State == fleet.Applied {
 				applied++
 			}
-			if wasKilled && float64(killedAt.UnixMicro())/1000 > inst.AskedAt {
-				continue // it may have answered before it was killed
+			if wasKilled && float64(killedAt.UnixMicro())/1000 > inst.RequestSentAt {
+				continue // it may have reported before it was killed
 			}
 			st := s.statusOf(inst.Instance)
 			if inst.State == fleet.Applied && (st == nil || st.Hash != target || st.StartId != inst.StartID || inst.Hash != target) {
-				t.Errorf("seed %d: false success: %+v, and the instance says %v", seed, inst, st)
+				t.Errorf("seed %d: false success: %+v, but the instance reports %v", seed, inst, st)
 			}
 			if inst.State != fleet.Applied && st != nil && st.Hash == target && inst.Hash != target && inst.Reason == "" {
-				t.Errorf("seed %d: %+v, and the instance says %v", seed, inst, st)
+				t.Errorf("seed %d: %+v, but the instance reports %v", seed, inst, st)
 			}
 		}
 		if result.OK != (applied == len(result.Instances) && len(result.UnreachableAgents) == 0) {
@@ -353,27 +353,27 @@
 	for _, r := range s.server.Records() {
 		ran[r.RequestID]++
 	}
-	served := 0
-	for id, ok := range answered {
+	servedCount := 0
+	for id, ok := range served {
 		if ok {
-			served++
+			servedCount++
 		}
 		if ok && ran[id] != 1 || ran[id] > 1 {
-			t.Errorf("%s ran %d times, and was served: %v", id, ran[id], ok)
+			t.Errorf("request %s ran %d times, served: %v", id, ran[id], ok)
 		}
 	}
-	if served < 100 {
-		t.Errorf("only %d requests were served", served)
+	if servedCount < 100 {
+		t.Errorf("only %d requests were served", servedCount)
 	}
 }
 
-// Two tools cannot interleave: another rollout is refused while one runs, a second tool of the same rollout fences the first
-// one off, and an interrupted rollout continues.
+// Two tools must not change instances at the same time: another rollout is refused while one runs, a second tool of the same
+// rollout fences off the first one, and an interrupted rollout continues.
 func TestConcurrentToolsAreFenced(t *testing.T) {
 	s := startSite(t, 2, 2)
 	text := s.operatorFile("fenced")
 	first := s.newRollout("r", text)
-	first.Plan.SettleTime = 60_000 // it stands after its first wave
+	first.Plan.SettleTime = 60_000 // the rollout stays in Settling after its first wave
 	settling := make(chan struct{})
 	var once sync.Once
 	first.Progress = func(f *fleet.Rollout) {
@@ -389,13 +389,13 @@
 	select {
 	case <-settling:
 	case <-time.After(waitTimeout):
-		t.Fatal("the first wave does not end")
+		t.Fatal("the first wave has not ended")
 	}
 	if _, err := s.newRollout("other", s.operatorFile("other")).Run(t.Context()); !errors.Is(err, ErrOtherRollout) {
 		t.Errorf("another rollout: %v, want it refused", err)
 	}
 	if _, err := s.newRollout("r", s.operatorFile("other")).Run(t.Context()); err == nil {
-		t.Error("the same id with another configuration was taken")
+		t.Error("the same id with another configuration was accepted")
 	}
 	again, interrupt := context.WithCancel(t.Context())
 	second := make(chan error, 1)
@@ -409,13 +409,13 @@
 			t.Errorf("the first tool ends with %v", err)
 		}
 	case <-time.After(waitTimeout):
-		t.Fatal("the first tool goes on")
+		t.Fatal("the first tool continues")
 	}
 	interrupt()
 	if err := <-second; err == nil {
-		t.Error("an interrupted tool ended well")
+		t.Error("an interrupted tool returned no error")
 	}
-	// Its plan, with the long settling, is held by the agents: what ends it is a command.
+	// The agents hold the plan with the long settle time, so only a command ends the rollout.
 	third := make(chan *Result, 1)
 	go func() {
 		r, err := s.newRollout("r", text).Run(t.Context())
@@ -454,24 +454,24 @@
 	s.agents[1].Kill()
 	var exit *exec.ExitError
 	if err := exec.Command(bin+"/milletctl", "-a", file, "list").Run(); !errors.As(err, &exit) || exit.ExitCode() != 3 {
-		t.Errorf("list with an agent that is dead: %v, want exit 3", err)
+		t.Errorf("list with a killed agent: %v, want exit 3", err)
 	}
 	if err := exec.Command(bin+"/milletctl", "-a", file, "rollout", "start", "-f", filepath.Join(s.dir, "first.toml"), "--settle", "10ms").Run(); !errors.As(err, &exit) || exit.ExitCode() != 2 {
-		t.Errorf("a rollout with an agent that is dead: %v, want exit 2", err)
+		t.Errorf("a rollout with a killed agent: %v, want exit 2", err)
 	}
-	s.startAgent(1) // it adopts its instances, and ends them with the test
+	s.startAgent(1) // it adopts its instances, and stops them at the end of the test
 	s.waitUntilReachable(4)
 }
 
-// The link between the tool and an agent is cut during a rollout, in one direction or both: the tool reports no success for
-// instances that it cannot reach, and these run their previous configuration or the new one. Once the link is back a rollout
-// succeeds.
-func TestAgentCutFromItsTool(t *testing.T) {
-	for _, cut := range []struct {
-		name        string
-		there, back bool
+// The link between the tool and an agent is blocked during a rollout, in one direction or both. The tool must not report
+// success for instances that it cannot reach, and these run their previous configuration or the new one. Once the link works
+// again, a rollout succeeds.
+func TestAgentPartitionedFromTool(t *testing.T) {
+	for _, partition := range []struct {
+		name              string
+		forward, backward bool
 	}{{"both ways", true, true}, {"answers only", false, true}} {
-		t.Run(cut.name, func(t *testing.T) {
+		t.Run(partition.name, func(t *testing.T) {
 			s := startSite(t, 3, 2)
 			text := s.operatorFile("cut")
 			target, first := operator.TextHash(text), operator.TextHash(s.operatorFile("first"))
@@ -490,8 +490,8 @@
 				ended <- result
 			}()
 			<-begun
-			s.links[2].SetConditions(testcluster.Forward, testcluster.Conditions{Blocked: cut.there})
-			s.links[2].SetConditions(testcluster.Backward, testcluster.Conditions{Blocked: cut.back})
+			s.links[2].SetConditions(testcluster.Forward, testcluster.Conditions{Blocked: partition.forward})
+			s.links[2].SetConditions(testcluster.Backward, testcluster.Conditions{Blocked: partition.backward})
 			result := <-ended
 			if result == nil {
 				t.Fatal("no result")
@@ -499,34 +499,34 @@
 			for _, inst := range result.Instances {
 				st := s.statusOf(inst.Instance)
 				if st == nil {
-					t.Errorf("%s does not answer", inst.Instance)
+					t.Errorf("%s does not respond", inst.Instance)
 				} else if inst.State == fleet.Applied && st.Hash != target {
-					t.Errorf("false success: %+v, and it runs %.12s", inst, st.Hash)
+					t.Errorf("false success: %+v, but it runs %.12s", inst, st.Hash)
 				} else if st.Hash != target && st.Hash != first {
-					t.Errorf("%s runs %.12s, neither the old one nor the new", inst.Instance, st.Hash)
+					t.Errorf("%s runs %.12s, neither the old configuration nor the new one", inst.Instance, st.Hash)
 				}
 			}
 			if result.OK {
-				t.Errorf("a rollout that could not see an agent is called a success: %+v", result)
+				t.Errorf("a rollout with an unreachable agent is reported as successful: %+v", result)
 			}
 			s.links[2].SetConditions(testcluster.Forward, testcluster.Conditions{})
 			s.links[2].SetConditions(testcluster.Backward, testcluster.Conditions{})
 			s.waitUntilReachable(6)
 			again, err := s.newRollout("after", text).Run(t.Context())
 			if err != nil || !again.OK {
-				t.Fatalf("after the cut: %+v, %v", again, err)
+				t.Fatalf("after the partition: %+v, %v", again, err)
 			}
 			for name := range s.clients {
 				if got := s.statusOf(name).GetHash(); got != target {
-					t.Errorf("%s runs %.12s after the cut", name, got)
+					t.Errorf("%s runs %.12s after the partition", name, got)
 				}
 			}
 		})
 	}
 }
 
-// A configuration that only one of the instances can apply, as they share a port: the others say why not and keep what they
-// run. With rollback, the one that has applied it gets its previous configuration.
+// Only one instance can apply a configuration with a fixed port. The others must report the reason and keep their previous
+// configuration. With rollback, the instance that has applied it returns to its previous configuration.
 func TestConfigurationRefusedByOthers(t *testing.T) {
 	s := startSite(t, 2, 2)
 	addr := freeport.AddressForTest(t)
@@ -549,24 +549,24 @@
 		for _, inst := range result.Instances {
 			st := s.statusOf(inst.Instance)
 			if st == nil || st.Hash != inst.Hash || st.StartId != inst.StartID {
-				t.Errorf("rollback %v: %+v, and the instance says %v", rollBack, inst, st)
+				t.Errorf("rollback %v: %+v, but the instance reports %v", rollBack, inst, st)
 			}
 			switch {
 			case st.GetHash() == operator.TextHash(text):
 				applied++
 			case inst.State == fleet.Refused && !strings.Contains(inst.Reason, "address already in use"):
-				t.Errorf("rollback %v: %+v does not say why", rollBack, inst)
+				t.Errorf("rollback %v: %+v has no reason", rollBack, inst)
 			case st.GetHash() != first:
-				t.Errorf("rollback %v: %s runs %.12s, neither the old one nor the new", rollBack, inst.Instance, st.GetHash())
+				t.Errorf("rollback %v: %s runs %.12s, neither the old configuration nor the new one", rollBack, inst.Instance, st.GetHash())
 			}
 		}
 		if want := map[bool]int{false: 1, true: 0}[rollBack]; applied != want {
-			t.Errorf("rollback %v: %d instances run the new one, want %d: %+v", rollBack, applied, want, result.Instances)
+			t.Errorf("rollback %v: %d instances run the new configuration, want %d: %+v", rollBack, applied, want, result.Instances)
 		}
-		if !rollBack { // all as before again
+		if !rollBack { // restore the first configuration for the second case
 			again := s.newRollout("again", s.operatorFile("first"))
 			if result, err := again.Run(t.Context()); err != nil || !result.OK {
-				t.Fatalf("back to the first: %+v, %v", result, err)
+				t.Fatalf("restore the first configuration: %+v, %v", result, err)
 			}
 		}
 	}
@@ -595,7 +595,7 @@
 		}
 		return n
 	}
-	if err := testcluster.WaitFor(t.Context(), "the canary gets it", waitTimeout, func() bool { return applied() > 0 }); err != nil {
+	if err := testcluster.WaitFor(t.Context(), "the canary has applied the configuration", waitTimeout, func() bool { return applied() > 0 }); err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Process.Kill(); err != nil {
@@ -603,7 +603,7 @@
 	}
 	_ = cmd.Wait() // it was killed
 	if n := applied(); n == len(s.clients) {
-		t.Fatal("it was through before it was killed")
+		t.Fatal("the rollout was complete before the tool was killed")
 	}
 	generations := map[string]uint64{}
 	for name := range s.clients {
@@ -615,11 +615,11 @@
 		t.Errorf("run again: %v, %s", err, out)
 	}
 	if n := applied(); n != len(s.clients) {
-		t.Errorf("%d of %d instances have it", n, len(s.clients))
+		t.Errorf("%d of %d instances have applied the configuration", n, len(s.clients))
 	}
 	for name, g := range generations {
 		if now := s.statusOf(name).GetGeneration(); now != g {
-			t.Errorf("%s had it, and was changed again: generation %d, then %d", name, g, now)
+			t.Errorf("%s was changed again: generation %d, then %d", name, g, now)
 		}
 	}
 }
--- a/internal/ctl/requests.go
+++ b/internal/ctl/requests.go
@@ -15,7 +15,7 @@
 	"milletmast/internal/fleet"
 )
 
-// findAgent returns the agent of an instance, or nil. It asks all agents again if none had the instance at the start.
+// findAgent returns the agent of an instance, or nil. It queries all agents again if none had the instance at the start.
 func (r *Rollout) findAgent(ctx context.Context, name string) *Agent {
 	r.mu.Lock()
 	agent := r.agentOfInstance[name]
@@ -53,9 +53,9 @@
 		return
 	}
 	agent := r.findAgent(ctx, name)
-	askedAt := nowMs()
+	requestSentAt := nowMs()
 	var reply *agentpb.ListReply
-	err := errors.New("no agent has it")
+	err := errors.New("no agent has the instance")
 	if agent != nil {
 		reply, err = agent.listInstances(ctx, &agentpb.ListRequest{Name: name, Fresh: true})
 	}
@@ -66,11 +66,11 @@
 		r.post(ctx, fleet.Event{Kind: fleet.ContactLost, Instance: name, Sequence: sequence})
 		return
 	}
-	r.postReport(ctx, askedAt, reply.Members[0])
+	r.postReport(ctx, requestSentAt, reply.Members[0])
 }
 
-// postReport posts what an agent has of an instance. It was requested at askedAt, in ms.
-func (r *Rollout) postReport(ctx context.Context, askedAt float64, member *agentpb.Member) {
+// postReport posts an agent's report of an instance, which was requested at requestSentAt, in ms.
+func (r *Rollout) postReport(ctx context.Context, requestSentAt float64, member *agentpb.Member) {
 	r.mu.Lock()
 	r.latestReport[member.Name] = max(r.latestReport[member.Name], member.Order)
 	r.mu.Unlock()
@@ -80,12 +80,12 @@
 	}
 	st := member.Status
 	r.post(ctx, fleet.Event{
-		Kind: fleet.Reported, Instance: member.Name, Sequence: member.Order, AskedAt: askedAt, StartID: st.StartId, Hash: st.Hash,
+		Kind: fleet.Reported, Instance: member.Name, Sequence: member.Order, RequestSentAt: requestSentAt, StartID: st.StartId, Hash: st.Hash,
 		Health: fleet.Health{Served: st.Served, Refused: st.Refused, Failed: st.Failed, P99: st.P99Ms},
 	})
 }
 
-// commandKinds are the commands that operators leave at the agents.
+// commandKinds maps the commands that operators store at the agents to events.
 var commandKinds = map[string]fleet.EventKind{
 	"pause":    fleet.Pause,
 	"resume":   fleet.Resume,
@@ -109,14 +109,14 @@
 				continue
 			}
 			r.mu.Lock()
-			fresh := !r.seenCommands[ledger.Command]
+			isNew := !r.seenCommands[ledger.Command]
 			r.seenCommands[ledger.Command] = true
 			if ledger.Epoch > r.epoch {
 				r.stopErr = ErrTakenOver
 			}
 			r.mu.Unlock()
 			name, _, _ := strings.Cut(ledger.Command, ":")
-			if kind, ok := commandKinds[name]; ok && fresh {
+			if kind, ok := commandKinds[name]; ok && isNew {
 				r.post(ctx, fleet.Event{Kind: kind})
 			}
 		}
@@ -126,10 +126,11 @@
 // ledgerInterval is the time between two reads of the agents' ledgers.
 const ledgerInterval = time.Second
 
-// changeMargin is how much longer a call waits for a change than the agent does, so that the agent's response arrives.
+// changeMargin is added to the timeout of a change, so that the agent's response arrives even if the agent times out.
 const changeMargin = 1000 // ms
 
-// apply has an instance apply a configuration and posts the outcome. If the outcome is unknown, the next report has it.
+// apply has an instance apply a configuration and posts the outcome. If the outcome is unknown, it follows from the next
+// report of the instance.
 func (r *Rollout) apply(ctx context.Context, action fleet.Action) {
 	agent := r.findAgent(ctx, action.Instance)
 	if agent == nil {
@@ -141,16 +142,16 @@
 	if action.Hash == r.Plan.Target {
 		req.Config = r.Config
 	}
-	askedAt := nowMs()
+	requestSentAt := nowMs()
 	reply, err := agent.Change(callCtx, req)
-	if status.Code(err) == codes.FailedPrecondition { // it was unreachable when this tool claimed, or another tool has claimed it
+	if status.Code(err) == codes.FailedPrecondition { // the agent was unreachable during the claim, or another tool has claimed it
 		if status.Code(r.claimAt(ctx, agent)) == codes.FailedPrecondition {
 			r.mu.Lock()
 			r.stopErr = fmt.Errorf("%w: %w", ErrTakenOver, err)
 			r.mu.Unlock()
 			return
 		}
-		askedAt = nowMs()
+		requestSentAt = nowMs()
 		reply, err = agent.Change(callCtx, req)
 	}
 	rejected := fleet.Event{Kind: fleet.Rejected, Instance: action.Instance, ChangeID: action.ChangeID}
@@ -159,26 +160,26 @@
 		rejected.Reason = status.Convert(err).Message()
 		r.post(ctx, rejected)
 	case err != nil:
-		r.Log(fmt.Sprintf("%s: not known whether it has taken it: %v", action.Instance, status.Convert(err).Message()))
+		r.Log(fmt.Sprintf("%s: unknown whether the change was applied: %v", action.Instance, status.Convert(err).Message()))
 	case reply.Refused != "":
 		rejected.Reason = strings.ReplaceAll(reply.Refused, "\n", "; ")
 		r.post(ctx, rejected)
 	case reply.Member.GetStatus() != nil:
 		instance := reply.Member.Status
 		r.post(ctx, fleet.Event{
-			Kind:     fleet.Confirmed,
-			Instance: action.Instance,
-			ChangeID: action.ChangeID,
-			AskedAt:  askedAt,
-			StartID:  instance.StartId,
-			Hash:     instance.Hash,
+			Kind:          fleet.Confirmed,
+			Instance:      action.Instance,
+			ChangeID:      action.ChangeID,
+			RequestSentAt: requestSentAt,
+			StartID:       instance.StartId,
+			Hash:          instance.Hash,
 		})
-		r.postReport(ctx, askedAt, reply.Member)
+		r.postReport(ctx, requestSentAt, reply.Member)
 	}
 }
 
-// reportEnd tells the agents that the rollout has ended. An agent that does not answer is notified by the next tool
-// (endStaleRollouts).
+// reportEnd notifies the agents that the rollout has ended. An agent that does not respond is notified by the next run of
+// the tool (endStaleRollouts).
 func (r *Rollout) reportEnd(result *Result) {
 	ctx, cancel := context.WithTimeout(context.Background(), CallTimeout)
 	defer cancel()
--- a/internal/ctl/rollout.go
+++ b/internal/ctl/rollout.go
@@ -21,28 +21,28 @@
 const (
 	stepInterval          = 50 * time.Millisecond  // between two ticks of the state machine
 	progressInterval      = 200 * time.Millisecond // between two calls of Progress
-	maxConcurrentRequests = 32                     // more would wait in the agents until they time out
+	maxConcurrentRequests = 32                     // more requests would wait at the agents and time out
 	eventQueueLength      = 1024
 )
 
 // Errors of a rollout.
 var (
-	// ErrTakenOver says that another tool has claimed the agents since.
-	ErrTakenOver = errors.New("another tool has taken the rollout over")
-	// ErrOtherRollout says that a rollout with another id has not ended.
+	// ErrTakenOver means that another tool has claimed the agents after this one.
+	ErrTakenOver = errors.New("another tool has taken over the rollout")
+	// ErrOtherRollout means that a rollout with another id has not ended.
 	ErrOtherRollout = errors.New("another rollout is under way")
 )
 
-// Rollout carries out one rollout over agents: it owns a fleet.Rollout, requests what that asks for, and gives it the
-// responses.
+// Rollout carries out one rollout over agents: it owns a fleet.Rollout, carries out its actions, and passes the responses
+// to it as events.
 type Rollout struct {
 	Agents       Agents
-	Plan         fleet.Plan // without Instances, which Selector gives
+	Plan         fleet.Plan // without Instances, which follow from Selector
 	Selector     Selector
 	Config       []byte               // text of the operator file
 	WaitForOther bool                 // wait for another rollout to end instead of failing
-	Progress     func(*fleet.Rollout) // called from time to time, and at the end
-	Log          func(string)         // called with each step worth a line
+	Progress     func(*fleet.Rollout) // called every progressInterval, and at the end
+	Log          func(string)         // called with each progress message
 
 	epoch        uint64
 	events       chan fleet.Event
@@ -61,18 +61,18 @@
 	Phase             fleet.Phase
 	Reason            string
 	Instances         []fleet.InstanceStatus
-	UnreachableAgents []string // agents that did not answer at the start, so that their instances are not known
-	OK                bool     // every selected instance has confirmed, and each agent answered
+	UnreachableAgents []string // agents that did not respond at the start; their instances are unknown
+	OK                bool     // every selected instance has confirmed, and every agent has responded
 }
 
 // Run carries the rollout out until it ends. If the agents hold an unfinished rollout of the same id, Run continues that
-// one with its plan. Errors are ErrTakenOver, ErrOtherRollout, an invalid plan, agents that do not answer, or the end of
+// one with its plan. Errors are ErrTakenOver, ErrOtherRollout, an invalid plan, agents that do not respond, or the end of
 // ctx.
 func (r *Rollout) Run(ctx context.Context) (*Result, error) {
 	r.Plan.Target = operator.TextHash(r.Config)
 	r.latestReport, r.seenCommands, r.requesting = map[string]uint64{}, map[string]bool{}, map[string]bool{}
 	r.events, r.requestSlots = make(chan fleet.Event, eventQueueLength), make(chan struct{}, maxConcurrentRequests)
-	askedAt := nowMs()
+	requestSentAt := nowMs()
 	replies := r.Agents.ListInstances(ctx, true)
 	members, agentOf, unreachable := SelectInstances(replies, &r.Selector)
 	r.agentOfInstance = agentOf
@@ -89,17 +89,17 @@
 	if err := r.claim(ctx, replies); err != nil {
 		return nil, err
 	}
-	// The plan may be one that the agents held. It has the instances of agents that do not answer now, too.
+	// The plan may be one that the agents held. Then it includes the instances of agents that do not respond now.
 	rollout, err := fleet.New(r.Plan, nowMs())
 	if err != nil {
 		return nil, err
 	}
-	r.run(ctx, rollout, members, askedAt)
+	r.run(ctx, rollout, members, requestSentAt)
 	if err := r.stopError(); err != nil {
 		return nil, err
 	}
 	if !rollout.Ended() {
-		return nil, fmt.Errorf("interrupted: run it again with --id %s to go on", r.Plan.ID)
+		return nil, fmt.Errorf("interrupted: run it again with --id %s to continue", r.Plan.ID)
 	}
 	result.Phase, result.Reason = rollout.Phase()
 	result.Instances = rollout.Instances()
@@ -108,7 +108,7 @@
 	return result, nil
 }
 
-// nowMs returns the time in milliseconds, as package fleet counts it.
+// nowMs returns the Unix time in milliseconds, the clock of the state machine.
 func nowMs() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
 // stopError returns why the rollout cannot continue; nil if it can.
@@ -119,8 +119,8 @@
 }
 
 // run steps the rollout until it ends, cannot continue, or ctx ends. It starts from the reports of members, which were
-// requested at askedAt, and returns once all its goroutines have ended.
-func (r *Rollout) run(ctx context.Context, rollout *fleet.Rollout, members []*agentpb.Member, askedAt float64) {
+// requested at requestSentAt, and returns once all its goroutines have ended.
+func (r *Rollout) run(ctx context.Context, rollout *fleet.Rollout, members []*agentpb.Member, requestSentAt float64) {
 	ctx, cancel := context.WithCancel(ctx)
 	var goroutines sync.WaitGroup
 	defer goroutines.Wait()
@@ -128,7 +128,7 @@
 	goroutines.Go(func() { r.watchCommands(ctx) })
 	goroutines.Go(func() {
 		for _, m := range members {
-			r.postReport(ctx, askedAt, m)
+			r.postReport(ctx, requestSentAt, m)
 		}
 	})
 	tick := time.NewTicker(stepInterval)
@@ -156,7 +156,7 @@
 	r.Progress(rollout)
 }
 
-// carryOut starts what an action of the state machine asks for.
+// carryOut carries out an action of the state machine. Requests and changes run in their own goroutines.
 func (r *Rollout) carryOut(ctx context.Context, action fleet.Action, goroutines *sync.WaitGroup) {
 	switch action.Kind {
 	case fleet.LogProgress:
@@ -174,7 +174,7 @@
 	}
 }
 
-// post hands an event to the goroutine that owns the state machine.
+// post sends an event to the goroutine that owns the state machine.
 func (r *Rollout) post(ctx context.Context, event fleet.Event) {
 	select {
 	case r.events <- event:
--- a/internal/ctl/selector.go
+++ b/internal/ctl/selector.go
@@ -11,9 +11,9 @@
 
 // Selector selects instances. An instance has to match each field that is set.
 type Selector struct {
-	Names  []string // patterns as of path.Match, of which one has to match; none for all
+	Names  []string // patterns for path.Match, one of which has to match; none selects all names
 	Site   string
-	Labels []string // key=value, all of them
+	Labels []string // key=value; all of them have to match
 }
 
 // Matches reports whether the selector selects an instance.
@@ -34,7 +34,7 @@
 }
 
 // SelectInstances returns the selected instances of the agents' replies, ordered by site and name, the agent of each, and
-// the replies of the agents that did not answer.
+// the replies of the agents that did not respond.
 func SelectInstances(replies []AgentReply, s *Selector) (members []*agentpb.Member, agentOf map[string]*Agent, unreachable []AgentReply) {
 	agentOf = map[string]*Agent{}
 	for _, reply := range replies {
--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// stopChanging ends a rollout in which too many instances failed: applied changes are verified, and no other is started.
+// stopChanging ends a rollout in which too many instances failed: applied changes are verified, and no
+// further change is started.
 func (r *Rollout) stopChanging(now float64) {
 	r.reason = "too many instances have not taken it"
 	r.logProgress("%s", r.reason)
@@ -45,10 +46,10 @@
 }
 
 // changeInstances starts changes of the selected instances within Plan.MaxUnavailable, requests the reports that are
-// needed, and reports whether nothing is left to do for them.
+// needed, and reports whether all of them are done.
 func (r *Rollout) changeInstances(now float64, selected func(*instance) bool) bool {
 	r.requestReports(now, func(inst *instance) bool {
-		return selected(inst) && (inst.isUnreported() || inst.State == Changing || inst.State == Waiting)
+		return selected(inst) && (inst.isConfigUnknown() || inst.State == Changing || inst.State == Waiting)
 	})
 	done := true
 	unavailable := r.unavailable()
@@ -56,13 +57,13 @@
 		if !selected(inst) {
 			continue
 		}
-		if inst.State == Waiting && r.isSilent(inst, now) {
-			inst.State, inst.Reason = Unreachable, "not in sight"
-			if !inst.contactLost { // else it is counted already
+		if inst.State == Waiting && r.reportTimedOut(inst, now) {
+			inst.State, inst.Reason = Unreachable, "no report within the change timeout"
+			if !inst.contactLost { // an instance without contact is already counted
 				unavailable++
 			}
 		}
-		if inst.State == Waiting && !inst.isUnreported() && unavailable < r.plan.MaxUnavailable {
+		if inst.State == Waiting && !inst.isConfigUnknown() && unavailable < r.plan.MaxUnavailable {
 			unavailable++
 			r.startChange(inst, now)
 		}
@@ -70,20 +71,20 @@
 			done = false
 		}
 	}
-	// If too many are unreachable for good, nothing can be started.
+	// If too many instances stay unreachable, no change can be started.
 	waiting := func(inst *instance) bool { return selected(inst) && inst.State == Waiting }
 	return done || r.isBlocked() && slices.ContainsFunc(r.instances, waiting)
 }
 
-// isUnreported reports whether it is not known what the instance runs now.
-func (inst *instance) isUnreported() bool { return inst.sequence == 0 || inst.contactLost }
+// isConfigUnknown reports whether it is unknown which configuration the instance runs now.
+func (inst *instance) isConfigUnknown() bool { return inst.sequence == 0 || inst.contactLost }
 
-// isSilent reports whether an instance is to be given up on, as nothing was heard of it for Plan.ChangeTimeout.
-func (r *Rollout) isSilent(inst *instance, now float64) bool {
-	return inst.isUnreported() && now-r.startedAt >= r.plan.ChangeTimeout && now-inst.LastHeard >= r.plan.ChangeTimeout
+// reportTimedOut reports whether an instance counts as unreachable because it has not reported for Plan.ChangeTimeout.
+func (r *Rollout) reportTimedOut(inst *instance, now float64) bool {
+	return inst.isConfigUnknown() && now-r.startedAt >= r.plan.ChangeTimeout && now-inst.LastReportAt >= r.plan.ChangeTimeout
 }
 
-// startChange sends an instance its target.
+// startChange sends an instance its target configuration.
 func (r *Rollout) startChange(inst *instance, now float64) {
 	r.lastChangeID++
 	inst.State, inst.changeID, inst.deadline = Changing, r.lastChangeID, now+r.plan.ChangeTimeout
@@ -91,7 +92,7 @@
 	r.actions = append(r.actions, Action{Kind: Apply, Instance: inst.Instance, Hash: inst.targetHash, ChangeID: inst.changeID})
 }
 
-// isBlocked reports whether no change is pending and none can be started, as too many instances are unreachable.
+// isBlocked reports whether no change is pending and none can be started because too many instances are unreachable.
 func (r *Rollout) isBlocked() bool {
 	unreachable := 0
 	for _, inst := range r.instances {
@@ -105,7 +106,7 @@
 	return unreachable >= r.plan.MaxUnavailable
 }
 
-// requestReports requests reports of the selected instances, of each once in reportInterval.
+// requestReports requests a report from each selected instance, at most once per reportInterval.
 func (r *Rollout) requestReports(now float64, selected func(*instance) bool) {
 	for _, inst := range r.instances {
 		if selected(inst) && now-inst.requestedAt >= reportInterval {
@@ -115,7 +116,7 @@
 	}
 }
 
-// rollBack gives each instance that was changed its previous configuration as target, and leaves the others as they are.
+// rollBack sets the target of each changed instance to its previous configuration, and leaves the other instances unchanged.
 func (r *Rollout) rollBack(reason string) {
 	if r.phase == RollingBack {
 		return
--- a/internal/fleet/gate.go
+++ b/internal/fleet/gate.go
@@ -5,7 +5,7 @@
 )
 
 // checkGate starts the next wave, or verification after the last one, if no instance of the current wave violates the gate;
-// else it pauses or rolls back.
+// otherwise it pauses the rollout or rolls it back.
 func (r *Rollout) checkGate(now float64) {
 	for _, inst := range r.instances {
 		if inst.wave != r.currentWave || inst.State != Applied {
@@ -30,11 +30,11 @@
 	r.startVerifying(now)
 }
 
-// violation describes what has become worse at an instance since its change than the gate allows; "" for nothing.
+// violation describes the first bound of the gate that an instance has exceeded since its change; "" if there is none.
 func (g *Gate) violation(inst *instance) string {
 	health := inst.health
 	if health.Served < inst.atChange.Served || health.Refused < inst.atChange.Refused || health.Failed < inst.atChange.Failed {
-		inst.atChange = Health{} // it has restarted, and counts from zero
+		inst.atChange = Health{} // the instance has restarted, and its counters with it
 	}
 	refused, failed, requests := outcomeRatios(inst.atChange, health)
 	refusedBefore, failedBefore, _ := outcomeRatios(Health{}, inst.baseline)
@@ -51,8 +51,8 @@
 	return ""
 }
 
-// outcomeRatios returns which shares of the requests between two counts were refused and failed, and how many requests
-// there were.
+// outcomeRatios returns which fractions of the requests between two counts were refused and failed, and the number of
+// these requests.
 func outcomeRatios(from, to Health) (refused, failed float64, requests uint64) {
 	requests = to.Served - from.Served + to.Refused - from.Refused + to.Failed - from.Failed
 	if requests == 0 {
--- a/internal/fleet/rollout.go
+++ b/internal/fleet/rollout.go
@@ -15,7 +15,7 @@
 	"slices"
 )
 
-// instance is the state of one instance.
+// instance is the state that a rollout holds of one instance.
 type instance struct {
 	InstanceStatus
 	wave         int
@@ -29,7 +29,7 @@
 	requestedAt  float64 // when a report was last requested
 	verified     bool    // has reported since verification started
 	baseline     Health  // before its first change
-	atChange     Health  // when it was last seen to have applied
+	atChange     Health  // when its target was last recorded as applied
 	health       Health  // of its latest report
 }
 
@@ -47,7 +47,7 @@
 	gateAt       float64  // when the gate of the current wave is checked
 	verifyUntil  float64  // when verification ends at the latest
 	actions      []Action // of the Step that runs
-	reason       string   // why the phase was entered, if the plan does not say
+	reason       string   // why the rollout is paused, stopped, rolled back or ended
 }
 
 // reportInterval is the time between two requests for a report of one instance, in ms.
@@ -115,7 +115,7 @@
 	return r.actions
 }
 
-// handleInstanceEvent handles what is learned of one instance.
+// handleInstanceEvent handles a report of an instance, its response to a change, or the loss of contact with it.
 func (r *Rollout) handleInstanceEvent(inst *instance, now float64, event *Event) {
 	switch event.Kind {
 	case Reported:
@@ -126,28 +126,28 @@
 		// Only the response to the pending change counts, from the process that the change was sent to. It counts until
 		// the instance reports otherwise.
 		if inst.isPending(event) && event.StartID == inst.StartID && event.Hash == inst.targetHash {
-			inst.LastHeard, inst.AskedAt, inst.Hash = now, event.AskedAt, event.Hash
+			inst.LastReportAt, inst.RequestSentAt, inst.Hash = now, event.RequestSentAt, event.Hash
 			r.markApplied(inst)
 		}
 	case Rejected:
 		if inst.isPending(event) {
 			inst.State, inst.Reason = Refused, event.Reason
-			r.logProgress("%s refuses: %s", inst.Instance, event.Reason)
+			r.logProgress("%s has rejected the change: %s", inst.Instance, event.Reason)
 		}
 	case ContactLost:
 		if event.Sequence >= inst.sequence && !inst.contactLost {
 			inst.contactLost = true
-			r.logProgress("%s is out of sight", inst.Instance)
+			r.logProgress("%s is unreachable", inst.Instance)
 		}
 	}
 }
 
-// isPending reports whether the event answers the pending change of the instance.
+// isPending reports whether the event is the response to the pending change of the instance.
 func (inst *instance) isPending(event *Event) bool {
 	return inst.State == Changing && event.ChangeID == inst.changeID
 }
 
-// handleCommand handles a command of an operator; other kinds of events are none.
+// handleCommand handles a command of an operator. It ignores other kinds of events.
 func (r *Rollout) handleCommand(now float64, kind EventKind) {
 	switch kind {
 	case Pause:
@@ -189,13 +189,13 @@
 	r.logProgress("%s: %s", end, reason)
 }
 
-// handleReport records what an instance reports of itself, and with that alone whether it has applied its target.
+// handleReport records a report of an instance, and derives from the reported hash whether the instance runs its target.
 func (r *Rollout) handleReport(inst *instance, now float64, event *Event) {
 	first := inst.sequence == 0
 	restarted := !first && event.StartID != inst.StartID
 	inst.sequence, inst.contactLost, inst.verified = event.Sequence, false, true
 	inst.StartID, inst.Hash, inst.health = event.StartID, event.Hash, event.Health
-	inst.LastHeard, inst.AskedAt = now, event.AskedAt
+	inst.LastReportAt, inst.RequestSentAt = now, event.RequestSentAt
 	if first {
 		inst.previousHash, inst.baseline = event.Hash, event.Health
 	}
@@ -207,21 +207,21 @@
 		inst.baseline = event.Health
 	}
 	switch {
-	case inst.targetHash == "": // whatever it runs is right
+	case inst.targetHash == "": // the instance has no target
 	case inst.Hash == inst.targetHash && inst.State != Refused:
 		if inst.State != Applied {
 			r.markApplied(inst)
 		}
-	case inst.State == Applied: // it has restarted with another configuration, or was given one by somebody else
-		r.retry(inst, "came back with another configuration")
+	case inst.State == Applied: // it has restarted with another configuration, or another process has changed it
+		r.retry(inst, "no longer runs its target configuration")
 	case inst.State == Changing && restarted:
-		r.retry(inst, "restarted while it was changed")
+		r.retry(inst, "restarted during its change")
 	case inst.State == Unreachable && inst.attempts < r.plan.MaxAttempts:
 		inst.State, inst.Reason = Waiting, ""
 	}
 }
 
-// retry has an instance changed again, unless the attempts of the plan are used up.
+// retry schedules another change of an instance, unless Plan.MaxAttempts changes were sent to it.
 func (r *Rollout) retry(inst *instance, reason string) {
 	inst.State, inst.Reason = Waiting, ""
 	if inst.attempts >= r.plan.MaxAttempts {
@@ -233,10 +233,10 @@
 // markApplied records that an instance runs its target.
 func (r *Rollout) markApplied(inst *instance) {
 	inst.State, inst.Reason, inst.atChange = Applied, "", inst.health
-	r.logProgress("%s has applied", inst.Instance)
+	r.logProgress("%s has applied its target configuration", inst.Instance)
 }
 
-// advance does what the time and the phase require.
+// advance carries out the steps that are due in the current phase at the time now.
 func (r *Rollout) advance(now float64) {
 	r.expireChanges(now)
 	if now-r.startedAt >= r.plan.TotalTimeout {
@@ -264,12 +264,12 @@
 	}
 }
 
-// expireChanges ends changes that were not confirmed in time.
+// expireChanges ends changes that were not confirmed within Plan.ChangeTimeout.
 func (r *Rollout) expireChanges(now float64) {
 	for _, inst := range r.instances {
 		if inst.State == Changing && now >= inst.deadline {
-			inst.State, inst.Reason = Unreachable, "no confirmation in time"
-			r.logProgress("%s does not confirm in time", inst.Instance)
+			inst.State, inst.Reason = Unreachable, "no confirmation within the change timeout"
+			r.logProgress("%s has not confirmed its change within the change timeout", inst.Instance)
 			if !inst.contactLost && inst.attempts < r.plan.MaxAttempts {
 				inst.State = Waiting // it is reachable: the change or its response was lost
 			}
--- a/internal/fleet/rollout_test.go
+++ b/internal/fleet/rollout_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// simulatedFleet is instances that a rollout changes, and a network that loses, duplicates and delays messages.
+// simulatedFleet holds the instances that a rollout changes, and the messages in flight to and from them.
 type simulatedFleet struct {
 	instances map[string]*fakeInstance
 	inFlight  []message
@@ -18,7 +18,7 @@
 type fakeInstance struct {
 	name                 string
 	startCount, sequence uint64
-	hash, configFile     string // configuration that it runs, and that it loads at a start
+	hash, configFile     string // configuration that it runs, and the one that it loads at a start
 	running              bool
 	rejectsChanges       bool
 	health               Health
@@ -27,7 +27,7 @@
 type message struct {
 	deliverAt float64
 	event     Event
-	to        string // instance that gets action; "" if event is for the rollout
+	to        string // instance that receives the action; "" if the event is for the rollout
 	action    Action
 }
 
@@ -56,12 +56,13 @@
 	return []Event{{Kind: Confirmed, Instance: inst.name, ChangeID: action.ChangeID, StartID: f.startID(inst), Hash: inst.hash}, f.report(inst)}
 }
 
-// simulate runs a rollout in a random world and checks the invariants after each step.
-func simulate(t *rapid.T, disturb bool, plan Plan) (*Rollout, *simulatedFleet) {
+// simulate runs a rollout and checks the invariants of the package comment after each step. With faults set, messages are
+// lost, duplicated and delayed, and instances stop and restart.
+func simulate(t *rapid.T, faults bool, plan Plan) (*Rollout, *simulatedFleet) {
 	simulated := &simulatedFleet{instances: map[string]*fakeInstance{}}
 	for _, name := range plan.Instances {
 		simulated.instances[name] = &fakeInstance{name: name, startCount: 1, hash: "old", configFile: "old", running: true}
-		if disturb {
+		if faults {
 			simulated.instances[name].rejectsChanges = rapid.IntRange(0, 9).Draw(t, "rejects") == 0
 		}
 	}
@@ -80,11 +81,11 @@
 			}
 			back := rollout.phase >= RollingBack || rollout.phase == Paused && rollout.resumePhase == RollingBack
 			if status.State == Applied && !back && status.Hash != plan.Target {
-				t.Fatalf("%s counts as applied and last said that it runs %s", status.Instance, status.Hash)
+				t.Fatalf("%s counts as applied, but last reported that it runs %s", status.Instance, status.Hash)
 			}
 		}
 		if changing > maxUnavailable {
-			t.Fatalf("%d are being changed, over the %d allowed", changing, maxUnavailable)
+			t.Fatalf("%d instances are being changed, at most %d are allowed", changing, maxUnavailable)
 		}
 		for _, a := range actions {
 			if a.Kind != LogProgress {
@@ -93,20 +94,20 @@
 		}
 	}
 	delay := func() float64 {
-		if !disturb {
+		if !faults {
 			return 1
 		}
 		return float64(rapid.IntRange(1, 3000).Draw(t, "delay"))
 	}
-	lose := func() bool { return disturb && rapid.IntRange(0, 9).Draw(t, "lose") == 0 }
+	lose := func() bool { return faults && rapid.IntRange(0, 9).Draw(t, "lose") == 0 }
 	for steps := 0; !rollout.Ended(); steps++ {
 		if steps > 200_000 {
-			t.Fatalf("no end: %v, %+v", rollout.phase, rollout.Instances())
+			t.Fatalf("rollout has not ended after 200,000 steps: %v, %+v", rollout.phase, rollout.Instances())
 		}
 		now += 100
-		if disturb && now < 100_000 {
-			inst := simulated.instances[rapid.SampledFrom(plan.Instances).Draw(t, "victim")]
-			switch rapid.IntRange(0, 60).Draw(t, "mishap") {
+		if faults && now < 100_000 {
+			inst := simulated.instances[rapid.SampledFrom(plan.Instances).Draw(t, "instance")]
+			switch rapid.IntRange(0, 60).Draw(t, "fault") {
 			case 0:
 				inst.running = false
 			case 1: // it restarts with its configuration file
@@ -120,7 +121,7 @@
 			case 4:
 				handle(Event{Kind: rapid.SampledFrom([]EventKind{Pause, Resume, Resume, Resume}).Draw(t, "command")})
 			}
-		} else if disturb {
+		} else if faults {
 			handle(Event{Kind: Resume})
 		}
 		due := simulated.inFlight
@@ -164,8 +165,8 @@
 	return list
 }
 
-// Whatever is lost, duplicated, reordered or restarted, simulate checks the invariants of the package comment after each step.
-// Here: a rollout that succeeded has been applied by every instance, and a failure has a reason.
+// Under random faults, a rollout succeeds only if every instance has applied the target, and each instance that has not
+// applied it has a reason. simulate checks the invariants of the package comment as well.
 func TestRolloutUnderRandomFaults(t *testing.T) {
 	ends := map[Phase]int{}
 	applied := 0
@@ -187,17 +188,17 @@
 			if status.State != Applied {
 				all = false
 				if rollout.phase == Complete && status.State != Waiting && status.Reason == "" {
-					t.Fatalf("%+v: it does not say why", status)
+					t.Fatalf("%+v has no reason", status)
 				}
 			}
 		}
 		if rollout.Succeeded() != (all && rollout.phase == Complete) {
-			t.Fatalf("success %v with %+v", rollout.Succeeded(), rollout.Instances())
+			t.Fatalf("Succeeded is %v with %+v", rollout.Succeeded(), rollout.Instances())
 		}
 	})
 	t.Logf("ends %v, %d instances applied", ends, applied)
 	if ends[Complete] < 10 || applied < 20 {
-		t.Errorf("ends %v, %d applied: the mishaps leave nothing to see", ends, applied)
+		t.Errorf("ends %v, %d applied: too few rollouts completed under faults", ends, applied)
 	}
 }
 
@@ -268,13 +269,13 @@
 	}
 }
 
-// A confirmation by a process that has ended does not count, nor does one of an earlier change.
+// A confirmation is ignored if it is of an earlier change, of another process or of another configuration.
 func TestConfirmationOfAnotherProcessIsIgnored(t *testing.T) {
 	s := newScript(t, Plan{Instances: instanceNames(1)})
 	s.report("i0", "a", "old")
 	first := s.pendingChange("i0")
 	s.checkFirstState(Changing)
-	s.report("i0", "b", "old") // it has restarted with its old file
+	s.report("i0", "b", "old") // it has restarted with its old configuration file
 	second := s.pendingChange("i0")
 	if first == 0 || second == 0 || first == second {
 		t.Fatalf("changes %d and %d, want two", first, second)
@@ -287,16 +288,16 @@
 	s.checkFirstState(Changing)
 	s.step(Event{Kind: Confirmed, Instance: "i0", ChangeID: second, StartID: "b", Hash: "new"})
 	s.checkFirstState(Applied)
-	s.report("i0", "c", "old") // it restarts with its old file again
+	s.report("i0", "c", "old") // it restarts with its old configuration file again
 	s.checkFirstState(Waiting)
 	s.step(Event{Kind: Tick}) // all instances report once more before the end
 	s.checkFirstState(Changing)
 	if s.rollout.Succeeded() || s.rollout.Ended() {
-		t.Error("it has ended with success")
+		t.Error("the rollout has ended, although the instance runs the old configuration")
 	}
 }
 
-// An earlier report does not undo a later one.
+// A report with a sequence number that is not above the latest one does not change the state of an instance.
 func TestOutOfDateReportsAreIgnored(t *testing.T) {
 	s := newScript(t, Plan{Instances: instanceNames(1), SettleTime: 100})
 	s.report("i0", "a", "old")
@@ -316,7 +317,7 @@
 	s.checkFirstState(Applied)
 }
 
-// A gate that finds the canary worse than before pauses the rollout, or rolls it back, before a second instance is changed.
+// If the canary's health is worse than the gate allows, the rollout is paused or rolled back before a second instance is changed.
 func TestGateStopsRollout(t *testing.T) {
 	for _, rollBack := range []bool{false, true} {
 		s := newScript(t, Plan{Instances: instanceNames(3), SettleTime: 10, Gate: Gate{MaxFailedIncrease: 0.05, MinRequests: 100}, RollBackOnFailure: rollBack})
@@ -328,7 +329,7 @@
 		s.step(Event{Kind: Tick})
 		phase, reason := s.rollout.Phase()
 		if !rollBack && (phase != Paused || s.pendingChange("i1") != 0) {
-			t.Errorf("%v: %s, %+v, want a halt", phase, reason, s.actions)
+			t.Errorf("%v: %s, %+v, want the rollout paused", phase, reason, s.actions)
 		}
 		if rollBack {
 			s.step(Event{Kind: Tick})
@@ -351,12 +352,12 @@
 		{ID: "r", Target: "t", Instances: instanceNames(1), MaxUnavailable: -1}, {ID: "r", Target: "t", Instances: instanceNames(1), ChangeTimeout: -1},
 	} {
 		if _, err := New(p, 0); err == nil {
-			t.Errorf("%+v is taken", p)
+			t.Errorf("plan %+v is accepted", p)
 		}
 	}
 }
 
-// Agents hold plans as JSON, and tools of other versions read them: the encoded names are pinned.
+// Agents store plans as JSON, and tools of other versions read them, so the encoded names must not change.
 func TestPlanEncoding(t *testing.T) {
 	plan := Plan{
 		ID: "r1", Target: "abc", Instances: []string{"a", "b"}, CanarySize: 1, WaveShare: 0.5, MaxUnavailable: 2, MaxFailed: 3, SettleTime: 4,
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -27,23 +27,23 @@
 	Waiting     State = iota // no change is pending
 	Changing                 // a change is pending
 	Applied                  // its latest report says that it runs the target
-	Refused                  // it cannot run the target
-	Unreachable              // it does not answer
-	Restarted                // it restarted with another configuration more often than the plan has attempts
+	Refused                  // it has rejected the target
+	Unreachable              // it does not respond
+	Restarted                // it restarted or runs another configuration, after as many changes as the plan allows
 )
 
 var stateNames = [...]string{"waiting", "changing", "applied", "refused", "unreachable", "restarted"}
 
 func (s State) String() string { return stateNames[s] }
 
-// InstanceStatus is what is known of one instance. Times are milliseconds, 0 for never.
+// InstanceStatus is the last known status of one instance. Times are milliseconds, 0 for never.
 type InstanceStatus struct {
-	Instance  string
-	State     State
-	Hash      string  // configuration that it runs, by its latest report
-	StartID   string  // of the process that reported
-	LastHeard float64 // when its latest report was handled
-	AskedAt   float64 // when that report was requested: the status held at some time after it
-	Restarts  int     // seen since the rollout or the rollback started
-	Reason    string  // why it has not applied the target
+	Instance      string
+	State         State
+	Hash          string  // configuration that it runs, by its latest report
+	StartID       string  // of the process that reported
+	LastReportAt  float64 // when its latest report was handled
+	RequestSentAt float64 // when that report was requested; the instance had this status at some time after that
+	Restarts      int     // number of restarts since the rollout or the rollback started
+	Reason        string  // why it has not applied the target
 }
--- a/internal/fleet/verify.go
+++ b/internal/fleet/verify.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// startVerifying requests a last report of each changed instance, for at most Plan.ChangeTimeout.
+// startVerifying starts the phase in which each changed instance has to report once more, within Plan.ChangeTimeout.
 func (r *Rollout) startVerifying(now float64) {
 	r.phase, r.verifyUntil = Verifying, now+r.plan.ChangeTimeout
 	for _, inst := range r.instances {
@@ -14,7 +14,7 @@
 	}
 }
 
-// checkVerified ends the rollout once each changed instance has reported again, so that the result is their present state.
+// checkVerified ends the rollout once each changed instance has reported again, so that the result is their current state.
 func (r *Rollout) checkVerified(now float64) {
 	changed := func(inst *instance) bool { return inst.State == Applied || inst.attempts > 0 && inst.State != Refused }
 	r.requestReports(now, func(inst *instance) bool { return changed(inst) && !inst.verified })
@@ -28,7 +28,7 @@
 	}
 	for _, inst := range r.instances {
 		if inst.State == Applied && (!inst.verified || inst.contactLost) {
-			inst.State, inst.Reason = Unreachable, "applied, and not heard of since"
+			inst.State, inst.Reason = Unreachable, "applied, but has not reported since"
 		}
 	}
 	r.finish(Complete, cmp.Or(r.reason, "all waves are through"))
