--- a/cmd/milletmast/command_test.go
+++ b/cmd/milletmast/command_test.go
@@ -16,8 +16,8 @@
 	"milletmast/internal/fakeserver"
 )
 
-// play runs a subcommand in this process and gives what it prints.
-func play(t *testing.T, args ...string) (out, complaints string, err error) {
+// runCommand runs a subcommand in this process and returns its output.
+func runCommand(t *testing.T, args ...string) (out, errOut string, err error) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
 	cmd := rootCommand()
@@ -30,8 +30,8 @@
 
 const example = "../../deploy/operator.toml"
 
-// edited is a copy of the example with some text replaced.
-func edited(t *testing.T, pairs ...string) string {
+// editedExample writes a copy of the example with text replaced, and returns its path.
+func editedExample(t *testing.T, pairs ...string) string {
 	t.Helper()
 	text, err := os.ReadFile(example)
 	if err != nil {
@@ -45,19 +45,19 @@
 }
 
 func TestCheck(t *testing.T) {
-	if out, _, err := play(t, "check", "-f", example); err != nil || !strings.Contains(out, "listeners=2 pools=3 routes=9") {
+	if out, _, err := runCommand(t, "check", "-f", example); err != nil || !strings.Contains(out, "listeners=2 pools=3 routes=9") {
 		t.Errorf("printed %q, %v", out, err)
 	}
-	bad := edited(t, `effect = "safe"`, `effect = "mild"`, `pool = "stock"`, `pool = "stok"`, `:8080"`, `"`)
-	out, complaints, err := play(t, "check", "-f", bad)
-	if err == nil || out != "" || strings.Count(complaints, "operator.toml:") != 5 { // three classes are safe
-		t.Errorf("printed %q and %q, %v, want five errors", out, complaints, err)
+	bad := editedExample(t, `effect = "safe"`, `effect = "mild"`, `pool = "stock"`, `pool = "stok"`, `:8080"`, `"`)
+	out, errOut, err := runCommand(t, "check", "-f", bad)
+	if err == nil || out != "" || strings.Count(errOut, "operator.toml:") != 5 { // three classes are safe
+		t.Errorf("printed %q and %q, %v, want five errors", out, errOut, err)
 	}
-	if _, _, err := play(t, "check"); err == nil || !strings.Contains(err.Error(), "file") {
+	if _, _, err := runCommand(t, "check"); err == nil || !strings.Contains(err.Error(), "file") {
 		t.Errorf("no file: %v", err)
 	}
-	if _, _, err := play(t, "check", "-f", filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a file that is not there has passed")
+	if _, _, err := runCommand(t, "check", "-f", filepath.Join(t.TempDir(), "none")); err == nil {
+		t.Error("a missing file has passed the check")
 	}
 }
 
@@ -78,15 +78,15 @@
 		{[]string{"--grpc", "/box.Stock/Watch"}, "pool=box-stock class=watch route=stock-watch path=/box.Stock/Watch"},
 		{[]string{"--grpc", "/items"}, "status=404"},
 	} {
-		out, _, err := play(t, append([]string{"route", "-f", example}, c.args...)...)
+		out, _, err := runCommand(t, append([]string{"route", "-f", example}, c.args...)...)
 		if err != nil || out != c.want+"\n" {
 			t.Errorf("%v: %q, %v, want %q", c.args, out, err, c.want)
 		}
 	}
-	if _, _, err := play(t, "route", "-f", example, "GET", "/", "--listener", "none"); err == nil {
-		t.Error("a listener that is not there has a route")
+	if _, _, err := runCommand(t, "route", "-f", example, "GET", "/", "--listener", "none"); err == nil {
+		t.Error("an unknown listener has a route")
 	}
-	if _, _, err := play(t, "route", "-f", example, "--grpc", "/a.B/C", "--listener", "public"); err == nil {
+	if _, _, err := runCommand(t, "route", "-f", example, "--grpc", "/a.B/C", "--listener", "public"); err == nil {
 		t.Error("a listener of HTTP/1.1 has a route for gRPC")
 	}
 }
@@ -97,28 +97,28 @@
 	if err := os.WriteFile(path, []byte(record+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, _, err := play(t, "trace", path, "--root", "0123456789abcdef")
+	out, _, err := runCommand(t, "trace", path, "--root", "0123456789abcdef")
 	if want := "0123456789abcdef: attempts 1\n  front p/c at s, attempt 1: ok, 0.0 ms\n"; err != nil || out != want {
 		t.Errorf("printed %q, %v, want %q", out, err, want)
 	}
-	if _, _, err := play(t, "trace", path+"-none"); err == nil {
-		t.Error("a file that is not there was read")
+	if _, _, err := runCommand(t, "trace", path+"-none"); err == nil {
+		t.Error("a missing file was read")
 	}
 }
 
 func TestDiff(t *testing.T) {
-	out, _, err := play(t, "diff", "-f", example, edited(t, `"127.0.0.1:9101"`, `"127.0.0.1:9102"`, `name = "robots"`, `name = "bots"`))
+	out, _, err := runCommand(t, "diff", "-f", example, editedExample(t, `"127.0.0.1:9101"`, `"127.0.0.1:9102"`, `name = "robots"`, `name = "bots"`))
 	want := "pool stock: changed (server: 1 -> 1 entries): measurements and connections are kept\nroute bots: added\nroute robots: removed\n"
 	if err != nil || out != want {
 		t.Errorf("printed %q, %v, want %q", out, err, want)
 	}
-	if out, _, err := play(t, "diff", "-f", example, example); err != nil || out != "no changes\n" {
-		t.Errorf("one file and itself: %q, %v", out, err)
+	if out, _, err := runCommand(t, "diff", "-f", example, example); err != nil || out != "no changes\n" {
+		t.Errorf("diff of a file with itself: %q, %v", out, err)
 	}
 }
 
 func TestDemo(t *testing.T) {
-	out, _, err := play(t, "demo", "--for", "1500ms", "--every", "300ms", "--rate", "200")
+	out, _, err := runCommand(t, "demo", "--for", "1500ms", "--every", "300ms", "--rate", "200")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,20 +130,20 @@
 	}
 }
 
-// serve takes requests, loads its file again at SIGHUP, whole or not at all, and ends cleanly at SIGTERM.
+// serve accepts requests, reloads its file at SIGHUP unless the file is invalid, and exits with status 0 at SIGTERM.
 func TestServe(t *testing.T) {
 	server, err := fakeserver.NewServer("one")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
-	path := edited(t, `"127.0.0.1:8080"`, `"127.0.0.1:0"`, `"127.0.0.1:8081"`, `"127.0.0.1:0"`, `"127.0.0.1:9001"`, `"`+server.Addr()+`"`)
+	path := editedExample(t, `"127.0.0.1:8080"`, `"127.0.0.1:0"`, `"127.0.0.1:8081"`, `"127.0.0.1:0"`, `"127.0.0.1:9001"`, `"`+server.Addr()+`"`)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(build(t), "serve", "-f", path)
-	cmd.Env = append(os.Environ(), "RELAY_CONFIG=/nowhere") // of no matter to a subcommand
+	cmd := exec.Command(buildProgram(t), "serve", "-f", path)
+	cmd.Env = append(os.Environ(), "RELAY_CONFIG=/nowhere") // subcommands ignore the variable
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -153,7 +153,7 @@
 	}
 	killAtEnd(t, cmd)
 	lines := bufio.NewScanner(stderr)
-	addr := logged(t, lines, `INFO listen listener=public addr=(\S+)`)
+	addr := waitForLog(t, lines, `INFO listen listener=public addr=(\S+)`)
 	get := func(path string) int {
 		res, err := http.Get("http://" + addr + path)
 		if err != nil {
@@ -169,8 +169,8 @@
 		t.Errorf("status %d", got)
 	}
 	for _, c := range []struct {
-		text, signs string
-		status      int // of /new
+		text, logPattern string
+		status           int // of /new
 	}{
 		{strings.Replace(string(text), `exact = "/robots.txt"`, `exact = "/new"`, 1), `reload configuration.* generation=(2)`, 200},
 		{strings.Replace(string(text), `effect = "safe"`, `effect = "mild"`, 1), `reject configuration.*(operator.toml:\d+: pool\[0\].class\[0\].effect)`, 200},
@@ -180,9 +180,9 @@
 			t.Fatal(err)
 		}
 		sendSignal(t, cmd, syscall.SIGHUP)
-		logged(t, lines, c.signs)
+		waitForLog(t, lines, c.logPattern)
 		if got := get("/new"); got != c.status {
-			t.Errorf("status %d after %s, want %d", got, c.signs, c.status)
+			t.Errorf("status %d after %s, want %d", got, c.logPattern, c.status)
 		}
 	}
 	sendSignal(t, cmd, syscall.SIGTERM)
@@ -193,12 +193,12 @@
 	}
 }
 
-// With neither RELAY_CONFIG nor a subcommand the program says what it misses, in one line.
-func TestNothingToDo(t *testing.T) {
-	cmd := exec.Command(build(t))
+// With neither RELAY_CONFIG nor a subcommand, the error is one line that names RELAY_CONFIG.
+func TestNoSubcommand(t *testing.T) {
+	cmd := exec.Command(buildProgram(t))
 	cmd.Env = []string{"PATH=" + os.Getenv("PATH")}
 	out, err := cmd.CombinedOutput()
 	if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "RELAY_CONFIG is not set") {
-		t.Errorf("%v, told %q", err, out)
+		t.Errorf("%v, printed %q", err, out)
 	}
 }
--- a/cmd/milletmast/commands.go
+++ b/cmd/milletmast/commands.go
@@ -16,16 +16,16 @@
 	"milletmast/internal/trace"
 )
 
-// rootCommand returns the tree of subcommands.
+// rootCommand returns the root command with all subcommands.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "milletmast",
 		Short: "Balance requests over pools of servers by SMACE credits",
-		Long: `milletmast takes requests, routes each to a pool of servers and has the pool's decision module choose the server,
-when to try again and when to refuse.
+		Long: `milletmast accepts requests and routes each to a pool of servers. The pool's decision module chooses the server, when to
+retry and when to refuse.
 
-With RELAY_CONFIG set and no arguments it is the platform's program. The subcommands work with an operator file
-(example: deploy/operator.toml). They exit 0, or 1 with what is wrong on standard error.`,
+With RELAY_CONFIG set and no arguments it runs as a sidecar of the platform. The subcommands work with an operator file
+(example: deploy/operator.toml). They exit 0, or 1 with the errors on standard error.`,
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return errors.New("RELAY_CONFIG is not set and no subcommand is given: see milletmast --help")
@@ -33,12 +33,12 @@
 	}
 	root.AddCommand(serveCommand(), checkCommand(), routeCommand(), diffCommand(), importCommand(), traceCommand(), levelCommand(),
 		membersCommand(), stateCommand(), demoCommand(),
-		emulatorCommand("emulate", "Play a fleet of sidecars over servers and callers in virtual time: run, compare, plot"),
-		emulatorCommand("plan", "Find the fewest servers and copies that hold a target, also through stated losses", "plan"))
+		emulatorCommand("emulate", "Simulate a fleet of sidecars, servers and callers in virtual time: run, compare, plot"),
+		emulatorCommand("plan", "Find the fewest servers and replicas that meet a target, also under stated losses", "plan"))
 	return root
 }
 
-// shortHashLength is how many digits of a configuration's hash are printed.
+// shortHashLength is the number of digits that are printed of a configuration's hash.
 const shortHashLength = 12
 
 // addFileFlag adds the required flag that names an operator file.
@@ -56,7 +56,7 @@
 func checkCommand() *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
-		Use: "check -f FILE", Short: "Check an operator file and tell all that is wrong in it", Args: cobra.NoArgs,
+		Use: "check -f FILE", Short: "Check an operator file and print all its errors", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, err := loadFile(cmd, path)
 			if err != nil {
@@ -72,7 +72,7 @@
 	return cmd
 }
 
-// loadFile reads an operator file. What is wrong in it is printed to standard error, a line each.
+// loadFile reads an operator file. Its errors are printed to standard error, one per line.
 func loadFile(cmd *cobra.Command, path string) (*operator.Config, error) {
 	cfg, err := operator.Load(path)
 	return cfg, operator.PrintErrors(cmd.ErrOrStderr(), path, err)
@@ -84,10 +84,10 @@
 	var isCall bool
 	cmd := &cobra.Command{
 		Use:   "route -f FILE (METHOD URL | --grpc /PACKAGE.SERVICE/METHOD) [-H 'Name: value']...",
-		Short: "Tell where a request would go, without sending it",
-		Long: `Prints one line: pool=NAME class=NAME route=NAME path=PATH for a request that goes to a pool (site=NAME location=NAME in place
-of route where no route matches and a site does), status=404 for one that
-no route matches, status=301 location=URL or status=CODE for a fixed answer, status=400 for a request that is not taken.`,
+		Short: "Print where a request would be routed, without sending it",
+		Long: `Prints one line: pool=NAME class=NAME route=NAME path=PATH for a request that is routed to a pool (site=NAME location=NAME
+instead of route if no route but a site matches), status=404 if nothing matches, status=301 location=URL or status=CODE for
+a fixed response, status=400 for an invalid request.`,
 		Example: "  milletmast route -f deploy/operator.toml GET http://a.stock.example.org/v1/items\n" +
 			"  milletmast route -f deploy/operator.toml POST /plan/7 -H 'Host: shop.example.org'\n" +
 			"  milletmast route -f deploy/operator.toml --grpc /box.Stock/Look",
@@ -108,7 +108,7 @@
 			}
 			spec := cfg.Listener(listener, protocol)
 			if spec == nil {
-				return fmt.Errorf("%s: there is no listener %q that takes such requests", path, listener)
+				return fmt.Errorf("%s: there is no %s listener %q", path, protocol, listener)
 			}
 			header, err := parseHeaders(headers)
 			if err != nil {
@@ -123,8 +123,8 @@
 		},
 	}
 	addFileFlag(cmd, &path)
-	cmd.Flags().StringArrayVarP(&headers, "header", "H", nil, "a header of the request, as 'Name: value'; may come again")
-	cmd.Flags().StringVar(&listener, "listener", "", "the listener at which it comes (default: the first of the file that takes it)")
+	cmd.Flags().StringArrayVarP(&headers, "header", "H", nil, "a header of the request, as 'Name: value'; may be repeated")
+	cmd.Flags().StringVar(&listener, "listener", "", "the listener of the request (default: the first one of its protocol in the file)")
 	cmd.Flags().BoolVar(&isCall, "grpc", false, "the request is a gRPC call, and the argument its method")
 	return cmd
 }
@@ -135,7 +135,7 @@
 	for _, text := range texts {
 		name, value, found := strings.Cut(text, ":")
 		if !found || strings.TrimSpace(name) == "" {
-			return nil, fmt.Errorf("-H %q: write it as 'Name: value'", text)
+			return nil, fmt.Errorf("-H %q must have the form 'Name: value'", text)
 		}
 		header.Add(strings.TrimSpace(name), strings.TrimSpace(value))
 	}
@@ -153,11 +153,11 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var attempts []trace.Attempt
 			for _, path := range args {
-				ofFile, err := readTrace(path)
+				fileAttempts, err := readTrace(path)
 				if err != nil {
 					return err
 				}
-				attempts = append(attempts, ofFile...)
+				attempts = append(attempts, fileAttempts...)
 			}
 			return trace.Print(cmd.OutOrStdout(), attempts, root)
 		},
@@ -206,10 +206,10 @@
 	var options demo.Options
 	cmd := &cobra.Command{
 		Use:   "demo",
-		Short: "Run a sidecar over stand-in servers with a light load, and show what it does",
-		Long: `Starts in one process, with no file, a sidecar over stand-in servers of two pools, one of them slow and one that
-restarts, and a light load. Prints the address and a curl line, and then a table of pools and servers, each second.
-Ends at an interrupt, or by itself after --for, with a summary.`,
+		Short: "Run a sidecar with simulated servers and a light load, and show its measurements",
+		Long: `Starts a sidecar in one process without any file, with two pools of simulated servers, one of which is slow and one of which
+restarts, and a light load. Prints the address and a curl command, then a table of pools and servers every second.
+Ends at an interrupt or after --for, with a summary.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := untilTerminated(cmd.Context())
@@ -218,10 +218,10 @@
 			return demo.Run(ctx, options)
 		},
 	}
-	cmd.Flags().DurationVar(&options.Duration, "for", 0, "end by itself after this time (default: at an interrupt)")
-	cmd.Flags().StringVar(&options.Address, "address", "127.0.0.1:0", "where the sidecar listens")
-	cmd.Flags().IntVar(&options.Rate, "rate", 100, "requests a second")
-	cmd.Flags().DurationVar(&options.TableInterval, "every", time.Second, "between two tables")
+	cmd.Flags().DurationVar(&options.Duration, "for", 0, "end after this time (default: at an interrupt)")
+	cmd.Flags().StringVar(&options.Address, "address", "127.0.0.1:0", "the address on which the sidecar listens")
+	cmd.Flags().IntVar(&options.Rate, "rate", 100, "requests per second")
+	cmd.Flags().DurationVar(&options.TableInterval, "every", time.Second, "time between two tables")
 	return cmd
 }
 
--- a/cmd/milletmast/controlnode.go
+++ b/cmd/milletmast/controlnode.go
@@ -15,13 +15,13 @@
 	"milletmast/internal/sidecar"
 )
 
-// controlNode is an instance as its control socket shows it.
+// controlNode serves an instance on its control socket; it implements control.Node.
 type controlNode struct {
 	instance *sidecar.Instance
-	name     string        // "" for that of the file
+	name     string        // of the instance; "" for the name in the operator file
 	startID  string        // of this process
-	path     string        // of the file at the start; paths in configurations are relative to it
-	members  *gossip.Group // nil for none
+	path     string        // of the operator file; paths in applied configurations are relative to its directory
+	members  *gossip.Group // nil if the instance is not a member of a cluster
 }
 
 func newControlNode(instance *sidecar.Instance, members *gossip.Group, name, path string) *controlNode {
@@ -54,7 +54,7 @@
 	return out
 }
 
-// Apply applies the text of an operator file as if it were in the file of the start.
+// Apply applies the text of an operator file as if the file at n.path contained it.
 func (n *controlNode) Apply(text []byte) error {
 	cfg, err := operator.Parse(n.path, text)
 	if err != nil {
@@ -67,7 +67,7 @@
 // Drain starts or ends the drain of the instance.
 func (n *controlNode) Drain(drain bool) { n.instance.SetNotReady(drain) }
 
-// Pin keeps a level of a pool in force for a time. An empty level ends the pin of the pool.
+// Pin keeps a degradation level of a pool in force for a time. An empty level ends the pin of the pool.
 func (n *controlNode) Pin(pool, level string, ttl time.Duration) error {
 	if level == "" {
 		return n.instance.Unpin(pool)
@@ -75,7 +75,7 @@
 	return n.instance.Pin(pool, level, ttl)
 }
 
-// shedStatus converts the decision of load shedding for a pool to the control API; nil for none.
+// shedStatus converts the load shedding decision for a pool to the control API; nil for none.
 func shedStatus(decision *loadshed.Decision, classes []string) *controlpb.AllotStatus {
 	if decision == nil || decision.AdmitRatio == nil {
 		return nil
@@ -90,7 +90,7 @@
 	return out
 }
 
-// membersStatus converts the view that an instance has of its fleet to the control API.
+// membersStatus converts an instance's view of its cluster to the control API.
 func membersStatus(group *gossip.Group) *controlpb.MembersStatus {
 	view := group.View()
 	sent, heldBack := group.ByteCounts()
@@ -107,7 +107,7 @@
 	return out
 }
 
-// levelStatus converts the level of a pool to the control API; nil for none.
+// levelStatus converts the degradation level of a pool to the control API; nil for none.
 func levelStatus(status *degradation.Status, classes []string) *controlpb.LevelStatus {
 	if status == nil {
 		return nil
--- a/cmd/milletmast/import.go
+++ b/cmd/milletmast/import.go
@@ -18,7 +18,7 @@
 var errDropped = errors.New("not everything was carried over")
 
 func importCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "import", Short: "Turn another program's routing into an operator file", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "import", Short: "Convert the configuration of another proxy to an operator file", Args: cobra.NoArgs}
 	cmd.AddCommand(importNginxCommand())
 	return cmd
 }
@@ -27,10 +27,10 @@
 	var conversion nginxImport
 	cmd := &cobra.Command{
 		Use:   "nginx FILE [-o OUT.toml] [--report REPORT.json] [--strict]",
-		Short: "Turn upstream, server and location blocks of nginx into an operator file, and tell what was not carried over",
-		Long: `Reads an nginx configuration, or a part of one, with what it includes. Writes an operator file to OUT or to standard
-output, and to standard error a table of all that differs or was dropped, with totals. Exit status: 0 if all was carried over, if
-need be with a difference that is told; 3 if something was dropped; 1 on an error.`,
+		Short: "Convert upstream, server and location blocks of nginx to an operator file, and report what differs or was dropped",
+		Long: `Reads an nginx configuration, or a part of one, and the files that it includes. Writes an operator file to OUT or to standard
+output, and to standard error a table of all directives that differ or were dropped, with totals. Exit status: 0 if every directive
+was converted, possibly with a difference that the table lists; 3 if a directive was dropped; 1 on an error.`,
 		Example: "  milletmast import nginx /etc/nginx/nginx.conf -o shop.toml --report shop.json\n  milletmast check -f shop.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE:    func(cmd *cobra.Command, args []string) error { return conversion.run(cmd, args[0]) },
@@ -41,10 +41,10 @@
 	return cmd
 }
 
-// nginxImport is one call of import nginx.
+// nginxImport holds the flags of import nginx.
 type nginxImport struct {
 	outPath    string // of the operator file; "" for standard output
-	reportPath string // "" for none
+	reportPath string // of the JSON report; "" for none
 	strict     bool   // whether to write no operator file if anything was dropped
 }
 
@@ -55,9 +55,9 @@
 		return err
 	}
 	text, report := nginx.Import(source)
-	if _, err := operator.Parse(cmp.Or(n.outPath, "import.toml"), []byte(text)); err != nil { // only a valid file is written
+	if _, err := operator.Parse(cmp.Or(n.outPath, "import.toml"), []byte(text)); err != nil { // an invalid file is not written
 		fmt.Fprintln(cmd.ErrOrStderr(), err)
-		return fmt.Errorf("%s: what it says makes no operator file", nginxPath)
+		return fmt.Errorf("%s: the result of its conversion is not a valid operator file", nginxPath)
 	}
 	if err := report.Table(cmd.ErrOrStderr()); err != nil {
 		return err
@@ -92,7 +92,7 @@
 	})
 }
 
-// replaceFile replaces a file by a rename, so that it is complete or as it was.
+// replaceFile replaces a file atomically, by a rename.
 func replaceFile(path string, write func(*os.File) error) error {
 	file, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
--- a/cmd/milletmast/level.go
+++ b/cmd/milletmast/level.go
@@ -21,7 +21,7 @@
 	socket  string
 	pool    string        // "" for all
 	pin     string        // the level to pin; "" for none
-	pinTime time.Duration // that the pin lasts
+	pinTime time.Duration // how long the pin lasts
 	release bool          // whether to end a pin
 	json    bool
 }
@@ -30,9 +30,9 @@
 	var request levelRequest
 	cmd := &cobra.Command{
 		Use:   "level --control SOCKET [POOL] [--pin LEVEL --for TIME | --release]",
-		Short: "Tell the level of reduced service of an instance's pools, pin one or release it",
-		Long: `Asks a running instance by its control socket: for each pool with levels which one is in force, since when and why, what it
-sheds, when it can be left and the last changes. A pin keeps a level in force whatever the signals, and ends by itself.`,
+		Short: "Print the degradation levels of an instance's pools, pin a level or release it",
+		Long: `Queries a running instance over its control socket and prints for each pool with levels which one is in force, since when and
+why, what it sheds, when it can be left, and the latest changes. A pin keeps a level in force whatever the signals, and expires.`,
 		Example: "  milletmast level --control /run/milletmast.sock\n" +
 			"  milletmast level --control /run/milletmast.sock box --pin essential --for 10m",
 		Args: cobra.MaximumNArgs(1),
@@ -41,7 +41,7 @@
 				request.pool = args[0]
 			}
 			if request.changes() && request.pool == "" {
-				return errors.New("name the pool")
+				return errors.New("--pin and --release need the name of the pool")
 			}
 			ctx, cancel := withCallTimeout(cmd)
 			defer cancel()
@@ -55,7 +55,7 @@
 	addControlFlag(cmd, &request.socket)
 	flags := cmd.Flags()
 	flags.StringVar(&request.pin, "pin", "", "keep this level in force")
-	flags.DurationVar(&request.pinTime, "for", defaultPinTime, "for so long")
+	flags.DurationVar(&request.pinTime, "for", defaultPinTime, "how long the pin lasts")
 	flags.BoolVar(&request.release, "release", false, "end a pin")
 	flags.BoolVar(&request.json, "json", false, "print JSON")
 	cmd.MarkFlagsMutuallyExclusive("pin", "release")
@@ -81,7 +81,7 @@
 	return reply.GetStatus(), nil
 }
 
-// print prints the level of the pool, or without a name of all pools that have levels.
+// print prints the level of the named pool, or without a name those of all pools that have levels.
 func (r *levelRequest) print(w io.Writer, status *controlpb.InstanceStatus) error {
 	found := false
 	for _, pool := range status.GetPools() {
--- a/cmd/milletmast/level_test.go
+++ b/cmd/milletmast/level_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// An instance tells its levels by its control socket, and takes pins there.
+// The level command prints the levels of an instance and pins them, over its control socket.
 func TestLevelCommand(t *testing.T) {
-	path := edited(t, `"127.0.0.1:8080"`, `"127.0.0.1:0"`, `"127.0.0.1:8081"`, `"127.0.0.1:0"`, `[[pool.server]]
+	path := editedExample(t, `"127.0.0.1:8080"`, `"127.0.0.1:0"`, `"127.0.0.1:8081"`, `"127.0.0.1:0"`, `[[pool.server]]
 address = "127.0.0.1:9001"`, `[[pool.level]]
 name = "lean"
 enter = [{ signal = "late", over = 0.5 }]
@@ -21,7 +21,7 @@
 [[pool.server]]
 address = "127.0.0.1:9001"`)
 	socket := filepath.Join(t.TempDir(), "s")
-	cmd := exec.Command(build(t), "serve", "-f", path, "--control", socket)
+	cmd := exec.Command(buildProgram(t), "serve", "-f", path, "--control", socket)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -31,13 +31,13 @@
 	}
 	killAtEnd(t, cmd)
 	lines := bufio.NewScanner(stderr)
-	logged(t, lines, `INFO listen listener=(public)`)
+	waitForLog(t, lines, `INFO listen listener=(public)`)
 	for {
 		if _, err := os.Stat(socket); err == nil {
 			break
 		}
 	}
-	for _, k := range []struct {
+	for _, c := range []struct {
 		args  string
 		want  []string // each is in what is printed, or in the error
 		wrong bool
@@ -51,18 +51,18 @@
 		{"box --pin none", []string{"no such level"}, true},
 		{"nowhere --release", []string{"no such pool"}, true},
 		{"box --pin lean --for 48h", []string{"24h"}, true},
-		{"--pin lean", []string{"name the pool"}, true},
+		{"--pin lean", []string{"need the name of the pool"}, true},
 	} {
-		out, _, err := play(t, append([]string{"level", "--control", socket}, strings.Fields(k.args)...)...)
-		if (err != nil) != k.wrong {
-			t.Errorf("%q: %v", k.args, err)
+		out, _, err := runCommand(t, append([]string{"level", "--control", socket}, strings.Fields(c.args)...)...)
+		if (err != nil) != c.wrong {
+			t.Errorf("%q: %v", c.args, err)
 		}
 		if err != nil {
 			out = err.Error()
 		}
-		for _, want := range k.want {
+		for _, want := range c.want {
 			if !strings.Contains(out, want) {
-				t.Errorf("%q: no %q in %q", k.args, want, out)
+				t.Errorf("%q: no %q in %q", c.args, want, out)
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	if _, _, err := play(t, "level", "--control", socket); err == nil {
-		t.Error("an instance that is gone has answered")
+	if _, _, err := runCommand(t, "level", "--control", socket); err == nil {
+		t.Error("an instance that has ended has responded")
 	}
 }
--- a/cmd/milletmast/main.go
+++ b/cmd/milletmast/main.go
@@ -1,5 +1,5 @@
-// Command milletmast is one sidecar: it accepts requests over HTTP, and the decision module chooses the server of each. Without
-// arguments and with RELAY_CONFIG set it is the platform's program; its subcommands work with an operator file.
+// Command milletmast is a sidecar: it accepts requests over HTTP, and a decision module chooses the server of each. Without
+// arguments and with RELAY_CONFIG set it runs as a sidecar of the platform; its subcommands work with an operator file.
 package main
 
 import (
@@ -11,7 +11,7 @@
 // Exit statuses.
 const (
 	exitFailure = 1
-	exitDropped = 3 // import could not convert everything
+	exitDropped = 3 // import has dropped a directive
 )
 
 func main() {
--- a/cmd/milletmast/main_test.go
+++ b/cmd/milletmast/main_test.go
@@ -19,8 +19,8 @@
 	"milletmast/internal/testcluster"
 )
 
-// build compiles the program as the deploy file does.
-func build(t *testing.T) string {
+// buildProgram builds the program and returns its path.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "milletmast")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
@@ -29,10 +29,10 @@
 	return bin
 }
 
-// program runs the program on a configuration until the test ends. It returns the lines of its log.
-func program(t *testing.T, getenv func(string) string) (*exec.Cmd, *bufio.Scanner) {
+// startProgram runs the program with a platform configuration until the test ends. It returns the lines of its log.
+func startProgram(t *testing.T, getenv func(string) string) (*exec.Cmd, *bufio.Scanner) {
 	t.Helper()
-	cmd := exec.Command(build(t))
+	cmd := exec.Command(buildProgram(t))
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+getenv("RELAY_CONFIG"))
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
@@ -63,8 +63,8 @@
 	}
 }
 
-// logged reads the log up to a line that matches and returns what the pattern's group holds.
-func logged(t *testing.T, lines *bufio.Scanner, pattern string) string {
+// waitForLog reads the log up to a line that matches and returns the text of the pattern's group.
+func waitForLog(t *testing.T, lines *bufio.Scanner, pattern string) string {
 	t.Helper()
 	for lines.Scan() {
 		if m := regexp.MustCompile(pattern).FindStringSubmatch(lines.Text()); m != nil {
@@ -75,11 +75,11 @@
 	return ""
 }
 
-// The program serves where it is told to, and SIGTERM is a clean exit, not a crash.
+// The program serves on the configured address, and exits with status 0 at SIGTERM.
 func TestProgram(t *testing.T) {
-	cmd, lines := program(t, env(t, strings.Replace(good, "127.0.0.1:8443", "127.0.0.1:0", 1)))
-	addr := logged(t, lines, `INFO serve .*listen=(\S+)`)
-	// The line is logged when the listener accepts; the loop may apply the list of servers a moment later.
+	cmd, lines := startProgram(t, writePlatformConfig(t, strings.Replace(platformConfig, "127.0.0.1:8443", "127.0.0.1:0", 1)))
+	addr := waitForLog(t, lines, `INFO serve .*listen=(\S+)`)
+	// The line is logged when the listener accepts; the server list may be applied a moment later.
 	ready := func() bool {
 		res, err := http.Get("http://" + addr + "/-/ready")
 		if err != nil {
@@ -92,23 +92,23 @@
 		t.Fatal(err)
 	}
 	sendSignal(t, cmd, syscall.SIGTERM)
-	for lines.Scan() { // to the end of its log
+	for lines.Scan() { // until the log ends
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("SIGTERM: %v", err)
 	}
 }
 
-// SIGHUP, which ends a program that does not handle it, moves discovery to where the file says now. A file that
-// cannot be used is told in one line and changes nothing. It is legal during a drain as well.
-func TestHangupMovesDiscovery(t *testing.T) {
-	getenv := env(t, strings.Replace(good, "127.0.0.1:8443", "127.0.0.1:0", 1))
-	cmd, lines := program(t, getenv)
-	logged(t, lines, `(INFO serve )`)
-	for _, c := range []struct{ text, signs string }{
+// At SIGHUP the program changes the discovery address to that of the file, also during a drain. An invalid file is reported in
+// one log line and changes nothing.
+func TestHangupChangesDiscoveryAddress(t *testing.T) {
+	getenv := writePlatformConfig(t, strings.Replace(platformConfig, "127.0.0.1:8443", "127.0.0.1:0", 1))
+	cmd, lines := startProgram(t, getenv)
+	waitForLog(t, lines, `(INFO serve )`)
+	for _, c := range []struct{ text, logPattern string }{
 		{"{", `(reject configuration)`},
-		{strings.Replace(good, "127.0.0.1:8500", "127.0.0.1:8501", 1), `change discovery address.* addr=(127.0.0.1:8501)`},
-		{strings.Replace(good, "127.0.0.1:8500", "127.0.0.1:8502", 1), `change discovery address.* addr=(127.0.0.1:8502)`},
+		{strings.Replace(platformConfig, "127.0.0.1:8500", "127.0.0.1:8501", 1), `change discovery address.* addr=(127.0.0.1:8501)`},
+		{strings.Replace(platformConfig, "127.0.0.1:8500", "127.0.0.1:8502", 1), `change discovery address.* addr=(127.0.0.1:8502)`},
 	} {
 		if err := os.WriteFile(getenv("RELAY_CONFIG"), []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
@@ -117,7 +117,7 @@
 			sendSignal(t, cmd, syscall.SIGTERM)
 		}
 		sendSignal(t, cmd, syscall.SIGHUP)
-		logged(t, lines, c.signs)
+		waitForLog(t, lines, c.logPattern)
 	}
 	for lines.Scan() {
 	}
@@ -126,8 +126,8 @@
 	}
 }
 
-// A SIGHUP that comes before the program listens to it, as a new configuration for a sidecar that is just starting, must not end it: the
-// deploy file's command ignores it until then, and the file is read afterwards. After that it is heard.
+// A SIGHUP that arrives before the program handles it, as when a sidecar is reconfigured during its start, must not end the program. The
+// command of the deploy file ignores the signal until then. Once the program serves, SIGHUP reloads the file.
 func TestHangupDuringStart(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -137,10 +137,10 @@
 	if run == nil {
 		t.Fatal("the deploy file has no run")
 	}
-	bin := build(t)
+	bin := buildProgram(t)
 	command := strings.Replace(string(run[1]), "bin/milletmast", bin, 1)
 	for range 10 {
-		getenv := env(t, strings.Replace(good, "127.0.0.1:8443", "127.0.0.1:0", 1))
+		getenv := writePlatformConfig(t, strings.Replace(platformConfig, "127.0.0.1:8443", "127.0.0.1:0", 1))
 		cmd := exec.Command("/bin/sh", "-c", command)
 		cmd.Env = append(os.Environ(), "RELAY_CONFIG="+getenv("RELAY_CONFIG"))
 		stderr, err := cmd.StderrPipe()
@@ -154,15 +154,15 @@
 		serving := make(chan bool)
 		lines := bufio.NewScanner(stderr)
 		go func() {
-			logged(t, lines, `(INFO serve )`)
+			waitForLog(t, lines, `(INFO serve )`)
 			close(serving)
 		}()
-		for up := false; !up; {
+		for isServing := false; !isServing; {
 			select {
 			case <-serving:
-				up = true
+				isServing = true
 			case <-time.After(200 * time.Microsecond):
-				// The shell itself is not the program yet, and may still have to read the command that has it ignore the signal.
+				// No signal is sent to the shell: it may not have run the command that ignores the signal yet.
 				if name, err := os.Readlink("/proc/" + strconv.Itoa(cmd.Process.Pid) + "/exe"); err == nil && name == bin {
 					sendSignal(t, cmd, syscall.SIGHUP)
 				}
@@ -172,7 +172,7 @@
 			t.Fatal(err)
 		}
 		sendSignal(t, cmd, syscall.SIGHUP)
-		logged(t, lines, `(reject configuration)`)
+		waitForLog(t, lines, `(reject configuration)`)
 		sendSignal(t, cmd, syscall.SIGTERM)
 		for lines.Scan() {
 		}
@@ -182,23 +182,23 @@
 	}
 }
 
-// What an operator got wrong is told in one line, and the platform sees that it did not start.
+// For an invalid configuration the program prints one line that names the field, and exits with a failure status.
 func TestProgramNamesBadConfiguration(t *testing.T) {
-	getenv := env(t, strings.Replace(good, "8c1f30d27a5be964", "often", 1))
-	cmd := exec.Command(build(t))
+	getenv := writePlatformConfig(t, strings.Replace(platformConfig, "8c1f30d27a5be964", "often", 1))
+	cmd := exec.Command(buildProgram(t))
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+getenv("RELAY_CONFIG"))
 	out, err := cmd.CombinedOutput()
 	if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "seed") {
-		t.Errorf("error %v, told %q", err, out)
+		t.Errorf("error %v, printed %q", err, out)
 	}
 }
 
-// An upgrade as the platform does it: the program is started a second time beside the first, with another address for
-// operators; once that says yes the first is told to end, and does so cleanly.
+// An upgrade as the platform does it: a second process is started beside the first, with another admin address. Once it reports
+// healthy, the first gets SIGTERM and exits with status 0. The second must keep the endpoint that was cordoned at the first.
 func TestProgramUpgrade(t *testing.T) {
-	two := `"targets":[{"uid":"s-2","endpoint":"127.0.0.1:10","az":"z","state":"Ready"},`
-	getenv := env(t, strings.NewReplacer("127.0.0.1:8443", freeport.AddressForTest(t), `"targets":[`, two).Replace(good))
-	folder, bin := t.TempDir(), build(t)
+	extraTarget := `"targets":[{"uid":"s-2","endpoint":"127.0.0.1:10","az":"z","state":"Ready"},`
+	getenv := writePlatformConfig(t, strings.NewReplacer("127.0.0.1:8443", freeport.AddressForTest(t), `"targets":[`, extraTarget).Replace(platformConfig))
+	folder, bin := t.TempDir(), buildProgram(t)
 	serve := func() (*exec.Cmd, string) {
 		addr := freeport.AddressForTest(t)
 		cmd := exec.Command(bin)
@@ -209,7 +209,7 @@
 		killAtEnd(t, cmd)
 		return cmd, "http://" + addr + "/admin/"
 	}
-	ready := func(base string) {
+	waitUntilHealthy := func(base string) {
 		t.Helper()
 		for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 			if res, err := http.Get(base + "health"); err == nil {
@@ -219,32 +219,32 @@
 				}
 			}
 			if time.Now().After(end) {
-				t.Fatal("never ready")
+				t.Fatal("not healthy after 10 s")
 			}
 		}
 	}
 	old, first := serve()
-	ready(first)
+	waitUntilHealthy(first)
 	if res, err := http.Post(first+"cordon?name=s-none", "", nil); err != nil || res.StatusCode != http.StatusNotFound {
-		t.Errorf("an endpoint that is not there: %v, %v", res, err)
+		t.Errorf("cordon of an unknown endpoint: %v, %v", res, err)
 	}
 	if res, err := http.Post(first+"cordon?name=s-1", "", nil); err != nil || res.StatusCode != http.StatusOK {
-		t.Errorf("out: %v, %v", res, err)
+		t.Errorf("cordon: %v, %v", res, err)
 	}
 	next, second := serve()
-	ready(second)
+	waitUntilHealthy(second)
 	sendSignal(t, old, syscall.SIGTERM)
 	if err := old.Wait(); err != nil {
 		t.Errorf("the old process: %v", err)
 	}
-	ready(second)
+	waitUntilHealthy(second)
 	res, err := http.Get(second + "stats")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer res.Body.Close()
 	if text, err := io.ReadAll(res.Body); err != nil || !strings.Contains(string(text), "sidecar_members_held 1\n") {
-		t.Errorf("the new process does not hold out what the old one did: %v\n%s", err, text)
+		t.Errorf("the new process does not keep the endpoint cordoned: %v\n%s", err, text)
 	}
 	sendSignal(t, next, syscall.SIGTERM)
 	if err := next.Wait(); err != nil {
--- a/cmd/milletmast/members.go
+++ b/cmd/milletmast/members.go
@@ -17,8 +17,8 @@
 // maxPendingSummaries bounds the summaries that wait to be sent to the other members.
 const maxPendingSummaries = 64
 
-// joinMembers makes an instance a member of its fleet until ctx ends. leave then waits for that and announces to the others that it
-// leaves. Without a table members it does nothing, and the group is nil.
+// joinMembers makes an instance a member of its cluster until ctx ends. leave waits for that, and then announces to the other members
+// that the instance leaves. Without a table members, joinMembers does nothing, and the group is nil.
 func joinMembers(
 	ctx context.Context, cfg *operator.Config, instance *sidecar.Instance,
 ) (group *gossip.Group, leave func(), err error) {
@@ -37,7 +37,7 @@
 	instance.JoinFleet(members.Name, incarnation, func(pool string, summary loadshed.Summary) {
 		select {
 		case pending <- summary.Marshal(pool):
-		default: // a newer one follows
+		default: // dropped, as a newer summary follows
 		}
 	})
 	group, err = gossip.Join(gossip.Config{
@@ -70,7 +70,7 @@
 	instance.HandleSummary(pool, summary)
 }
 
-// followMembers sends pending summaries and applies each new view of the fleet to the instance, until ctx ends.
+// followMembers sends pending summaries and applies each new view of the cluster to the instance, until ctx ends.
 func followMembers(ctx context.Context, group *gossip.Group, instance *sidecar.Instance, pending <-chan []byte) {
 	for {
 		select {
@@ -88,8 +88,8 @@
 	}
 }
 
-// presentMembers returns the names of the members that have not failed or left, this one included. They count even while this replica
-// may be cut off: the last summaries of unreachable ones expire soon.
+// presentMembers returns the names of the members that have not failed or left, this one included. They are included even while
+// this replica may be partitioned from them, as the latest summaries of unreachable members expire soon.
 func presentMembers(view clusterview.View) (names []string) {
 	for _, member := range view.Members {
 		if member.State == clusterview.Alive || member.State == clusterview.Suspect {
@@ -99,7 +99,7 @@
 	return names
 }
 
-// programVersion returns the version that the build recorded, or "" for none.
+// programVersion returns the version that is recorded in the build information, or "" if there is none.
 func programVersion() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Version
--- a/cmd/milletmast/members_test.go
+++ b/cmd/milletmast/members_test.go
@@ -19,15 +19,15 @@
 	os.Exit(m.Run())
 }
 
-// Four instances whose files tell two copies find each other and go by what they see; one ends as it should, and the
-// others go by three at once. An instance without the table has nothing of it.
+// Four instances whose files configure two replicas find each other and assume four. After one of them has left, the others
+// assume three. An instance without the table members joins nothing.
 func TestServeMembers(t *testing.T) {
 	r, err := testcluster.New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	bin := build(t)
+	bin := buildProgram(t)
 	start := func(name, members string) *testcluster.Process {
 		t.Helper()
 		path := filepath.Join(r.Dir, name+".toml")
@@ -62,7 +62,7 @@
 		p := start(fmt.Sprint("i", i), fmt.Sprintf("[members]\nlisten = \"127.0.0.1:0\"\ncluster = \"shop\"\nprobe = \"200ms\"\ncopies = 2\nrank = %d\nseeds = [%s]\n", i%2, seed))
 		all = append(all, p)
 		if seed == "" {
-			wait("the first one listens", func() bool { return p.Output.Find(address) != "" })
+			wait("the first instance listens", func() bool { return p.Output.Find(address) != "" })
 			seed = fmt.Sprintf("%q", p.Output.Find(address))
 		}
 	}
@@ -76,7 +76,7 @@
 			return true
 		}
 	}
-	wait("four agree", agree(4, all...))
+	wait("four instances agree", agree(4, all...))
 	members := func(name string) string {
 		t.Helper()
 		out, err := exec.Command(bin, "members", "--control", filepath.Join(r.Dir, name+".sock")).CombinedOutput()
@@ -86,21 +86,21 @@
 		return string(out)
 	}
 	for _, want := range []string{"standing  agreed", "copies    4", "in sight  4 of 4", "i2      alive for", "members heard  4", "let through    all"} {
-		if told := members("i0"); !strings.Contains(told, want) {
-			t.Errorf("no %q in\n%s", want, told)
+		if out := members("i0"); !strings.Contains(out, want) {
+			t.Errorf("no %q in\n%s", want, out)
 		}
 	}
 	if !all[2].Terminate(10*time.Second) || all[2].ExitCode() != 0 {
-		t.Errorf("an instance with members ends with %s", all[2].Status())
+		t.Errorf("the instance that leaves has ended with %s", all[2].Status())
 	}
-	wait("three agree", agree(3, all[0], all[1], all[3]))
-	if told := members("i0"); !strings.Contains(told, "i2      left for") || !strings.Contains(told, "3 of 4") {
-		t.Errorf("of one that has left:\n%s", told)
+	wait("three instances agree", agree(3, all[0], all[1], all[3]))
+	if out := members("i0"); !strings.Contains(out, "i2      left for") || !strings.Contains(out, "3 of 4") {
+		t.Errorf("the member that has left is shown as\n%s", out)
 	}
 	none := start("none", "")
-	wait("the one without members listens", func() bool { return strings.Contains(none.Output.String(), "listen listener=") })
+	wait("the instance without members listens", func() bool { return strings.Contains(none.Output.String(), "listen listener=") })
 	if strings.Contains(none.Output.String(), "members") {
-		t.Errorf("without the table: %s", none.Output)
+		t.Errorf("without the table members, the log is\n%s", none.Output)
 	}
 }
 
--- a/cmd/milletmast/memberscommand.go
+++ b/cmd/milletmast/memberscommand.go
@@ -13,15 +13,15 @@
 	"milletmast/internal/control/controlpb"
 )
 
-// errNoMembers is returned for an instance that has no table members.
-var errNoMembers = errors.New("the instance has no members: its file has no table members")
+// errNoMembers is returned for an instance whose operator file has no table members.
+var errNoMembers = errors.New("the instance is not a member of a cluster: its operator file has no table members")
 
 func membersCommand() *cobra.Command {
 	var socket string
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "members --control SOCKET",
-		Short: "Tell whom an instance sees of its fleet, the figures it goes by and why, and what its pools let through together",
+		Short: "Print an instance's view of its cluster, the replica count that it assumes and why, and the load that its pools admit",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := withCallTimeout(cmd)
@@ -44,7 +44,7 @@
 	return cmd
 }
 
-// printMembers prints the membership of an instance, its members, and what its pools admit together with those of the others.
+// printMembers prints an instance's view of its cluster, its members, and the load that its pools admit together with the other replicas.
 func printMembers(w io.Writer, status *controlpb.InstanceStatus, now time.Time) error {
 	members := status.Members
 	table := newTable(w)
@@ -55,7 +55,7 @@
 	fmt.Fprintf(table, "sent\t%d bytes, %d held back\n", members.SentBytes, members.HeldBackBytes)
 	fmt.Fprintln(table, "\nmember\tstate\tprogram")
 	for _, member := range members.Members {
-		fmt.Fprintf(table, "%s\t%s\t%s\n", member.Name, control.DescribeBelief(member, now), member.Version)
+		fmt.Fprintf(table, "%s\t%s\t%s\n", member.Name, control.DescribeMember(member, now), member.Version)
 	}
 	for _, pool := range status.Pools {
 		if pool.Allot == nil || pool.Ending {
--- a/cmd/milletmast/platform.go
+++ b/cmd/milletmast/platform.go
@@ -12,14 +12,14 @@
 	"milletmast/internal/sidecar"
 )
 
-// goMemoryShare is the share of the memory limit that the Go runtime may use. The rest is for what the runtime doesn't count, and for
-// allocations during a collection.
+// goMemoryShare is the fraction of the memory limit that the Go runtime may use. The rest is for memory that the runtime does not count,
+// and for allocations during a garbage collection.
 const goMemoryShare = 0.6
 
 const bytesPerMB = 1 << 20
 
-// runPlatform runs the platform's program until SIGTERM or an interrupt: a sidecar with one listener and one pool, whose configuration
-// RELAY_CONFIG names.
+// runPlatform runs a sidecar of the platform until SIGTERM or an interrupt. It has one listener and one pool, and RELAY_CONFIG names its
+// configuration file.
 func runPlatform() error {
 	hangups := make(chan os.Signal, 1) // one pending signal is enough: the file is read when it is handled
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(1) // one core is all a sidecar has
+	runtime.GOMAXPROCS(1) // the platform gives a sidecar one core
 	cfg.OnMemoryShare = func(share float64) {
 		debug.SetMemoryLimit(int64(goMemoryShare * share * float64(cfg.MemoryMB) * bytesPerMB))
 	}
@@ -48,8 +48,8 @@
 	return s.Run(ctx)
 }
 
-// reloadPlatform reads the configuration again and applies the address of discovery. Other changes apply from the next start on. A file
-// that cannot be used changes nothing.
+// reloadPlatform reads the configuration again and applies the address of discovery. Other changes apply from the next start on. An
+// invalid file changes nothing.
 func reloadPlatform(s *sidecar.Sidecar) {
 	cfg, err := loadPlatformConfig(os.Getenv)
 	s.CountReload(err)
--- a/cmd/milletmast/platformconfig.go
+++ b/cmd/milletmast/platformconfig.go
@@ -20,7 +20,7 @@
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Operators string `json:"mgmt"` // address for operators' calls
+	Operators string `json:"mgmt"` // address of the admin API
 	Seed      string `json:"seed"`
 	Limits    struct {
 		MemoryMB int `json:"memory_mb"`
@@ -30,7 +30,8 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// loadPlatformConfig reads the file that RELAY_CONFIG names. Other variables replace what it leaves out.
+// loadPlatformConfig reads the file that RELAY_CONFIG names. RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY and RELAY_MGMT replace fields that
+// it leaves out.
 func loadPlatformConfig(getenv func(string) string) (sidecar.Config, error) {
 	path := getenv(configVariable)
 	if path == "" {
@@ -61,7 +62,7 @@
 	return cfg, nil
 }
 
-// parseInto validates the addresses and limits of cfg, and sets its fields that have to be parsed.
+// parseInto validates the addresses and limits of cfg, and sets the fields that are parsed from text or JSON.
 func (f *platformFile) parseInto(cfg *sidecar.Config) (err error) {
 	if err := validateAddresses(cfg); err != nil {
 		return err
@@ -70,10 +71,10 @@
 		return fmt.Errorf("seed: %w", err)
 	}
 	if cfg.MemoryMB < 1 {
-		return fmt.Errorf("limits.memory_mb: %d is no limit", cfg.MemoryMB)
+		return fmt.Errorf("limits.memory_mb: %d must be at least 1", cfg.MemoryMB)
 	}
 	if cfg.Sockets < sidecar.MinSockets {
-		return fmt.Errorf("limits.sockets: %d is under the %d needed", cfg.Sockets, sidecar.MinSockets)
+		return fmt.Errorf("limits.sockets: %d is below the minimum of %d", cfg.Sockets, sidecar.MinSockets)
 	}
 	if cfg.Site, err = wire.ParseSite(f.Settings); err != nil {
 		return err
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// validateAddresses returns an error that names the first address that is none. The one for operators may be absent.
+// validateAddresses returns an error that names the first invalid address. The address of the admin API may be absent.
 func validateAddresses(cfg *sidecar.Config) error {
 	for _, address := range []struct {
 		key, value string
--- a/cmd/milletmast/platformconfig_test.go
+++ b/cmd/milletmast/platformconfig_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const platformConfig = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peers":["127.0.0.1:1"],
 	"known":{"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"z","state":"Ready"}]},
 	"settings":{"stages":["a"],"zones":["z"],"classes":[{"name":"read","aim":500,"giveUp":1000,"effect":"read_like"}]}}`
 
-// env writes a configuration and returns the environment that names it.
-func env(t *testing.T, text string) func(string) string {
+// writePlatformConfig writes a configuration file and returns an environment lookup in which RELAY_CONFIG names it.
+func writePlatformConfig(t *testing.T, text string) func(string) string {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -24,7 +24,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	cfg, err := loadPlatformConfig(env(t, good))
+	cfg, err := loadPlatformConfig(writePlatformConfig(t, platformConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,13 +32,13 @@
 		cfg.InitialList.Rev != 41 || len(cfg.InitialList.Targets) != 1 || cfg.Site.Settings.Classes[0].Name != "read" {
 		t.Errorf("configuration %+v", cfg)
 	}
-	cfg, err = loadPlatformConfig(env(t, strings.Replace(good, `"listen":"127.0.0.1:8443",`, "", 1)))
+	cfg, err = loadPlatformConfig(writePlatformConfig(t, strings.Replace(platformConfig, `"listen":"127.0.0.1:8443",`, "", 1)))
 	if err != nil || cfg.Listen != "127.0.0.1:7000" {
-		t.Errorf("listen %q, error %v: RELAY_LISTEN stands in for what the file leaves out", cfg.Listen, err)
+		t.Errorf("listen %q, error %v, want the address in RELAY_LISTEN", cfg.Listen, err)
 	}
 }
 
-// A bad configuration must be told in one line that names the field.
+// The error for an invalid configuration is one line that names the field.
 func TestLoadNamesTheField(t *testing.T) {
 	for field, edit := range map[string][2]string{
 		"config.json":       {`{"name"`, `{name`},
@@ -51,12 +51,12 @@
 		"known: targets[0]": {`"state":"Ready"`, `"state":"Odd"`},
 		"classes[0]":        {`read_like`, `maybe`},
 	} {
-		_, err := loadPlatformConfig(env(t, strings.Replace(good, edit[0], edit[1], 1)))
+		_, err := loadPlatformConfig(writePlatformConfig(t, strings.Replace(platformConfig, edit[0], edit[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", field, err)
 		}
 	}
 	if _, err := loadPlatformConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
-		t.Errorf("no file named: error %v", err)
+		t.Errorf("RELAY_CONFIG not set: error %v", err)
 	}
 }
--- a/cmd/milletmast/serve.go
+++ b/cmd/milletmast/serve.go
@@ -23,15 +23,15 @@
 	"milletmast/internal/state"
 )
 
-// lastGoodReminder is the time between two log lines that the file in force isn't the one that was given.
+// lastGoodReminder is the time between two log lines about the use of the last good file instead of the given one.
 const lastGoodReminder = time.Minute
 
 // serveOptions are the flags of the serve command.
 type serveOptions struct {
 	path     string // of the operator file
 	socket   string // control socket; "" for none
-	name     string // of the instance; "" for that of the file
-	lastGood string // state directory with the operator file that replaces an unusable one at the start; "" for none
+	name     string // of the instance; "" for the name in the operator file
+	lastGood string // state directory with the last good operator file, the fallback for an invalid one at the start; "" for none
 }
 
 func serveCommand() *cobra.Command {
@@ -39,20 +39,20 @@
 	cmd := &cobra.Command{
 		Use:   "serve -f FILE",
 		Short: "Run a sidecar by an operator file",
-		Long: `Runs until SIGTERM or an interrupt, then finishes what was taken. SIGHUP loads the file again, whole or not at all: what
-is wrong in it is told in the log and changes nothing.`,
+		Long: `Runs until SIGTERM or an interrupt, then finishes the requests that it has accepted. SIGHUP reloads the file. If the file is
+invalid, its errors are logged and nothing changes.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return serve(cmd, &options) },
 	}
 	addFileFlag(cmd, &options.path)
-	cmd.Flags().StringVar(&options.socket, "control", "", "a Unix socket on which an agent may ask and change this instance (default: none)")
+	cmd.Flags().StringVar(&options.socket, "control", "", "a Unix socket on which an agent may query and change this instance (default: none)")
 	cmd.Flags().StringVar(&options.lastGood, "last-good", "",
-		"a state folder: if the operator file is missing or bad at the start, run the last good one that it keeps")
-	cmd.Flags().StringVar(&options.name, "name", "", "the name that it tells there (default: the file's)")
+		"a state directory: if the operator file is missing or invalid at the start, use its last good one")
+	cmd.Flags().StringVar(&options.name, "name", "", "the name that the instance reports there (default: the name in the file)")
 	return cmd
 }
 
-// serve runs an instance until a signal ends it, and returns after its drain.
+// serve runs an instance until SIGTERM or an interrupt, and returns after its drain.
 func serve(cmd *cobra.Command, options *serveOptions) error {
 	hangups := make(chan os.Signal, 1) // one pending signal is enough: the file is read when it is handled
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -87,7 +87,7 @@
 	})
 }
 
-// loadFileOrLastGood loads the operator file, or the last good one if the given one can't be used and options allow that.
+// loadFileOrLastGood loads the operator file, or the last good one if the file is invalid and the options name a state directory.
 func loadFileOrLastGood(cmd *cobra.Command, options *serveOptions) (cfg *operator.Config, isLastGood bool, err error) {
 	cfg, err = loadFile(cmd, options.path)
 	if err == nil || options.lastGood == "" {
@@ -108,7 +108,7 @@
 	go func() { controlEnded <- serveControl(controlCtx) }()
 	go func() { instanceEnded <- instance.Run(ctx) }()
 	select {
-	case err := <-controlEnded: // it failed, or there is none
+	case err := <-controlEnded: // the control socket failed, or there is none
 		if err != nil {
 			stop()
 		}
@@ -123,11 +123,11 @@
 type reloader struct {
 	instance   *sidecar.Instance
 	path       string
-	isLastGood bool   // whether the last good file is in force in place of the one at path
-	hash       string // of that last good file
+	isLastGood bool   // whether the last good file is in force instead of the one at path
+	hash       string // of the file in force at the start
 }
 
-// run handles hangups until ctx ends.
+// run reloads the file at each hangup until ctx ends, and logs a reminder while the last good file is in force.
 func (r *reloader) run(ctx context.Context, hangups <-chan os.Signal) {
 	reminder := time.NewTicker(lastGoodReminder)
 	defer reminder.Stop()
@@ -147,8 +147,8 @@
 	}
 }
 
-// openState opens the state that an instance keeps for its restart. It returns nil if there is none or it can't be opened; the instance
-// then starts without it, and the log gives the reason.
+// openState opens the state that an instance keeps for its restart. It returns nil if the configuration names none or it can't be opened.
+// The instance then starts without it, and an error is logged.
 func openState(cfg *operator.Config) *sidecar.Persistence {
 	if cfg.State.Path == "" {
 		return nil
@@ -164,7 +164,7 @@
 	return &sidecar.Persistence{Store: store, Loaded: contents, Interval: time.Duration(cfg.State.Every)}
 }
 
-// lastGoodFile returns the operator file that was in force last. cause is why the given one can't be used.
+// lastGoodFile returns the last good operator file of a state directory. cause is the error of the given file.
 func lastGoodFile(path string, cause error) (*operator.Config, error) {
 	contents, _, err := state.Inspect(path)
 	if err != nil {
@@ -172,7 +172,7 @@
 	}
 	good := contents.LastGood
 	if good == nil {
-		return nil, errors.Join(cause, fmt.Errorf("%s: no generation is kept there", path))
+		return nil, errors.Join(cause, fmt.Errorf("%s: no last good operator file is stored there", path))
 	}
 	cfg, err := operator.Parse(good.Path, good.Text)
 	if err != nil {
@@ -183,8 +183,8 @@
 	return cfg, nil
 }
 
-// reload loads the operator file again and reports whether it is in force now. What is wrong in it is logged, a line each, and changes
-// nothing.
+// reload loads the operator file again and reports whether it is in force now. The errors of an invalid file are logged, one
+// per line, and nothing changes.
 func reload(instance *sidecar.Instance, path string) bool {
 	cfg, err := operator.Load(path)
 	if err == nil {
@@ -200,7 +200,7 @@
 	return false
 }
 
-// applyLimits applies the limits of the process.
+// applyLimits sets the number of cores and the memory limit of the Go runtime.
 func applyLimits(limits operator.Limits) {
 	runtime.GOMAXPROCS(limits.Cores)
 	debug.SetMemoryLimit(int64(goMemoryShare * float64(limits.Memory)))
--- a/cmd/milletmast/state.go
+++ b/cmd/milletmast/state.go
@@ -17,13 +17,13 @@
 func stateCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "state",
-		Short: "Look at what an instance keeps for its restart, check it or forget it",
-		Long: `Works on the folder that an operator file names under [state]. show prints what it holds and verify checks it, also while the
-instance runs; reset forgets all of it, while none does. There is nothing to compact: each file is written whole.`,
+		Short: "Show, verify or delete the state that an instance keeps for its restart",
+		Long: `Works on the directory that an operator file names under [state]. show prints its contents and verify checks them, also while
+the instance runs; reset deletes them, while no instance uses the directory. Files need no compaction: each is written whole.`,
 	}
 	var asJSON bool
 	show := &cobra.Command{
-		Use: "show FOLDER", Short: "Print what a state folder holds", Args: cobra.ExactArgs(1),
+		Use: "show FOLDER", Short: "Print the contents of a state directory", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			contents, instance, err := state.Inspect(args[0])
 			if err != nil {
@@ -34,7 +34,7 @@
 	}
 	show.Flags().BoolVar(&asJSON, "json", false, "print all of it as JSON")
 	verify := &cobra.Command{
-		Use: "verify FOLDER", Short: "Check every file of a state folder", Args: cobra.ExactArgs(1),
+		Use: "verify FOLDER", Short: "Check every file of a state directory", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			contents, instance, err := state.Inspect(args[0])
 			if err != nil {
@@ -47,20 +47,20 @@
 	}
 	var yes bool
 	reset := &cobra.Command{
-		Use: "reset FOLDER --yes", Short: "Forget all that a state folder holds", Args: cobra.ExactArgs(1),
+		Use: "reset FOLDER --yes", Short: "Delete the contents of a state directory", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if !yes {
-				return errors.New("reset forgets measurements, pins and the last good generation: say --yes")
+				return errors.New("reset deletes measurements, pins and the last good generation: confirm with --yes")
 			}
 			return state.Clear(args[0])
 		},
 	}
-	reset.Flags().BoolVar(&yes, "yes", false, "do it")
+	reset.Flags().BoolVar(&yes, "yes", false, "confirm the deletion")
 	cmd.AddCommand(show, verify, reset)
 	return cmd
 }
 
-// showState prints what a state directory holds.
+// showState prints the contents of a state directory.
 func showState(w io.Writer, contents *state.Contents, instance string, asJSON bool) error {
 	if asJSON {
 		encoder := json.NewEncoder(w)
@@ -70,16 +70,16 @@
 	now := float64(time.Now().UnixMilli())
 	fmt.Fprintf(w, "instance=%s\n", instance)
 	for _, name := range slices.Sorted(maps.Keys(contents.Pools)) {
-		memory := contents.Pools[name].Learned
-		cut := 0
-		for i := range memory.Servers {
-			if memory.Servers[i].Ejected {
-				cut++
+		learned := contents.Pools[name].Learned
+		ejected := 0
+		for i := range learned.Servers {
+			if learned.Servers[i].Ejected {
+				ejected++
 			}
 		}
-		age := time.Duration(now-memory.At) * time.Millisecond
+		age := time.Duration(now-learned.At) * time.Millisecond
 		fmt.Fprintf(w, "pool=%s age=%v servers=%d cut=%d room=%.2f demand=%.1f/s\n",
-			name, age, len(memory.Servers), cut, memory.ConcurrencyPerServer, memory.ArrivalRate)
+			name, age, len(learned.Servers), ejected, learned.ConcurrencyPerServer, learned.ArrivalRate)
 	}
 	for _, name := range slices.Sorted(maps.Keys(contents.Pins)) {
 		pin := contents.Pins[name]
--- a/cmd/milletmast/state_test.go
+++ b/cmd/milletmast/state_test.go
@@ -14,7 +14,7 @@
 	"milletmast/internal/state"
 )
 
-const goodFile = `[[listener]]
+const validOperatorFile = `[[listener]]
 name = "in"
 address = "127.0.0.1:0"
 [[pool]]
@@ -33,8 +33,8 @@
 class = "read"
 `
 
-// folder is a state folder that holds something of each kind.
-func folder(t *testing.T, text string) string {
+// writeStateFolder writes a state directory with a pool, a pin and a last good operator file, and returns its path.
+func writeStateFolder(t *testing.T, text string) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "state")
 	s, _, _, err := state.Open(dir, "box-1")
@@ -53,7 +53,7 @@
 }
 
 func TestStateCommands(t *testing.T) {
-	dir := folder(t, goodFile)
+	dir := writeStateFolder(t, validOperatorFile)
 	call := func(args ...string) (string, error) {
 		var out bytes.Buffer
 		cmd := rootCommand()
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	if _, err := call("verify", dir); !errors.Is(err, state.ErrCorrupt) || !strings.Contains(err.Error(), file) {
-		t.Errorf("a file cut short: %v", err)
+		t.Errorf("truncated file: %v", err)
 	}
 	if _, err := call("reset", dir, "--yes"); err != nil {
 		t.Error(err)
@@ -94,14 +94,14 @@
 	}
 }
 
-// Where the operator file cannot be used the last good one is, and if that cannot be either both causes are told.
+// If the operator file cannot be used, the last good one is. If that cannot be used either, the error has both causes.
 func TestLastGood(t *testing.T) {
 	cause := errors.New("operator.toml: no such file")
-	cfg, err := lastGoodFile(folder(t, goodFile), cause)
+	cfg, err := lastGoodFile(writeStateFolder(t, validOperatorFile), cause)
 	if err != nil || len(cfg.Pools) != 1 || cfg.Path != "operator.toml" {
 		t.Errorf("%+v, %v", cfg, err)
 	}
-	if _, err := lastGoodFile(folder(t, "[[pool]]\n"), cause); !errors.Is(err, cause) || !strings.Contains(err.Error(), "cannot be used either") {
+	if _, err := lastGoodFile(writeStateFolder(t, "[[pool]]\n"), cause); !errors.Is(err, cause) || !strings.Contains(err.Error(), "cannot be used either") {
 		t.Error(err)
 	}
 	if _, err := lastGoodFile(t.TempDir(), cause); !errors.Is(err, cause) || !errors.Is(err, os.ErrNotExist) {
@@ -109,16 +109,16 @@
 	}
 }
 
-// Without a folder nothing is kept; one that cannot be had is told and leaves the instance without.
+// Without a state directory in the configuration, or with one that cannot be opened, an instance runs without stored state.
 func TestOpenState(t *testing.T) {
-	cfg, err := operator.Parse("operator.toml", []byte(goodFile))
+	cfg, err := operator.Parse("operator.toml", []byte(validOperatorFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k := openState(cfg); k != nil {
-		t.Errorf("%+v", k)
+	if persistence := openState(cfg); persistence != nil {
+		t.Errorf("%+v", persistence)
 	}
-	if cfg, err = operator.Parse("operator.toml", []byte(goodFile+"[state]\npath = \"x\"\n")); err != nil {
+	if cfg, err = operator.Parse("operator.toml", []byte(validOperatorFile+"[state]\npath = \"x\"\n")); err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "file")
@@ -126,16 +126,16 @@
 		t.Fatal(err)
 	}
 	cfg.State.Path = filepath.Join(file, "below")
-	if k := openState(cfg); k != nil {
-		t.Errorf("%+v", k)
+	if persistence := openState(cfg); persistence != nil {
+		t.Errorf("%+v", persistence)
 	}
 	cfg.State.Path = filepath.Join(t.TempDir(), "state")
-	k := openState(cfg)
-	if k == nil || k.Loaded == nil || k.Interval != 2*time.Second {
-		t.Fatalf("%+v", k)
+	persistence := openState(cfg)
+	if persistence == nil || persistence.Loaded == nil || persistence.Interval != 2*time.Second {
+		t.Fatalf("%+v", persistence)
 	}
 	if other := openState(cfg); other != nil {
-		t.Error("two have the folder")
+		t.Error("a second instance has opened the same state directory")
 	}
-	k.Store.Close()
+	persistence.Store.Close()
 }
--- a/internal/control/instance.go
+++ b/internal/control/instance.go
@@ -1,4 +1,4 @@
-// Package control defines the protocol of tool, agents and instances: protobuf messages
+// Package control defines the protocol between milletctl, agents and instances: protobuf messages
 // (control.proto, agent.proto; version milletmast.control.v1). Between an agent and an instance they
 // are the bodies of HTTP requests on the instance's Unix socket.
 package control
@@ -25,12 +25,13 @@
 	readHeaderTimeout = 5 * time.Second
 )
 
-// Node is an instance behind a control socket.
+// Node is the interface of an instance that is served on a control socket.
 type Node interface {
 	Status() *controlpb.InstanceStatus
 	// Apply applies a configuration and returns once requests are served under it. After an error
 	// nothing has changed.
 	Apply(config []byte) error
+	// Drain makes the instance unready, or ready again.
 	Drain(bool)
 	// Pin pins the degradation level of a pool for a time; an empty level releases the pin.
 	Pin(pool, level string, ttl time.Duration) error
@@ -88,7 +89,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/protobuf")
-		_, _ = w.Write(text) // a caller that is gone needs no response
+		_, _ = w.Write(text) // the client may have disconnected
 	}
 }
 
@@ -141,7 +142,7 @@
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", path)
 	}
-	// A connection per call: an idle one would outlive a restart of the instance.
+	// Each call opens a connection, as an idle one would outlive a restart of the instance.
 	return &Client{&http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}}}
 }
 
@@ -178,7 +179,7 @@
 	if err != nil {
 		return err
 	}
-	req.GetBody = nil // the transport must not send it again by itself
+	req.GetBody = nil // the transport must not resend the request
 	res, err := c.http.Do(req)
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -14,14 +14,14 @@
 	if s == nil {
 		return []string{name, "none", "", "", "", "", "", ""}
 	}
-	sight := 0
+	reachable := 0
 	for _, m := range s.Members {
 		if isReachable(m.State) {
-			sight++
+			reachable++
 		}
 	}
 	return []string{
-		name, s.Standing, ago(s.SinceMs, now), fmt.Sprint(s.Copies), fmt.Sprint(s.Rank), fmt.Sprintf("%d of %d", sight, len(s.Members)),
+		name, s.Standing, ago(s.SinceMs, now), fmt.Sprint(s.Copies), fmt.Sprint(s.Rank), fmt.Sprintf("%d of %d", reachable, len(s.Members)),
 		fmt.Sprintf("%016x", s.Hash), s.Why,
 	}
 }
@@ -37,12 +37,12 @@
 	return now.Sub(time.UnixMilli(ms)).Round(time.Second).String()
 }
 
-// DescribeBelief returns the state that an instance assigns to a member, and for how long it has.
-func DescribeBelief(m *controlpb.MemberView, now time.Time) string {
-	return standing(m) + " for " + ago(m.SinceMs, now)
+// DescribeMember returns the state that an instance assigns to a member, and for how long it has.
+func DescribeMember(m *controlpb.MemberView, now time.Time) string {
+	return memberState(m) + " for " + ago(m.SinceMs, now)
 }
 
-func standing(m *controlpb.MemberView) string {
+func memberState(m *controlpb.MemberView) string {
 	if m.Damped {
 		return m.State + ", damped"
 	}
@@ -50,28 +50,28 @@
 }
 
 // Disagreements compares the cluster views of instances: for each member that not all of them consider
-// alive, or not as the same process, it returns a row per instance with its belief. No rows means that
-// they agree.
+// alive, or not as the same process, it returns a row per instance with the state that it assigns to the
+// member. No rows means that they agree.
 func Disagreements(views []*controlpb.MembersStatus, now time.Time) (rows [][]string) {
-	type sight struct{ by, text, key string }
-	sights := map[string][]sight{}
+	type memberReport struct{ instance, text, key string }
+	reports := map[string][]memberReport{}
 	for _, v := range views {
 		for _, m := range v.GetMembers() {
-			sights[m.Name] = append(sights[m.Name], sight{v.Name, DescribeBelief(m, now), fmt.Sprint(standing(m), m.Start)})
+			reports[m.Name] = append(reports[m.Name], memberReport{v.Name, DescribeMember(m, now), fmt.Sprint(memberState(m), m.Start)})
 		}
 	}
-	for name, all := range sights {
-		same := len(all) == len(views)
+	for name, all := range reports {
+		agree := len(all) == len(views)
 		for _, s := range all {
-			same = same && s.key == all[0].key && strings.HasPrefix(s.text, "alive for")
+			agree = agree && s.key == all[0].key && strings.HasPrefix(s.text, "alive for")
 		}
-		if same {
+		if agree {
 			continue
 		}
 		seen := map[string]bool{}
 		for _, s := range all {
-			seen[s.by] = true
-			rows = append(rows, []string{name, s.by, s.text})
+			seen[s.instance] = true
+			rows = append(rows, []string{name, s.instance, s.text})
 		}
 		for _, v := range views {
 			if !seen[v.Name] {
