--- a/internal/operator/bind.go
+++ b/internal/operator/bind.go
@@ -17,7 +17,7 @@
 	report func(path string, err error)
 }
 
-// bindTable fills a struct. Defaults are set before, so that a key that is absent leaves them.
+// bindTable fills a struct. It sets the defaults first, so that an absent key keeps its default.
 func (b *binder) bindTable(path string, from map[string]any, to reflect.Value) {
 	if d, ok := to.Addr().Interface().(Defaulter); ok {
 		d.SetDefaults()
@@ -52,18 +52,18 @@
 	return path + "." + key
 }
 
-// unknownKey is the error of a key that the table does not have. It names the key that was probably meant.
+// unknownKey returns the error for a key that the table does not have. The error names the key that was probably meant.
 func unknownKey(key string, names []string) error {
 	for _, name := range names {
-		if isLikely(key, name) {
+		if isLikelyTypo(key, name) {
 			return fmt.Errorf("unknown key; is %q meant?", name)
 		}
 	}
 	return errors.New("unknown key")
 }
 
-// isLikely reports whether a key was probably meant to be a name of the schema.
-func isLikely(key, name string) bool {
+// isLikelyTypo reports whether a key is probably a misspelling of a name of the schema.
+func isLikelyTypo(key, name string) bool {
 	if strings.EqualFold(strings.ReplaceAll(key, "-", "_"), name) || key == name+"s" || name == key+"s" {
 		return true
 	}
@@ -73,10 +73,10 @@
 const (
 	maxTypos          = 2
 	minLengthForTypos = 3
-	maxComparedKey    = 64 // the distance of longer keys is not worked out
+	maxComparedKey    = 64 // longer keys are not compared
 )
 
-// editDistance returns the Levenshtein distance of two texts: the letters to change, add or drop to make b of a.
+// editDistance returns the Levenshtein distance of two texts: the number of bytes to change, insert or delete to turn a into b.
 func editDistance(a, b string) int {
 	if len(a) > maxComparedKey {
 		return len(a)
@@ -150,7 +150,7 @@
 		if v, ok := from.(int64); ok && v >= math.MinInt32 && v <= math.MaxInt32 {
 			to.SetInt(v)
 		} else {
-			b.reportType(path, "a whole number of up to 2147483647", from)
+			b.reportType(path, "an integer from -2147483648 to 2147483647", from)
 		}
 	case reflect.Float64:
 		b.bindFloat(path, from, to)
@@ -199,12 +199,12 @@
 	}
 }
 
-// reportType reports a value of another type than the schema wants.
+// reportType reports a value whose type is not that of the schema.
 func (b *binder) reportType(path, want string, got any) {
 	b.report(path, fmt.Errorf("must be %s, not %s", want, kindOf(got)))
 }
 
-// kindOf describes a decoded value to an operator.
+// kindOf describes a decoded value for an error message.
 func kindOf(v any) string {
 	switch v := v.(type) {
 	case string:
--- a/internal/operator/check_classes.go
+++ b/internal/operator/check_classes.go
@@ -8,14 +8,14 @@
 
 // Bounds of the classes of a pool.
 const (
-	maxClasses    = 1000
-	maxClassWorth = 1e9
-	maxKeyWindow  = 24 * time.Hour
+	maxClasses     = 1000
+	maxClassWeight = 1e9
+	maxKeyWindow   = 24 * time.Hour
 )
 
 func (c *checker) checkClasses(path string, p *Pool) {
 	if len(p.Classes) == 0 {
-		c.report(path+".class", errors.New("there is none: no request could be of one"))
+		c.report(path+".class", errors.New("the pool has no class: at least one is required"))
 	}
 	c.checkCount(path+".class", len(p.Classes), maxClasses)
 	seen := map[string]string{}
@@ -28,18 +28,18 @@
 			c.reportf(at+".aim", "%v is longer than the give_up of %v", class.Aim, class.GiveUp)
 		}
 		if p.ConnectTimeout >= class.GiveUp && class.GiveUp > 0 {
-			c.reportf(path+".connect_timeout", "%v leaves class %q none of its give_up of %v", p.ConnectTimeout, class.Name, class.GiveUp)
+			c.reportf(path+".connect_timeout", "%v is not shorter than the give_up of class %q, %v", p.ConnectTimeout, class.Name, class.GiveUp)
 		}
-		checkRange(c.document, at+".worth", class.Worth, 0, maxClassWorth)
+		checkRange(c.document, at+".worth", class.Worth, 0, maxClassWeight)
 		checkRange(c.document, at+".late_worth", class.Late, 0, 1)
 		c.checkEffect(at, class)
 	}
 }
 
-// checkEffect checks how often a request of a class may be run, and the settings that go with that.
+// checkEffect checks the effect of a class, which says whether its requests may be repeated, and the settings that depend on it.
 func (c *checker) checkEffect(at string, class *Class) {
 	if _, ok := effects[class.Effect]; !ok {
-		c.reportf(at+".effect", "%q is unknown: safe (may be repeated), keyed (repeats are dropped) or unsafe", class.Effect)
+		c.reportf(at+".effect", "%q is unknown: must be safe (may be repeated), keyed (repeats are dropped) or unsafe", class.Effect)
 		return
 	}
 	if class.Effect != effectKeyed {
@@ -52,10 +52,10 @@
 		return
 	}
 	if class.Key != "" && !namePattern.MatchString(class.Key) {
-		c.reportf(at+".key", "%q is no name of a header", class.Key)
+		c.reportf(at+".key", "%q is not a valid header name", class.Key)
 	}
 	if _, ok := groups[class.Group]; !ok {
-		c.reportf(at+".group", "%q is unknown: all, zone or cell, the servers that drop a repeat", class.Group)
+		c.reportf(at+".group", "%q is unknown: must be all, zone or cell (the servers among which repeats are dropped)", class.Group)
 	}
 	c.checkDuration(at+".window", class.Window, time.Millisecond, maxKeyWindow)
 }
--- a/internal/operator/check_levels.go
+++ b/internal/operator/check_levels.go
@@ -17,7 +17,7 @@
 	c.checkDuration(path+".level_window", p.LevelWindow, 100*time.Millisecond, time.Minute)
 	if name := p.LevelCaller; name != "" {
 		if !metadataPattern.MatchString(strings.ToLower(name)) {
-			c.reportf(path+".level_caller", "%q is no name of a header", name)
+			c.reportf(path+".level_caller", "%q is not a valid header name", name)
 		}
 		p.LevelCaller = http.CanonicalHeaderKey(name)
 	}
@@ -25,7 +25,7 @@
 	for i := range p.Levels {
 		resolved = c.checkLevel(fmt.Sprintf("%s.level[%d]", path, i), &p.Levels[i], p) && resolved
 	}
-	if !resolved { // the ladder would report the same faults again
+	if !resolved { // Validate would report the same errors again
 		return
 	}
 	for _, err := range p.Ladder().Validate(len(p.Classes)) {
@@ -36,7 +36,7 @@
 // checkLevel checks one level by itself. It returns false if a signal, a bound or a class could not be resolved.
 func (c *checker) checkLevel(at string, v *Level, p *Pool) (resolved bool) {
 	if v.Name != "" && !namePattern.MatchString(v.Name) {
-		c.reportf(at+".name", "%q is no name: letters, digits and . _ : - are allowed, 64 at most", v.Name)
+		c.reportf(at+".name", "%q is not a valid name: use up to 64 letters, digits and . _ : -, the first a letter or digit", v.Name)
 	}
 	enter := c.checkLevelConditions(at+".enter", v.Enter)
 	leave := c.checkLevelConditions(at+".leave", v.Leave)
@@ -53,11 +53,11 @@
 		at := fmt.Sprintf("%s[%d]", path, i)
 		if _, ok := degradation.ParseSignal(condition.Signal); !ok {
 			resolved = false
-			c.reportf(at+".signal", "%q is no signal: there are p95, late, wait, refused, failed, worth, usable and warm", condition.Signal)
+			c.reportf(at+".signal", "%q is not a signal: must be p95, late, wait, refused, failed, worth, usable or warm", condition.Signal)
 		}
 		if (condition.Over == nil) == (condition.Under == nil) {
 			resolved = false
-			c.report(at, errors.New("needs a bound: one of over and under"))
+			c.report(at, errors.New("needs a bound: exactly one of over and under"))
 		}
 	}
 	return resolved
@@ -70,11 +70,11 @@
 		c.reportf(at+".class", "the pool has no class %q", shed.Class)
 	}
 	if p.Protocol == GRPC && (shed.Status != 0 || shed.Body != "" || shed.Type != "") {
-		c.report(at, errors.New("a gRPC call is told a status of its own: there is no answer to give"))
+		c.report(at, errors.New("a refused gRPC call always gets a gRPC status: status, body and type are not allowed"))
 	}
 	for _, f := range []struct{ key, text string }{{"warning", shed.Warning}, {"type", shed.Type}} {
 		if strings.ContainsFunc(f.text, unicode.IsControl) {
-			c.report(at+"."+f.key, errors.New("holds a control character"))
+			c.report(at+"."+f.key, errors.New("contains a control character"))
 		}
 	}
 	return resolved
--- a/internal/operator/check_listeners.go
+++ b/internal/operator/check_listeners.go
@@ -16,7 +16,7 @@
 func (c *checker) checkListeners() {
 	list := c.cfg.Listeners
 	if len(list) == 0 {
-		c.report("listener", errors.New("there is none: nothing could come in"))
+		c.report("listener", errors.New("the file has no listener: at least one is required"))
 	}
 	if c.checkCount("listener", len(list), maxListeners) {
 		return
@@ -29,10 +29,10 @@
 	}
 }
 
-// checkListener checks one listener against those before it.
+// checkListener checks one listener, and that its address does not overlap with that of a listener before it.
 func (c *checker) checkListener(path string, l *Listener, before []Listener) {
 	if l.Front != HTTP && l.Front != GRPC && l.Front != Auto {
-		c.reportf(path+".front", "%q is unknown: there are \"http\", \"grpc\" and \"auto\"", l.Front)
+		c.reportf(path+".front", "%q is unknown: must be \"http\", \"grpc\" or \"auto\"", l.Front)
 	}
 	checkRange(c.document, path+".streams", l.Streams, 1, maxStreams)
 	c.loadCertificate(path, l)
@@ -54,7 +54,7 @@
 		return
 	}
 	if l.Certificate == "" || l.Key == "" {
-		c.report(path+".certificate", errors.New("a certificate and its key come together"))
+		c.report(path+".certificate", errors.New("certificate and key must be set together"))
 		return
 	}
 	ResolvePath(c.folder, &l.Certificate)
@@ -78,7 +78,7 @@
 	c.cfg.Certificates[l.Name] = &pair
 }
 
-// addressesOverlap reports whether two addresses cannot both be listened at.
+// addressesOverlap reports whether two addresses cannot be listened on at the same time.
 func addressesOverlap(a, b string) bool {
 	hostA, portA, errA := net.SplitHostPort(a)
 	hostB, portB, errB := net.SplitHostPort(b)
@@ -92,7 +92,7 @@
 	return ipA.IsUnspecified() || ipB.IsUnspecified() || ipA.Equal(ipB)
 }
 
-// parseListenIP returns the IP address of the host of a listener; nil for a name that is not known here.
+// parseListenIP returns the IP address of the host of a listener, or nil for a host name other than localhost.
 func parseListenIP(host string) net.IP {
 	switch host {
 	case "":
@@ -103,5 +103,5 @@
 	return net.ParseIP(host)
 }
 
-// accepts reports whether a listener takes requests of a protocol.
+// accepts reports whether a listener accepts requests of a protocol.
 func (l *Listener) accepts(protocol string) bool { return l.Front == protocol || l.Front == Auto }
--- a/internal/operator/check_pools.go
+++ b/internal/operator/check_pools.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// checkPool checks all of a pool but its servers and where they are listed.
+// checkPool checks a pool except for its servers and their source.
 func (c *checker) checkPool(path string, p *Pool) {
 	checkRange(c.document, path+".attempts", p.Attempts, 1, maxAttempts)
 	c.checkProtocol(path, p)
@@ -49,27 +49,27 @@
 	c.checkLevels(path, p)
 }
 
-// checkProtocol checks what only pools of one protocol have.
+// checkProtocol checks the protocol of a pool and the settings that only one protocol has.
 func (c *checker) checkProtocol(path string, p *Pool) {
 	if p.Protocol != HTTP && p.Protocol != GRPC {
-		c.reportf(path+".protocol", "%q is unknown: there are \"http\" and \"grpc\"", p.Protocol)
+		c.reportf(path+".protocol", "%q is unknown: must be \"http\" or \"grpc\"", p.Protocol)
 		return
 	}
 	checkRange(c.document, path+".streams", p.Streams, 1, maxStreams)
 	c.checkDuration(path+".ping_after", p.PingAfter, 100*time.Millisecond, maxStreamTime)
 	if p.NotRun != "" && !metadataPattern.MatchString(p.NotRun) {
-		c.reportf(path+".not_run", "%q is no name of metadata: lower-case letters, digits and - _ . are allowed", p.NotRun)
+		c.reportf(path+".not_run", "%q is not a valid metadata name: 1 to 64 lower-case letters, digits and - _ . are allowed", p.NotRun)
 	}
 	if p.Protocol == GRPC {
 		return
 	}
 	if p.NotRun != "" {
-		c.report(path+".not_run", errors.New("is of pools with the protocol \"grpc\"; HTTP/1.1 has X-Not-Run"))
+		c.report(path+".not_run", errors.New("is only allowed with protocol \"grpc\"; HTTP/1.1 has the header X-Not-Run"))
 	}
 	for i := range p.Classes {
 		if p.Classes[i].Stream {
 			c.report(fmt.Sprintf("%s.class[%d].stream", path, i),
-				errors.New("is of pools with the protocol \"grpc\"; HTTP/1.1 streams what is long"))
+				errors.New("is only allowed with protocol \"grpc\"; with HTTP/1.1 long bodies are always streamed"))
 		}
 	}
 }
@@ -90,32 +90,32 @@
 	if p.RetryWindow != 0 {
 		c.checkDuration(path+".retry_window", p.RetryWindow, time.Millisecond, maxTime)
 	} else if p.RetryShare != 0 || p.RetryFree != 0 {
-		c.report(path+".retry_window", errors.New("is missing: retry_share and retry_free count within it"))
+		c.report(path+".retry_window", errors.New("is missing: retry_share and retry_free apply to this window"))
 	}
 	checkRange(c.document, path+".retry_share", p.RetryShare, 0, 1)
 	if p.RetryFree < 0 {
-		c.reportf(path+".retry_free", "%d is negative", p.RetryFree)
+		c.reportf(path+".retry_free", "%d is negative: must be 0 or more", p.RetryFree)
 	}
 }
 
 func (c *checker) checkConnections(path string, p *Pool) {
 	if p.Connections.Least < 1 {
-		c.reportf(path+".connections.least", "%d leaves the pool none", p.Connections.Least)
+		c.reportf(path+".connections.least", "%d is too low: must be 1 or more", p.Connections.Least)
 	}
 	checkRange(c.document, path+".connections.weight", p.Connections.Weight, 0, maxWeight)
 }
 
-// checkFleet checks the pool's view of the other copies of this instance. Only the first fault is reported.
+// checkFleet checks the settings for the replicas that send to the same servers. Only the first error is reported.
 func (c *checker) checkFleet(path string, p *Pool) {
 	copiesAllowed := p.Copies >= 1 && p.Copies <= maxCopies
 	alone := c.cfg.Members.Listen == ""
 	switch {
 	case copiesAllowed && p.ByMembers && alone:
-		c.reportf(path+".by_members", "there is no table members with an address to listen at")
+		c.reportf(path+".by_members", "needs a table members with an address to listen on")
 	case copiesAllowed && p.Allot && alone:
-		c.reportf(path+".allot", "there is no table members with an address to listen at")
+		c.reportf(path+".allot", "needs a table members with an address to listen on")
 	case copiesAllowed && p.Allot && len(p.Classes) > loadshed.MaxClasses:
-		c.reportf(path+".allot", "members tell of up to %d classes, there are %d", loadshed.MaxClasses, len(p.Classes))
+		c.reportf(path+".allot", "members exchange the load of up to %d classes, but the pool has %d", loadshed.MaxClasses, len(p.Classes))
 	default:
 		c.checkCopies(path, p.Copies, p.Rank)
 	}
@@ -129,7 +129,7 @@
 		return
 	}
 	if zoneOfRank := p.Rank % len(p.Zones); zoneOfRank != zone {
-		c.reportf(path+".rank", "%d is of zone %q, not %q: with a subset ranks are dealt out to zones in turn",
+		c.reportf(path+".rank", "%d belongs to zone %q, not %q: with a subset, ranks are assigned to the zones in turn",
 			p.Rank, p.Zones[zoneOfRank], p.Zone)
 	}
 }
@@ -138,13 +138,13 @@
 	c.checkCount(path+".zones", len(p.Zones), maxZones)
 	for i, zone := range p.Zones {
 		if zone == "" || slices.Contains(p.Zones[:i], zone) {
-			c.reportf(fmt.Sprintf("%s.zones[%d]", path, i), "%q is empty or comes twice", zone)
+			c.reportf(fmt.Sprintf("%s.zones[%d]", path, i), "%q is empty or listed twice", zone)
 		}
 	}
 	if len(p.Zones) > 0 && !slices.Contains(p.Zones, p.Zone) {
-		c.reportf(path+".zone", "%q is none of the zones", p.Zone)
+		c.reportf(path+".zone", "%q is not listed in zones", p.Zone)
 	} else if len(p.Zones) == 0 && p.Zone != "" {
-		c.report(path+".zone", errors.New("there are no zones: name them in zones"))
+		c.report(path+".zone", errors.New("needs the list zones, which is empty or missing"))
 	}
 }
 
@@ -154,7 +154,7 @@
 		at := fmt.Sprintf("%s.tenant[%d]", path, i)
 		c.checkUniqueName(at, t.Name, seen)
 		if t.Quota < 0 {
-			c.reportf(at+".quota", "%v is negative", t.Quota)
+			c.reportf(at+".quota", "%v is negative: must be 0 or more", t.Quota)
 		}
 	}
 }
--- a/internal/operator/check_routes.go
+++ b/internal/operator/check_routes.go
@@ -66,7 +66,7 @@
 		return
 	}
 	if r.Body != "" {
-		c.report(path+".body", errors.New("is of a fixed answer: status is missing"))
+		c.report(path+".body", errors.New("needs a status: only a fixed answer has a body"))
 	}
 	c.checkDestination(path, r)
 	c.checkListenersAccept(path, r)
@@ -81,7 +81,7 @@
 		}
 	}
 	if given != 1 {
-		c.report(path, errors.New("needs one of exact, prefix and regex"))
+		c.report(path, errors.New("needs exactly one of exact, prefix and regex"))
 	}
 	for field, list := range map[string][]Condition{"headers": r.Headers, "query": r.Query} {
 		for i, condition := range list {
@@ -97,7 +97,7 @@
 	known, ok := c.classes[r.Pool]
 	switch {
 	case r.Pool == "":
-		c.report(path+".pool", errors.New("is missing, and so are status and redirect"))
+		c.report(path+".pool", errors.New("is missing: a route needs a pool, a status or a redirect"))
 	case !ok:
 		c.reportf(path+".pool", "there is no pool %q", r.Pool)
 	case r.Class == "":
@@ -107,8 +107,8 @@
 	}
 }
 
-// checkListenersAccept checks that the listeners of a route take requests of its pool's protocol: a gRPC caller cannot be
-// sent to servers of HTTP/1.1, nor the other way round.
+// checkListenersAccept checks that the listeners of a route accept the protocol of its pool: gRPC calls cannot be forwarded to
+// HTTP/1.1 servers, and HTTP/1.1 requests cannot be forwarded to gRPC servers.
 func (c *routeChecker) checkListenersAccept(path string, r *Route) {
 	protocol := c.protocolOf(r, "")
 	if protocol != HTTP && protocol != GRPC {
@@ -121,23 +121,23 @@
 		accepts := l.accepts(protocol)
 		anyAccepts = anyAccepts || accepts
 		if n := slices.Index(r.Listeners, l.Name); n >= 0 && !accepts {
-			c.reportf(fmt.Sprintf("%s.listeners[%d]", path, n), "listener %q (front %q) does not take %s, which is what the route leads to",
+			c.reportf(fmt.Sprintf("%s.listeners[%d]", path, n), "listener %q (front %q) does not take %s, which the route needs",
 				l.Name, l.Front, displayName)
 		}
 	}
 	if len(r.Listeners) == 0 && !anyAccepts {
-		c.reportf(path+".pool", "no listener takes %s, which is what the route leads to", displayName)
+		c.reportf(path+".pool", "no listener takes %s, which the route needs", displayName)
 	}
 }
 
-// protocolOf returns the protocol of the pool of a route. A redirect is answered over HTTP/1.1; any other fixed answer is
-// given over every protocol, for which protocolOf returns otherwise.
-func (c *checker) protocolOf(r *Route, otherwise string) string {
+// protocolOf returns the protocol that a route needs: HTTP/1.1 for a redirect, the protocol of the pool for a route with a pool.
+// Other fixed answers work over every protocol; for those it returns fallback.
+func (c *checker) protocolOf(r *Route, fallback string) string {
 	if r.Redirect != "" {
 		return HTTP
 	}
 	if protocol, ok := c.protocols[r.Pool]; ok {
 		return protocol
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/operator/check_servers.go
+++ b/internal/operator/check_servers.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// maxCell is the highest number of a cell.
+// maxCell is the highest cell number.
 const maxCell = 65535
 
-// checkSource checks where the servers of a pool are listed, and reads a file that lists them.
+// checkSource checks the source of a pool's servers. It reads the servers if the source is a file.
 func (c *checker) checkSource(path string, p *Pool) {
 	s, at := &p.Source, path+".source"
 	if s.Type != SourceStatic && len(p.Servers) > 0 {
-		c.reportf(path+".server", "a pool has servers here only with a static source, not with %q", s.Type)
+		c.reportf(path+".server", "servers are allowed here only with a static source, not with %q", s.Type)
 	}
 	if s.Type != SourceFile && s.Path != "" {
 		c.report(at+".path", errors.New("only a source of type file has a path"))
@@ -32,7 +32,7 @@
 			c.report(at+".address", err)
 		}
 	default:
-		c.reportf(at+".type", "%q is unknown: static, file or discovery", s.Type)
+		c.reportf(at+".type", "%q is unknown: must be static, file or discovery", s.Type)
 	}
 }
 
@@ -41,7 +41,7 @@
 	s := &p.Source
 	c.checkDuration(at+".every", s.Every, 10*time.Millisecond, time.Minute)
 	if s.Path == "" {
-		c.report(at+".path", errors.New("is missing: a file of servers"))
+		c.report(at+".path", errors.New("is missing: it must name a file of servers"))
 		return
 	}
 	ResolvePath(c.folder, &s.Path)
@@ -59,7 +59,7 @@
 	c.cfg.FileServers[p.Name] = servers
 }
 
-// checkServers checks a list of servers. A server without an id gets its address for one.
+// checkServers checks a list of servers. A server without an id gets its address as id.
 func (d *document) checkServers(path string, list []Server, zones []string) {
 	if len(list) > maxServers {
 		d.reportf(path, "%d servers, over the %d allowed", len(list), maxServers)
@@ -75,7 +75,7 @@
 			s.ID = s.Address
 		}
 		if first, ok := indexByID[s.ID]; ok {
-			d.reportf(at+".id", "%q is the id of %s[%d] already", s.ID, path, first)
+			d.reportf(at+".id", "the id %q is already used by %s[%d]", s.ID, path, first)
 		}
 		indexByID[s.ID] = i
 		d.checkServer(at, s, zones)
@@ -84,14 +84,14 @@
 
 func (d *document) checkServer(at string, s *Server, zones []string) {
 	if s.State != ServerReady && s.State != ServerDraining {
-		d.reportf(at+".state", "%q is unknown: ready or draining", s.State)
+		d.reportf(at+".state", "%q is unknown: must be ready or draining", s.State)
 	}
 	if s.Zone != "" && !slices.Contains(zones, s.Zone) {
-		d.reportf(at+".zone", "%q is none of the pool's zones", s.Zone)
+		d.reportf(at+".zone", "%q is not one of the pool's zones", s.Zone)
 	}
 	checkRange(d, at+".cell", s.Cell, 0, maxCell)
 	checkRange(d, at+".weight", s.Weight, 0, maxWeight)
 	if _, err := time.Parse(time.RFC3339, s.Started); s.Started != "" && err != nil {
-		d.reportf(at+".started", "%q is no time of RFC 3339, like \"2026-03-01T08:00:00Z\"", s.Started)
+		d.reportf(at+".started", "%q is not a time as in RFC 3339, such as \"2026-03-01T08:00:00Z\"", s.Started)
 	}
 }
--- a/internal/operator/check_sites.go
+++ b/internal/operator/check_sites.go
@@ -14,8 +14,8 @@
 	maxLocations = 20_000
 )
 
-// siteThens are the values of the key then of a step.
-var siteThens = map[string]vhost.Then{
+// thenValues are the values of the key then of a step.
+var thenValues = map[string]vhost.Then{
 	"": vhost.Next, "last": vhost.Last, "break": vhost.Break, "redirect": vhost.Redirect, "permanent": vhost.Moved,
 }
 
@@ -45,7 +45,7 @@
 			if l := listeners[name]; l == nil {
 				c.reportf(fmt.Sprintf("%s.listeners[%d]", path, j), "there is no listener %q", name)
 			} else if !l.accepts(HTTP) {
-				c.reportf(fmt.Sprintf("%s.listeners[%d]", path, j), "listener %q takes no HTTP/1.1", name)
+				c.reportf(fmt.Sprintf("%s.listeners[%d]", path, j), "listener %q does not accept HTTP/1.1", name)
 			}
 		}
 	}
@@ -53,7 +53,7 @@
 		c.reportf("site", "%d locations, over the %d allowed", s.count, maxLocations)
 		return
 	}
-	reported := map[string]bool{} // a site stands in the tables of several listeners
+	reported := map[string]bool{} // a site may be in the tables of several listeners
 	for _, l := range c.cfg.Listeners {
 		if l.accepts(HTTP) {
 			c.cfg.SiteTables[l.Name] = c.compileSites(l.Name, servers, reported)
@@ -61,7 +61,7 @@
 	}
 }
 
-// compileSites compiles the sites of a listener; nil for none.
+// compileSites compiles the sites of a listener. It returns nil if there are none.
 func (c *checker) compileSites(listener string, servers []vhost.Server, reported map[string]bool) *vhost.Table {
 	var own []vhost.Server
 	var indexes []int
@@ -107,10 +107,10 @@
 func (s *siteChecker) convertSteps(path string, list []SiteStep) []vhost.Step {
 	out := make([]vhost.Step, len(list))
 	for i, k := range list {
-		then, ok := siteThens[k.Then]
+		then, ok := thenValues[k.Then]
 		if !ok {
 			s.reportf(fmt.Sprintf("%s.step[%d].then", path, i),
-				"%q is unknown: there are \"last\", \"break\", \"redirect\" and \"permanent\"", k.Then)
+				"%q is unknown: must be \"last\", \"break\", \"redirect\" or \"permanent\"", k.Then)
 		}
 		out[i] = vhost.Step{
 			Match: k.Match, To: k.To, Then: then, Stop: k.Stop, Answer: vhost.Answer{Status: k.Status, Body: k.Body, Location: k.Redirect},
@@ -119,7 +119,7 @@
 	return out
 }
 
-// convertLocations checks locations, those within them included, and converts them.
+// convertLocations checks locations, including the nested ones, and converts them.
 func (s *siteChecker) convertLocations(path string, list []SiteLocation) []vhost.Location {
 	out := make([]vhost.Location, len(list))
 	for i := range list {
@@ -127,8 +127,8 @@
 		l, here := &list[i], fmt.Sprintf("%s.location[%d]", path, i)
 		field, kind, text := l.matcher()
 		if field == "" {
-			s.report(here, errors.New("needs one of exact, begins, only, regex, regex_any and named"))
-			text = fmt.Sprintf("/%d", i) // so that no other fault of it is reported
+			s.report(here, errors.New("needs exactly one of exact, begins, only, regex, regex_any and named"))
+			text = fmt.Sprintf("/%d", i) // avoids more errors about this location
 		}
 		out[i] = vhost.Location{
 			Name:      l.Name,
@@ -145,7 +145,7 @@
 	return out
 }
 
-// convertErrors checks replacements of errors and converts them.
+// convertErrors checks error pages and converts them.
 func (s *siteChecker) convertErrors(path string, list []SiteError) []vhost.ErrorPage {
 	out := make([]vhost.ErrorPage, len(list))
 	for i, e := range list {
@@ -154,17 +154,17 @@
 			out[i].Status = vhost.Own
 		}
 		if e.OwnStatus && e.Status != 0 || e.Status < 0 {
-			s.report(fmt.Sprintf("%s.error[%d].status", path, i), errors.New("it has a status, or the own of what stands in"))
+			s.report(fmt.Sprintf("%s.error[%d].status", path, i), errors.New("must not be negative, and is not allowed with own_status"))
 		}
 	}
 	return out
 }
 
-// convertAction checks what a location does with requests and converts it; nil for a location without a pool.
+// convertAction checks what a location does with requests and converts it. It returns nil for a location without a pool.
 func (s *siteChecker) convertAction(path string, l *SiteLocation) *vhost.Action {
 	if l.Pool == "" {
 		if l.Class != "" || l.Other != "" || l.Replace != "" || l.Target != "" || len(l.Headers) > 0 {
-			s.report(path+".pool", errors.New("is missing: the rest says how requests go there"))
+			s.report(path+".pool", errors.New("is missing: class, other, replace, target and headers need it"))
 		}
 		return nil
 	}
@@ -173,7 +173,7 @@
 	case p == nil:
 		s.reportf(path+".pool", "there is no pool %q", l.Pool)
 	case p.Protocol != HTTP:
-		s.reportf(path+".pool", "pool %q speaks gRPC", l.Pool)
+		s.reportf(path+".pool", "pool %q has protocol \"grpc\": sites need \"http\"", l.Pool)
 	}
 	a := &vhost.Action{Pool: l.Pool, Class: l.Class, Other: l.Other, Replace: l.Replace, Target: l.Target, MaxBody: int64(l.MaxBody)}
 	if a.Other == "" {
--- a/internal/operator/defaults.go
+++ b/internal/operator/defaults.go
@@ -4,45 +4,45 @@
 	"time"
 )
 
-// Defaulter is a table of a file that has other defaults than zeros for what the file leaves out.
+// Defaulter is a table of a file in which some keys have defaults other than the zero value.
 type Defaulter interface{ SetDefaults() }
 
-// SetDefaults sets what a file without this table gets.
+// SetDefaults sets the defaults of the table limits.
 func (l *Limits) SetDefaults() {
 	*l = Limits{Memory: 128 << 20, Sockets: 1024, Cores: 1, Drain: Duration(5 * time.Second)}
 }
 
-// SetDefaults sets what the table may leave out.
+// SetDefaults sets the defaults of the table.
 func (l *Listener) SetDefaults() {
 	*l = Listener{Front: HTTP, MaxBody: 8 << 20, Streams: 100, MaxWorth: 100}
 }
 
-// SetDefaults sets what the table may leave out.
+// SetDefaults sets the defaults of the table.
 func (s *State) SetDefaults() { *s = State{Every: Duration(2 * time.Second)} }
 
-// SetDefaults sets what the table may leave out.
+// SetDefaults sets the defaults of the table.
 func (c *Context) SetDefaults() { *c = Context{Retries: 2} }
 
-// SetDefaults sets what the table may leave out.
+// SetDefaults sets the defaults of the table.
 func (m *Members) SetDefaults() {
 	*m = Members{Copies: 1, Probe: Duration(time.Second), Bytes: 64 << 10}
 }
 
-// SetDefaults sets what the table may leave out.
+// SetDefaults sets the defaults of the table.
 func (s *Share) SetDefaults() { *s = Share{Least: 16, Weight: 1} }
 
-// SetDefaults sets what the table may leave out.
+// SetDefaults sets the defaults of the table.
 func (c *Class) SetDefaults() { *c = Class{Worth: 1} }
 
-// SetDefaults sets what the table may leave out.
+// SetDefaults sets the defaults of the table.
 func (s *Source) SetDefaults() {
 	*s = Source{Type: SourceStatic, Every: Duration(250 * time.Millisecond)}
 }
 
-// SetDefaults sets what the table may leave out.
+// SetDefaults sets the defaults of the table.
 func (s *Server) SetDefaults() { *s = Server{State: ServerReady, Weight: 1} }
 
-// SetDefaults sets what the table may leave out, its connections and its source included.
+// SetDefaults sets the defaults of the table, including those of its connections and its source.
 func (p *Pool) SetDefaults() {
 	*p = Pool{
 		Protocol: HTTP,
@@ -65,7 +65,7 @@
 	p.Source.SetDefaults()
 }
 
-// SetDefaults sets what the table may leave out.
+// SetDefaults sets the defaults of the table.
 func (l *Level) SetDefaults() {
 	*l = Level{
 		For:   Duration(300 * time.Millisecond),
@@ -77,5 +77,5 @@
 	}
 }
 
-// SetDefaults sets what the table may leave out.
+// SetDefaults sets the defaults of the table.
 func (s *LevelShed) SetDefaults() { *s = LevelShed{Share: 1} }
--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -10,11 +10,11 @@
 
 // Change is one table of the file that a reload would add, remove or change.
 type Change struct {
-	Kind   string // limits, listener, pool, route or site
+	Kind   string // limits, context, name, listener, pool, route or site
 	Name   string
 	What   string // added, removed or changed
 	Fields []string
-	Effect string // what it means for what is running
+	Effect string // how it affects running connections and requests
 }
 
 func (c Change) String() string {
@@ -28,8 +28,8 @@
 	return s
 }
 
-// SameModule reports whether a pool keeps its decision module, measurements and connections under another file: all settings
-// are equal but its servers and their source, its share of the connections, and its levels of reduced service.
+// SameModule reports whether a pool keeps its decision module, measurements and connections when another file is loaded. All
+// settings must be equal except for the servers and their source, the share of the connections, and the levels of reduced service.
 func (p *Pool) SameModule(q *Pool) bool {
 	a, b := *p, *q
 	a.Servers, b.Servers, a.Source, b.Source, a.Connections, b.Connections = nil, nil, Source{}, Source{}, Share{}, Share{}
@@ -39,7 +39,7 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// Diff returns what a reload from one file to another changes, in the order limits, listeners, pools, routes, sites.
+// Diff returns what a reload from one file to another changes, in the order limits, context, name, listeners, pools, routes, sites.
 func Diff(from, to *Config) []Change {
 	var out []Change
 	if fields := differences(from.Limits, to.Limits); len(fields) > 0 {
--- a/internal/operator/document.go
+++ b/internal/operator/document.go
@@ -10,15 +10,15 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// document is the text of one file while it is decoded and checked. It collects the faults.
+// document is the text of one file while it is decoded and checked. It collects the errors.
 type document struct {
 	name  string
-	edit  func(tree map[string]any) error // changes the tree before it is bound; may be nil
+	edit  func(tree map[string]any) error // changes the decoded tree before the struct is filled; may be nil
 	lines *positions
 	errs  Errors
 }
 
-// decode reads the text into a struct with toml tags. It returns false if the text is not TOML, and nothing else can be checked.
+// decode reads the text into a struct with toml tags. It returns false if the text is not TOML, so that nothing else can be checked.
 func (d *document) decode(text []byte, to any) bool {
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
@@ -30,7 +30,7 @@
 		d.errs = append(d.errs, &Error{File: d.name, Line: max(line, 1), Err: errors.New(strings.TrimPrefix(err.Error(), "toml: "))})
 		return false
 	}
-	d.lines = locate(text)
+	d.lines = newPositions(text)
 	if d.edit != nil {
 		if err := d.edit(tree); err != nil {
 			d.errs = append(d.errs, &Error{File: d.name, Line: 1, Err: err})
@@ -42,16 +42,16 @@
 	return true
 }
 
-// report notes a fault of a field.
+// report adds an error about a field.
 func (d *document) report(field string, err error) {
-	d.errs = append(d.errs, &Error{File: d.name, Line: d.lines.of(field), Field: field, Err: err})
+	d.errs = append(d.errs, &Error{File: d.name, Line: d.lines.lineOf(field), Field: field, Err: err})
 }
 
 func (d *document) reportf(field, format string, args ...any) {
 	d.report(field, fmt.Errorf(format, args...))
 }
 
-// err returns the faults in the order of their lines, at most maxErrors of them; nil for none.
+// err returns the errors in the order of their lines, at most maxErrors of them, or nil if there are none.
 func (d *document) err() error {
 	if len(d.errs) == 0 {
 		return nil
@@ -64,8 +64,8 @@
 	return d.errs
 }
 
-// Decode reads a file into a struct with toml tags as strictly as an operator file, and reports every fault by line and field.
-// Check is called with what was read, to report faults of fields by their path; it may be nil.
+// Decode reads a file into a struct with toml tags as strictly as an operator file, and reports every error with its line and field.
+// check is called after the file was read, to report errors of fields by their path; it may be nil.
 func Decode(path string, to any, check func(report func(field, text string))) error {
 	text, err := ReadFile(path)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return DecodeText(path, text, to, nil, check)
 }
 
-// DecodeText is Decode for a text that has been read. Edit may change its tree before it is bound to the struct; it may be nil.
+// DecodeText is Decode for a text that was already read. edit may change the decoded tree before the struct is filled; it may be nil.
 func DecodeText(
 	name string, text []byte, to any, edit func(tree map[string]any) error, check func(report func(field, text string)),
 ) error {
@@ -85,7 +85,7 @@
 	return d.err()
 }
 
-// Check checks a pool that another kind of file describes, all but its servers and their source.
+// Check checks a pool that is described by another kind of file, except for its servers and their source.
 func (p *Pool) Check(path string, report func(field, text string)) {
 	d := &document{lines: &positions{}}
 	c := checker{document: d, cfg: &Config{}}
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// maxErrors bounds the errors that are reported of one file.
+// maxErrors bounds the number of errors that are reported for one file.
 const maxErrors = 200
 
-// Error is one fault of a file.
+// Error is one error in a file.
 type Error struct {
 	File  string
 	Line  int
-	Field string // its path, as route[2].pool; empty for the file as a whole
+	Field string // its path, such as route[2].pool; empty for an error of the whole file
 	Err   error
 }
 
@@ -28,7 +28,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Errors are all faults of a file, in the order of its lines.
+// Errors holds all errors of a file, in the order of its lines.
 type Errors []*Error
 
 func (es Errors) Error() string {
@@ -39,8 +39,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// PrintErrors writes all faults of a file, a line each, and returns an error that counts them. It returns any other error as
-// it is.
+// PrintErrors writes all errors of a file, one per line, and returns an error with their number. Any other error is returned
+// unchanged.
 func PrintErrors(w io.Writer, path string, err error) error {
 	var all Errors
 	if errors.As(err, &all) {
--- a/internal/operator/levels.go
+++ b/internal/operator/levels.go
@@ -11,20 +11,20 @@
 // Level is a level of reduced service (package degradation).
 type Level struct {
 	Name     string           `toml:"name"`
-	Enter    []LevelCondition `toml:"enter"`    // any of these,
-	For      Duration         `toml:"for"`      // for so long
-	Leave    []LevelCondition `toml:"leave"`    // all of these; none for those of enter, cleared by band,
-	Calm     Duration         `toml:"calm"`     // for so long
-	Band     float64          `toml:"band"`     // share of what lies between a bound and the signal's best value
-	Least    Duration         `toml:"least"`    // it is not left sooner
-	Off      Duration         `toml:"off"`      // nor entered again sooner
-	Ramp     Duration         `toml:"ramp"`     // over which what it sheds is restored
-	Shed     []LevelShed      `toml:"shed"`     // what it refuses
-	Attempts int              `toml:"attempts"` // of one request; 0 for the pool's
-	Deadline float64          `toml:"deadline"` // share of the deadline of a class
+	Enter    []LevelCondition `toml:"enter"` // the level is entered after one of these has held for For
+	For      Duration         `toml:"for"`
+	Leave    []LevelCondition `toml:"leave"` // all must hold for Calm to leave it; if empty, enter is cleared by band
+	Calm     Duration         `toml:"calm"`
+	Band     float64          `toml:"band"`     // hysteresis, as a share of the distance between a bound and the signal's best value
+	Least    Duration         `toml:"least"`    // minimum time in the level
+	Off      Duration         `toml:"off"`      // minimum time before the level is entered again
+	Ramp     Duration         `toml:"ramp"`     // time in which the shed share is restored after the level is left
+	Shed     []LevelShed      `toml:"shed"`     // requests that are refused in the level
+	Attempts int              `toml:"attempts"` // maximum attempts of one request; 0 for those of the pool
+	Deadline float64          `toml:"deadline"` // share of the deadline of each class
 }
 
-// LevelCondition is one on a signal: over a bound, or under it.
+// LevelCondition holds while a signal is over a bound, or under it.
 type LevelCondition struct {
 	Signal string   `toml:"signal"`
 	Over   *float64 `toml:"over"`
@@ -35,11 +35,11 @@
 type LevelShed struct {
 	Class      string   `toml:"class"`
 	Share      float64  `toml:"share"`
-	Status     int      `toml:"status"` // 0 for that of a refusal, 503
+	Status     int      `toml:"status"` // 0 for 503, the status of refusals
 	Body       string   `toml:"body"`
-	Type       string   `toml:"type"`        // of the body
-	Warning    string   `toml:"warning"`     // the header of that name
-	RetryAfter Duration `toml:"retry_after"` // 0 for what refusals say
+	Type       string   `toml:"type"`        // content type of the body
+	Warning    string   `toml:"warning"`     // value of the header Warning
+	RetryAfter Duration `toml:"retry_after"` // 0 for that of other refusals
 }
 
 // Ladder returns the levels of the pool for package degradation. The file has been checked.
--- a/internal/operator/load.go
+++ b/internal/operator/load.go
@@ -20,16 +20,17 @@
 type Config struct {
 	File
 	Path         string
-	Text         []byte                      // as it was read
+	Text         []byte                      // as read from the file
 	Hash         string                      // SHA-256 of the text, the certificates and the server files, in hex
 	HTTPRoutes   map[string]*route.Table     // of HTTP/1.1 requests, by listener
 	GRPCRoutes   map[string]*route.Table     // of gRPC calls, by listener
-	SiteTables   map[string]*vhost.Table     // of requests that no route matches, by listener; nil where there are none
+	SiteTables   map[string]*vhost.Table     // of requests that no route matches, by listener; nil for a listener without sites
 	Certificates map[string]*tls.Certificate // by listener; none without TLS
-	FileServers  map[string][]Server         // what the server files held when the file was loaded, by pool
+	FileServers  map[string][]Server         // servers in the server files when the file was loaded, by pool
 }
 
-// Listener returns the listener of a name that accepts a protocol, HTTP or GRPC; with no name the first that does.
+// Listener returns the listener with this name if it accepts a protocol, HTTP or GRPC. Without a name it returns the first one that
+// accepts the protocol.
 func (c *Config) Listener(name, protocol string) *Listener {
 	for i := range c.Listeners {
 		if l := &c.Listeners[i]; (name == "" || l.Name == name) && l.accepts(protocol) {
@@ -48,7 +49,7 @@
 	return Parse(path, text)
 }
 
-// Parse checks the text of a file. Path is its name, for errors and for files that it names relative to its folder.
+// Parse checks the text of a file. path is used in errors, and its folder is where relative paths in the file start.
 func Parse(path string, text []byte) (*Config, error) {
 	d := &document{name: path}
 	cfg := &Config{
@@ -74,7 +75,7 @@
 	return cfg, nil
 }
 
-// TextHash returns the SHA-256 of the text of a file alone, in hex: the same on every host, whatever its server files hold.
+// TextHash returns the SHA-256 of the text of a file alone, in hex: the same on every host, whatever the server files contain.
 func TextHash(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
@@ -84,8 +85,8 @@
 func ReadFile(path string) ([]byte, error) {
 	if info, err := os.Stat(path); err != nil {
 		return nil, err
-	} else if !info.Mode().IsRegular() { // a pipe could keep us waiting, a device never end
-		return nil, fmt.Errorf("%s: is no regular file", path)
+	} else if !info.Mode().IsRegular() { // reading a pipe could block, and a device may have no end
+		return nil, fmt.Errorf("%s: not a regular file", path)
 	}
 	f, err := os.Open(path)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return text, nil
 }
 
-// ServerFile is the form of a file of servers.
+// ServerFile is the content of a file of servers.
 type ServerFile struct {
 	Servers []Server `toml:"server"`
 }
@@ -113,7 +114,7 @@
 	return servers, err
 }
 
-// readServers returns the text of the file too.
+// readServers reads and checks a file of servers. It returns the servers and the text of the file.
 func readServers(path string, zones []string) ([]Server, []byte, error) {
 	text, err := ReadFile(path)
 	if err != nil {
@@ -134,7 +135,7 @@
 	return f.Servers, d.err()
 }
 
-// ResolvePath makes a relative path one below a folder. An empty path stays empty.
+// ResolvePath joins a relative path to a folder. An empty path stays empty.
 func ResolvePath(folder string, path *string) {
 	if *path != "" && !filepath.IsAbs(*path) {
 		*path = filepath.Join(folder, *path)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-const small = `
+const minimalFile = `
 [[listener]]
 name = "in"
 address = "127.0.0.1:8080"
@@ -34,8 +34,8 @@
 class = "read"
 `
 
-// line tells on which line of a text something stands.
-func line(text, part string) int {
+// lineOf returns the line of the first occurrence of part in text, or -1.
+func lineOf(text, part string) int {
 	at := strings.Index(text, part)
 	if at < 0 {
 		return -1
@@ -61,59 +61,59 @@
 	}
 }
 
-// Every error must be told with its line and field, not the first one only.
+// TestErrorsNameLineAndField guards against errors with a wrong line or field, and against reporting only the first error of a file.
 func TestErrorsNameLineAndField(t *testing.T) {
-	edit := func(old, to string) string { return strings.Replace(small, old, to, 1) }
+	edit := func(old, to string) string { return strings.Replace(minimalFile, old, to, 1) }
 	for _, c := range []struct{ name, text, at, field, want string }{
 		{"unknown key", edit(`name = "in"`, "name = \"in\"\naddrss = 1"), "addrss", "listener[0].addrss", `"address" meant`},
-		{"unknown table", small + "\n[[pools]]\nname = \"x\"\n", "[[pools]]", "pools", `"pool" meant`},
+		{"unknown table", minimalFile + "\n[[pools]]\nname = \"x\"\n", "[[pools]]", "pools", `"pool" meant`},
 		{"wrong type", edit(`"100ms"`, `true`), "aim", "pool[0].class[0].aim", "no time"},
 		{"number for a text", edit(`name = "box"`, `name = 7`), "name = 7", "pool[0].name", "a text, not the number 7"},
-		{"list of the wrong kind", small + "methods = [\"GET\", 4]\n", "methods", "route[0].methods[1]", "a text"},
+		{"list of the wrong kind", minimalFile + "methods = [\"GET\", 4]\n", "methods", "route[0].methods[1]", "a text"},
 		{"time", edit(`"100ms"`, `"-5s"`), "aim", "pool[0].class[0].aim", "no time"},
-		{"impossible time", edit(`"100ms"`, `"2s"`), "aim", "pool[0].class[0].aim", "longer than the give_up"},
+		{"aim over give_up", edit(`"100ms"`, `"2s"`), "aim", "pool[0].class[0].aim", "longer than the give_up"},
 		{"connect time", edit(`name = "box"`, "name = \"box\"\nconnect_timeout = \"2s\""), "connect_timeout", "pool[0].connect_timeout", "give_up"},
-		{"drain", edit(`name = "box"`, "name = \"box\"\ndrain_grace = \"1s\""), "drain_grace", "pool[0].drain_grace", "impossible"},
+		{"drain", edit(`name = "box"`, "name = \"box\"\ndrain_grace = \"1s\""), "drain_grace", "pool[0].drain_grace", "out of range"},
 		{"effect", edit(`"safe"`, `"maybe"`), "effect", "pool[0].class[0].effect", "unknown"},
 		{"group", edit(`"safe"`, `"keyed"`), "[[pool.class]]", "pool[0].class[0].group", "unknown"},
-		{"no number", edit(`name = "box"`, "name = \"box\"\ncold_from = nan"), "cold_from", "pool[0].cold_from", "finite"},
+		{"NaN", edit(`name = "box"`, "name = \"box\"\ncold_from = nan"), "cold_from", "pool[0].cold_from", "finite"},
 		{"attempts", edit(`name = "box"`, "name = \"box\"\nattempts = 5"), "attempts", "pool[0].attempts", "within"},
 		{"rank", edit(`name = "box"`, "name = \"box\"\ncopies = 2\nrank = 2"), "rank", "pool[0].rank", "copies"},
-		{"listener twice", small + "\n[[listener]]\nname = \"in\"\naddress = \"127.0.0.1:1\"\n", "", "listener[1].name", "already"},
-		{"overlap", small + "\n[[listener]]\nname = \"b\"\naddress = \":8080\"\n", "address = \":8080\"", "listener[1].address", "overlaps"},
+		{"listener twice", minimalFile + "\n[[listener]]\nname = \"in\"\naddress = \"127.0.0.1:1\"\n", "", "listener[1].name", "already"},
+		{"overlap", minimalFile + "\n[[listener]]\nname = \"b\"\naddress = \":8080\"\n", "address = \":8080\"", "listener[1].address", "overlaps"},
 		{"front", edit(`name = "in"`, "name = \"in\"\nfront = \"smtp\""), "front", "listener[0].front", "unknown"},
-		{"address", edit(`"127.0.0.1:9001"`, `"nowhere"`), `"nowhere"`, "pool[0].server[0].address", "no address"},
+		{"address", edit(`"127.0.0.1:9001"`, `"nowhere"`), `"nowhere"`, "pool[0].server[0].address", "not an address"},
 		{"server twice", edit("[[route]]", "[[pool.server]]\naddress = \"127.0.0.1:9001\"\n[[route]]"), "", "pool[0].server[1].id", "already"},
 		{"started", edit("[[route]]", "started = \"noon\"\n[[route]]"), "started", "pool[0].server[0].started", "RFC 3339"},
 		{"no pool", edit(`pool = "box"`, `pool = "bx"`), `pool = "bx"`, "route[0].pool", `no pool "bx"`},
 		{"no class", edit(`class = "read"`, `class = "write"`), `class = "write"`, "route[0].class", `no class "write"`},
-		{"no path", edit(`prefix = "/"`, ``), "[[route]]", "route[0]", "one of exact"},
+		{"path missing", edit(`prefix = "/"`, ``), "[[route]]", "route[0]", "one of exact"},
 		{"two paths", edit(`prefix = "/"`, "prefix = \"/\"\nexact = \"/\""), "[[route]]", "route[0]", "one of exact"},
 		{"expression", edit(`prefix = "/"`, `regex = "("`), "regex", "route[0].regex", "missing"},
-		{"no listener", small + "listeners = [\"in\", \"out\"]\n", "listeners", "route[0].listeners[1]", "no listener"},
-		{"condition", small + "headers = [{ name = \"x\", value = \"1\", present = true }]\n", "headers", "route[0].headers[0]", "not both"},
-		{"unknown key of an inline table", small + "headers = [\n  { name = \"x\" },\n  { name = \"y\", valeu = \"1\" },\n]\n", "valeu", "route[0].headers[1].valeu", `"value" meant`},
-		{"answer and pool", small + "status = 404\n", "pool = \"box\"", "route[0].pool", "not both"},
-		{"redirect", small + "\n[[route]]\nname = \"r\"\nprefix = \"/r\"\nstatus = 200\nredirect = \"/x\"\n", "redirect", "route[1].redirect", "together"},
-		{"alike", small + "\n[[route]]\nname = \"two\"\nprefix = \"/\"\npool = \"box\"\nclass = \"read\"\n", "", "route[1].priority", "higher priority"},
-		{"hidden", small + "\n[[route]]\nname = \"two\"\nregex = \"/.*\"\npool = \"box\"\nclass = \"read\"\n", "prefix", "route[0].prefix", "unreachable"},
-		{"descriptors", edit(`name = "box"`, "name = \"box\"\nconnections = { least = 50 }") + "\n[limits]\nsockets = 64\n", "sockets", "limits.sockets", "promised"},
-		{"memory", small + "\n[limits]\nmemory = \"1MiB\"\n", "memory", "limits.memory", "under"},
-		{"state", small + "\n[state]\npath = \"s\"\nevery = \"1ms\"\n", "every", "state.every", "impossible time"},
-		{"no TOML", small + "x = = 1\n", "x = =", "", ""},
-		{"key twice", small + "name = \"again\"\n", "", "", ""},
+		{"no listener", minimalFile + "listeners = [\"in\", \"out\"]\n", "listeners", "route[0].listeners[1]", "no listener"},
+		{"condition", minimalFile + "headers = [{ name = \"x\", value = \"1\", present = true }]\n", "headers", "route[0].headers[0]", "not both"},
+		{"unknown key of an inline table", minimalFile + "headers = [\n  { name = \"x\" },\n  { name = \"y\", valeu = \"1\" },\n]\n", "valeu", "route[0].headers[1].valeu", `"value" meant`},
+		{"answer and pool", minimalFile + "status = 404\n", "pool = \"box\"", "route[0].pool", "not both"},
+		{"redirect", minimalFile + "\n[[route]]\nname = \"r\"\nprefix = \"/r\"\nstatus = 200\nredirect = \"/x\"\n", "redirect", "route[1].redirect", "status 200 with location \"/x\": only a redirect"},
+		{"same path and priority", minimalFile + "\n[[route]]\nname = \"two\"\nprefix = \"/\"\npool = \"box\"\nclass = \"read\"\n", "", "route[1].priority", "higher priority"},
+		{"covered by another route", minimalFile + "\n[[route]]\nname = \"two\"\nregex = \"/.*\"\npool = \"box\"\nclass = \"read\"\n", "prefix", "route[0].prefix", "unreachable"},
+		{"descriptors", edit(`name = "box"`, "name = \"box\"\nconnections = { least = 50 }") + "\n[limits]\nsockets = 64\n", "sockets", "limits.sockets", "guaranteed"},
+		{"memory", minimalFile + "\n[limits]\nmemory = \"1MiB\"\n", "memory", "limits.memory", "under"},
+		{"state", minimalFile + "\n[state]\npath = \"s\"\nevery = \"1ms\"\n", "every", "state.every", "out of range"},
+		{"invalid TOML", minimalFile + "x = = 1\n", "x = =", "", ""},
+		{"key twice", minimalFile + "name = \"again\"\n", "", "", ""},
 		{"server file", edit("[[pool.server]]\naddress = \"127.0.0.1:9001\"", "[pool.source]\ntype = \"file\"\npath = \"none.toml\""), "path", "pool[0].source.path", "no such file"},
 		{"source", edit("[[pool.server]]\naddress = \"127.0.0.1:9001\"", "[pool.source]\ntype = \"dns\""), "type", "pool[0].source.type", "unknown"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse(filepath.Join(t.TempDir(), "shop.toml"), []byte(c.text))
+			_, err := Parse(filepath.Join(t.TempDir(), "operator.toml"), []byte(c.text))
 			var all Errors
 			if !errors.As(err, &all) {
 				t.Fatalf("error %v, want errors of a file", err)
 			}
 			for _, e := range all {
-				if e.Field == c.field && strings.Contains(e.Error(), c.want) && strings.Contains(e.Error(), "shop.toml:") {
-					if want := line(c.text, c.at); c.at != "" && e.Line != want {
+				if e.Field == c.field && strings.Contains(e.Error(), c.want) && strings.Contains(e.Error(), "operator.toml:") {
+					if want := lineOf(c.text, c.at); c.at != "" && e.Line != want {
 						t.Errorf("%v: want line %d", e, want)
 					}
 					return
@@ -122,7 +122,7 @@
 			t.Errorf("errors:\n%v\nwant one of %s with %q", err, c.field, c.want)
 		})
 	}
-	text := strings.NewReplacer(`"safe"`, `"maybe"`, `"127.0.0.1:9001"`, `"x"`, `pool = "box"`, `pool = "bx"`, `name = "in"`, `nam = "in"`).Replace(small)
+	text := strings.NewReplacer(`"safe"`, `"maybe"`, `"127.0.0.1:9001"`, `"x"`, `pool = "box"`, `pool = "bx"`, `name = "in"`, `nam = "in"`).Replace(minimalFile)
 	_, err := Parse("f", []byte(text))
 	if n := strings.Count(fmt.Sprint(err), "\n"); n < 4 { // nam is unknown, name is missing, effect, address, pool
 		t.Errorf("errors:\n%v\nwant all five of them", err)
@@ -138,11 +138,11 @@
 		}
 		return cfg
 	}
-	a := load(small)
-	if got := Diff(a, load(small)); len(got) != 0 {
+	a := load(minimalFile)
+	if got := Diff(a, load(minimalFile)); len(got) != 0 {
 		t.Errorf("the same file: %v", got)
 	}
-	b := load(strings.NewReplacer("9001", "9002", "8080", "8081", `prefix = "/"`, `prefix = "/x"`).Replace(small) +
+	b := load(strings.NewReplacer("9001", "9002", "8080", "8081", `prefix = "/"`, `prefix = "/x"`).Replace(minimalFile) +
 		"\n[limits]\nsockets = 512\n[[pool]]\nname = \"more\"\n[[pool.class]]\nname=\"c\"\naim=\"1s\"\ngive_up=\"1s\"\neffect=\"unsafe\"\n")
 	var got []string
 	for _, c := range Diff(a, b) {
@@ -158,12 +158,13 @@
 	if strings.Join(got, "\n") != strings.Join(want, "\n") {
 		t.Errorf("changes\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
-	if c := load(strings.Replace(small, "100ms", "200ms", 1)); a.Pools[0].SameModule(&c.Pools[0]) || !a.Pools[0].SameModule(&b.Pools[0]) {
+	if c := load(strings.Replace(minimalFile, "100ms", "200ms", 1)); a.Pools[0].SameModule(&c.Pools[0]) || !a.Pools[0].SameModule(&b.Pools[0]) {
 		t.Error("a pool keeps its module if only its servers changed, and only then")
 	}
 }
 
-// Shares sum to what there is, none is under its promise, and no pool's part depends on what others use.
+// TestAllocate checks that the shares sum to all descriptors, that no pool gets less than its guaranteed number, and that each share
+// is within one descriptor of its exact value.
 func TestAllocate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pools := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Share {
@@ -178,12 +179,12 @@
 		sum := 0
 		for i, got := range Allocate(n, pools) {
 			sum += got
-			due := float64(pools[i].Least)
+			exact := float64(pools[i].Least)
 			if weights > 0 {
-				due += float64(n-least) * pools[i].Weight / weights
+				exact += float64(n-least) * pools[i].Weight / weights
 			}
-			if got < pools[i].Least || float64(got) < due-1 || float64(got) > due+1 {
-				t.Fatalf("pool %d of %+v gets %d of %d, its due is %v", i, pools, got, n, due)
+			if got < pools[i].Least || float64(got) < exact-1 || float64(got) > exact+1 {
+				t.Fatalf("pool %d of %+v gets %d of %d, want %v", i, pools, got, n, exact)
 			}
 		}
 		if sum > n || weights > 0 && sum != n {
@@ -205,8 +206,8 @@
 	if got := time.UnixMilli(int64(servers[0].StartedMS())).UTC().Format(time.RFC3339); got != servers[0].Started {
 		t.Errorf("started %s, want %s", got, servers[0].Started)
 	}
-	file := strings.Replace(small, "[[pool.server]]\naddress = \"127.0.0.1:9001\"", "[pool.source]\ntype = \"file\"\npath = \"box.toml\"", 1)
-	cfg, err := Parse(filepath.Join(filepath.Dir(path), "shop.toml"), []byte(file))
+	file := strings.Replace(minimalFile, "[[pool.server]]\naddress = \"127.0.0.1:9001\"", "[pool.source]\ntype = \"file\"\npath = \"box.toml\"", 1)
+	cfg, err := Parse(filepath.Join(filepath.Dir(path), "operator.toml"), []byte(file))
 	if err != nil || len(cfg.FileServers["box"]) != 2 || cfg.Pools[0].Source.Path != path {
 		t.Errorf("error %v, config %+v", err, cfg)
 	}
@@ -215,9 +216,10 @@
 	}
 }
 
-// FuzzParse: whatever the text, an error names a line that the text has, and what is taken is taken again, alike.
+// FuzzParse checks for any text that an error names a line that the text has, and that parsing an accepted text again gives the same
+// configuration.
 func FuzzParse(f *testing.F) {
-	f.Add(small)
+	f.Add(minimalFile)
 	if text, err := os.ReadFile("../../deploy/operator.toml"); err == nil {
 		f.Add(string(text))
 	}
@@ -229,7 +231,7 @@
 		if err != nil {
 			var all Errors
 			if !errors.As(err, &all) || len(all) == 0 || len(all) > maxErrors+1 {
-				t.Fatalf("error %v is none of a file", err)
+				t.Fatalf("error %v is not an Errors with 1 to maxErrors+1 entries", err)
 			}
 			for _, e := range all {
 				if e.Line < 1 || e.Line > 1+strings.Count(text, "\n") {
@@ -240,7 +242,7 @@
 		}
 		again, err := Parse("f.toml", []byte(text))
 		if err != nil || again.Hash != cfg.Hash || len(Diff(cfg, again)) > 0 {
-			t.Fatalf("taken again: %v, %v", err, Diff(cfg, again))
+			t.Fatalf("parsed again: %v, %v", err, Diff(cfg, again))
 		}
 	})
 }
--- a/internal/operator/positions.go
+++ b/internal/operator/positions.go
@@ -8,15 +8,16 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// positions holds the line of each key of a document, by its path: pool[0].class[1].aim.
+// positions holds the line of each key of a document, by its path, such as pool[0].class[1].aim.
 type positions struct {
 	lines  map[string]int
 	starts []int          // offsets of lines
 	counts map[string]int // elements of the arrays of tables so far
 }
 
-// locate reads the lines of a document that the decoder has taken; what cannot be read again is left out.
-func locate(text []byte) *positions {
+// newPositions finds the lines of the keys of a document that was decoded before. Where this parser fails, the rest of the document
+// is left out.
+func newPositions(text []byte) *positions {
 	p := &positions{lines: map[string]int{}, counts: map[string]int{}, starts: []int{0}}
 	for i, c := range text {
 		if c == '\n' {
@@ -39,8 +40,8 @@
 	return p
 }
 
-// keys notes the line of a dotted key and returns its path. Parts that are arrays of tables stand for their last element;
-// an array header begins a new one.
+// keys records the line of a dotted key and returns its path. A part that is an array of tables refers to the last element of the
+// array; the header of an array of tables adds an element.
 func (p *positions) keys(prefix string, it unstable.Iterator, newElement bool) (path string, line int) {
 	path = prefix
 	for it.Next() {
@@ -48,7 +49,7 @@
 			path += "."
 		}
 		path += string(it.Node().Data)
-		line = p.line(int(it.Node().Raw.Offset))
+		line = p.lineAt(int(it.Node().Raw.Offset))
 		if n, ok := p.counts[path]; ok || newElement && it.IsLast() {
 			if newElement && it.IsLast() {
 				n++
@@ -68,7 +69,7 @@
 	p.locateValue(path, line, e.Value())
 }
 
-// locateValue notes the lines of what an inline table or a list holds.
+// locateValue records the lines of the keys of an inline table and of the elements of a list.
 func (p *positions) locateValue(path string, line int, v *unstable.Node) {
 	switch v.Kind {
 	case unstable.InlineTable:
@@ -86,7 +87,7 @@
 			element := fmt.Sprintf("%s[%d]", path, i)
 			at := line
 			if raw := it.Node().Raw; raw.Length > 0 {
-				at = p.line(int(raw.Offset))
+				at = p.lineAt(int(raw.Offset))
 			}
 			p.lines[element] = at
 			p.locateValue(element, at, it.Node())
@@ -95,18 +96,18 @@
 	}
 }
 
-// line returns the line of an offset, from 1.
-func (p *positions) line(offset int) int {
+// lineAt returns the line of an offset. Lines count from 1.
+func (p *positions) lineAt(offset int) int {
 	return sort.Search(len(p.starts), func(i int) bool { return p.starts[i] > offset })
 }
 
-// of returns the line of a path, or of the nearest table or list around it.
-func (p *positions) of(path string) int {
+// lineOf returns the line of a path, or of the nearest table or list around it.
+func (p *positions) lineOf(path string) int {
 	for path != "" {
 		if line, ok := p.lines[path]; ok {
 			return line
 		}
-		if line, ok := p.lines[path+"[0]"]; ok { // an array of tables as a whole
+		if line, ok := p.lines[path+"[0]"]; ok { // path is an array of tables
 			return line
 		}
 		path = path[:max(strings.LastIndexAny(path, ".["), 0)]
--- a/internal/operator/route_table.go
+++ b/internal/operator/route_table.go
@@ -10,7 +10,7 @@
 
 // compileRoutes compiles the usable routes for each listener and protocol.
 func (c *checker) compileRoutes(usable []bool) {
-	reported := map[string]bool{} // a route stands in the tables of several listeners
+	reported := map[string]bool{} // a route may be in the tables of several listeners
 	for i := range c.cfg.Listeners {
 		l := &c.cfg.Listeners[i]
 		c.cfg.HTTPRoutes[l.Name] = c.compileTable(l, HTTP, usable, reported)
@@ -18,8 +18,8 @@
 	}
 }
 
-// compileTable compiles the routes of a listener for one protocol. A route for all listeners stands only in the tables of
-// those that accept its protocol.
+// compileTable compiles the routes of a listener for one protocol. A route for all listeners is only added to the
+// tables of those that accept its protocol.
 func (c *checker) compileTable(l *Listener, protocol string, usable []bool, reported map[string]bool) *route.Table {
 	var rules []route.Rule
 	var indexes []int
@@ -47,7 +47,7 @@
 func (r *Route) rule() route.Rule {
 	rule := route.Rule{
 		Name: r.Name, Host: r.Host, Methods: r.Methods, Priority: r.Priority, Pool: r.Pool, Class: r.Class,
-		Headers: conditions(r.Headers), Query: conditions(r.Query),
+		Headers: convertConditions(r.Headers), Query: convertConditions(r.Query),
 		Rewrite: route.Rewrite{Strip: r.StripPrefix || r.ReplacePrefix != "", Replace: r.ReplacePrefix},
 	}
 	switch r.pathKey() {
@@ -71,7 +71,7 @@
 // hasFixedAnswer reports whether a route answers requests itself.
 func (r *Route) hasFixedAnswer() bool { return r.Status != 0 || r.Redirect != "" }
 
-func conditions(list []Condition) []route.Condition {
+func convertConditions(list []Condition) []route.Condition {
 	out := make([]route.Condition, len(list))
 	for i, c := range list {
 		out[i] = route.Condition{Name: c.Name, Value: c.Value}
@@ -84,7 +84,7 @@
 	return out
 }
 
-// keyOf returns the key of the file that stands for a field of a rule.
+// keyOf returns the key of the file for a field of a rule.
 func (r *Route) keyOf(field string) string {
 	switch field {
 	case "path":
--- a/internal/operator/settings.go
+++ b/internal/operator/settings.go
@@ -16,13 +16,13 @@
 	groups  = map[string]balancer.DedupGroup{"all": balancer.DedupAll, "zone": balancer.DedupZone, "cell": balancer.DedupCell}
 )
 
-// Settings of the decision module that a file does not set. Times are in milliseconds.
+// Settings of the decision module that a file cannot set. Times are in milliseconds.
 const (
-	answerSlack   = 20.0
-	fallMultiple  = 2.5    // a cold server fails if it gets so many times the requests that it can take
-	fallAfter     = 1000.0 // for so long
-	maxRetryAfter = 2000.0
-	askEvery      = 10_000.0
+	responseSlack    = 20.0
+	overloadMultiple = 2.5    // a cold server fails if it gets this multiple of the requests that it can take
+	overloadTime     = 1000.0 // for this time
+	maxRetryAfter    = 2000.0
+	listInterval     = 10_000.0
 )
 
 // Settings returns the pool's settings of the decision module. Requests are refused at once when no server is listed.
@@ -34,8 +34,8 @@
 			ConnectTimeout: p.ConnectTimeout.MS(), ConnIdleTimeout: p.IdleTimeout.MS(), RejectWithoutServers: true, StreamsPerConn: 1,
 		},
 		Safety: balancer.Safety{
-			ResponseSlack: answerSlack, DrainGrace: p.DrainGrace.MS(), SlowStartShare: p.ColdFrom, SlowStartTime: p.Ramp.MS(),
-			OverloadMultiple: fallMultiple, OverloadTime: fallAfter, ListInterval: askEvery,
+			ResponseSlack: responseSlack, DrainGrace: p.DrainGrace.MS(), SlowStartShare: p.ColdFrom, SlowStartTime: p.Ramp.MS(),
+			OverloadMultiple: overloadMultiple, OverloadTime: overloadTime, ListInterval: listInterval,
 			RetryBudgetMin: float64(p.RetryFree), RetryBudgetShare: p.RetryShare, RetryBudgetWindow: p.RetryWindow.MS(),
 		},
 	}
--- a/internal/operator/shares.go
+++ b/internal/operator/shares.go
@@ -3,32 +3,32 @@
 import "math"
 
 const (
-	// MinSockets is the smallest descriptor limit that leaves some for callers and for servers.
+	// MinSockets is the smallest descriptor limit that leaves descriptors for client and for server connections.
 	MinSockets = 64
-	// callerShare is the callers' share of the descriptors that are not reserved; servers get the rest.
-	callerShare = 0.6
-	// reservedDescriptors are for the runtime, the standard streams and what is being accepted,
+	// clientShare is the share of client connections in the descriptors that are not reserved. Server connections get the rest.
+	clientShare = 0.6
+	// reservedDescriptors are reserved for the runtime, the standard streams and connections that are being accepted.
 	reservedDescriptors = 16
-	// as is one of so many of all.
+	// reservedPart is the divisor of the limit for a further reserve: one descriptor in 32.
 	reservedPart = 32
 )
 
-// DivideDescriptors returns how many connections callers may hold and how many there may be to servers, under a limit of
-// descriptors of which inUse are taken by listeners and the like.
-func DivideDescriptors(limit, inUse int) (callers, servers int) {
+// DivideDescriptors returns the maximum numbers of connections from clients and to servers for a limit of descriptors. inUse is the
+// number of descriptors that listeners and other files use.
+func DivideDescriptors(limit, inUse int) (clients, servers int) {
 	free := max(limit-reservedDescriptors-limit/reservedPart-inUse, 0)
-	callers = int(callerShare * float64(free))
-	return callers, free - callers
+	clients = int(clientShare * float64(free))
+	return clients, free - clients
 }
 
-// DivideDescriptors divides the descriptors of a file for all its listeners and pools together. A pool uses two beside its
-// connections, for its source.
-func (c *Config) DivideDescriptors() (callers, servers int) {
+// DivideDescriptors divides the descriptors of a file among client and server connections. Each pool uses two descriptors for its
+// source in addition to its connections.
+func (c *Config) DivideDescriptors() (clients, servers int) {
 	return DivideDescriptors(c.Limits.Sockets, len(c.Listeners)+2*len(c.Pools))
 }
 
 // Allocate divides n descriptors among pools: each gets its guaranteed number, and the rest is divided by weight. The shares
-// sum to n, or to less if no pool has a weight. Guarantees of more than n have to be refused before.
+// sum to n, or to less if no pool has a weight. The caller must reject guarantees of more than n.
 func Allocate(n int, pools []Share) []int {
 	shares := make([]int, len(pools))
 	weights, rest := 0.0, n
@@ -40,7 +40,7 @@
 	if rest <= 0 || weights <= 0 {
 		return shares
 	}
-	// The largest remainder method, the first of equal ones: the share of each pool is within one of its exact part.
+	// Largest remainder method; the first of equal remainders wins. The share of each pool differs from its exact share by less than 1.
 	left := rest
 	remainders := make([]float64, len(pools))
 	for i, p := range pools {
--- a/internal/operator/sites_test.go
+++ b/internal/operator/sites_test.go
@@ -8,7 +8,7 @@
 	"milletmast/internal/vhost"
 )
 
-const withSites = small + `
+const siteFile = minimalFile + `
 [[site]]
 name = "shop"
 hosts = ["shop.example.org", "*.shop.example.org", "~^s\\d+\\.example"]
@@ -36,7 +36,7 @@
 `
 
 func TestSites(t *testing.T) {
-	cfg, err := Parse("f", []byte(withSites))
+	cfg, err := Parse("f", []byte(siteFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,12 +50,12 @@
 			t.Errorf("%s: %q, want %q", path, got, want)
 		}
 	}
-	if cfg, err = Parse("f", []byte(small)); err != nil || cfg.SiteTables["in"] != nil {
+	if cfg, err = Parse("f", []byte(minimalFile)); err != nil || cfg.SiteTables["in"] != nil {
 		t.Errorf("without sites: %v, %v", cfg.Sites, err)
 	}
 }
 
-// What is wrong in sites is told with line and field, all of it at once.
+// TestSiteErrors guards against errors of sites that are reported without their line and field.
 func TestSiteErrors(t *testing.T) {
 	for _, c := range []struct{ old, text, field string }{
 		{`begins = "/"`, `prefix = "/"`, "site[0].location[0].prefix"},
@@ -71,16 +71,16 @@
 		{"name = \"pictures\"\n", "name = \"pictures\"\nother = \"write\"\n", "site[0].location[0].location[0].other"},
 		{"exact = \"/\"\n", "exact = \"/\"\nclass = \"read\"\n", "site[0].location[1].pool"},
 	} {
-		text := strings.Replace(withSites, c.old, c.text, 1)
+		text := strings.Replace(siteFile, c.old, c.text, 1)
 		_, err := Parse("f", []byte(text))
 		var all Errors
-		if !errors.As(err, &all) || text == withSites {
+		if !errors.As(err, &all) || text == siteFile {
 			t.Errorf("%s: %v", c.text, err)
 			continue
 		}
 		found := false
 		for _, e := range all {
-			found = found || e.Field == c.field && e.Line > strings.Count(small, "\n")
+			found = found || e.Field == c.field && e.Line > strings.Count(minimalFile, "\n")
 		}
 		if !found {
 			t.Errorf("%s: %v, want %s", c.text, err, c.field)
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -42,7 +42,7 @@
 }
 
 // errHostCondition is reported for a condition on the header Host.
-var errHostCondition = errors.New("the header Host is compared by the route's host")
+var errHostCondition = errors.New("use the host of the route to match the header Host")
 
 // compiler collects the compiled routes of a table and the errors of its rules.
 type compiler struct {
@@ -66,7 +66,7 @@
 	if first, ok := c.names[r.Name]; r.Name == "" {
 		c.addError(i, "name", errors.New("is missing"))
 	} else if ok {
-		c.addError(i, "name", fmt.Errorf("%q names route %d already", r.Name, first))
+		c.addError(i, "name", fmt.Errorf("%q is already the name of route %d", r.Name, first))
 	} else {
 		c.names[r.Name] = i
 	}
@@ -92,9 +92,9 @@
 	name, err := NormalizeHost(host)
 	switch {
 	case err != nil || name == "":
-		c.addError(e.index, "host", fmt.Errorf("%q is no host name", e.Host))
+		c.addError(e.index, "host", fmt.Errorf("%q is not a host name", e.Host))
 	case strings.Contains(host, ":") && !strings.Contains(name, ":"):
-		c.addError(e.index, "host", fmt.Errorf("%q names a port: routes are for all ports", e.Host))
+		c.addError(e.index, "host", fmt.Errorf("%q contains a port: a route applies to all ports", e.Host))
 	}
 	e.host = name
 }
@@ -114,7 +114,7 @@
 		c.addError(e.index, "path", err)
 		return
 	case strings.Contains(e.Path, ";"):
-		c.addError(e.index, "path", errors.New("parameters behind ; are not compared"))
+		c.addError(e.index, "path", errors.New("path parameters after ; are not allowed: they are not compared"))
 		return
 	}
 	if e.path = p.Match; e.Kind == Prefix {
@@ -176,10 +176,10 @@
 	e.Methods = slices.Clone(e.Methods)
 	for i, method := range e.Methods {
 		if !isMethod(method) {
-			c.addError(e.index, "methods", fmt.Errorf("%q is no method: they are in capital letters", method))
+			c.addError(e.index, "methods", fmt.Errorf("%q is not a method: use capital letters", method))
 		}
 		if slices.Contains(e.Methods[:i], method) {
-			c.addError(e.index, "methods", fmt.Errorf("%s comes twice", method))
+			c.addError(e.index, "methods", fmt.Errorf("%s is listed twice", method))
 		}
 	}
 }
@@ -197,7 +197,7 @@
 		header := &e.Headers[i]
 		header.Name = http.CanonicalHeaderKey(header.Name)
 		if header.Name == "" || strings.ContainsAny(header.Name, " :\t\r\n") {
-			c.addError(e.index, "headers", fmt.Errorf("%q is no name of a header", header.Name))
+			c.addError(e.index, "headers", fmt.Errorf("%q is not a valid header name", header.Name))
 		}
 		if header.Name == "Host" {
 			c.addError(e.index, "headers", errHostCondition)
@@ -230,7 +230,7 @@
 		c.addError(e.index, "rewrite", errors.New("a replacement needs the prefix to be stripped"))
 	case rewrite.Replace != "":
 		if p, err := Normalize(rewrite.Replace); err != nil || p.Raw != rewrite.Replace {
-			c.addError(e.index, "rewrite", fmt.Errorf("%q is no path in its one spelling", rewrite.Replace))
+			c.addError(e.index, "rewrite", fmt.Errorf("%q is not a path in its normal spelling", rewrite.Replace))
 		}
 	}
 	answer := e.Answer
@@ -252,9 +252,9 @@
 func (a *Answer) validate() error {
 	switch {
 	case a.Status < 200 || a.Status > 599:
-		return fmt.Errorf("%d is no status of an answer", a.Status)
+		return fmt.Errorf("%d is not a valid response status", a.Status)
 	case (a.Location != "") != IsRedirect(a.Status):
-		return fmt.Errorf("status %d and a location of %q do not go together", a.Status, a.Location)
+		return fmt.Errorf("status %d with location %q: only a redirect has a location, and it needs one", a.Status, a.Location)
 	case strings.ContainsAny(a.Location, "\r\n\x00") || hasUnknownPlaceholder(a.Location):
 		return fmt.Errorf("location %q: {host}, {path} and {query} are the only placeholders", a.Location)
 	case a.Body != "" && (a.Status == http.StatusNoContent || a.Status == http.StatusNotModified):
--- a/internal/vhost/compile.go
+++ b/internal/vhost/compile.go
@@ -69,7 +69,7 @@
 		s := &servers[i]
 		c.server = i
 		if s.Name == "" || names[s.Name] {
-			c.addError(nil, "name", fmt.Errorf("%q is missing or comes twice", s.Name))
+			c.addError(nil, "name", fmt.Errorf("%q is empty or used twice", s.Name))
 		}
 		names[s.Name] = true
 		own := &virtualServer{Server: s, steps: c.compileSteps(nil, s.Steps), named: map[string]*location{}}
@@ -78,7 +78,7 @@
 		c.checkReferences()
 		c.addHosts(t, own)
 		if s.Default && t.defaultServer != nil && t.defaultServer.Default {
-			c.addError(nil, "default", fmt.Errorf("%q is the default already", t.defaultServer.Name))
+			c.addError(nil, "default", fmt.Errorf("server %q is already the default", t.defaultServer.Name))
 		}
 		if t.defaultServer == nil || s.Default && !t.defaultServer.Default {
 			t.defaultServer = own
@@ -99,11 +99,11 @@
 func (c *compiler) addHosts(t *Table, s *virtualServer) {
 	enter := func(m map[string]*virtualServer, name, host string) {
 		if name == "" || strings.ContainsAny(name, "*/ ") {
-			c.addError(nil, "hosts", fmt.Errorf("%q is no host name", host))
+			c.addError(nil, "hosts", fmt.Errorf("%q is not a host name", host))
 		} else if m[name] == nil {
 			m[name] = s
 		} else {
-			c.addError(nil, "hosts", fmt.Errorf("%q belongs to server %q already", host, m[name].Name))
+			c.addError(nil, "hosts", fmt.Errorf("%q already belongs to server %q", host, m[name].Name))
 		}
 	}
 	for _, host := range s.Hosts {
@@ -157,7 +157,7 @@
 // compileSteps compiles the steps of a server or location.
 func (c *compiler) compileSteps(at []int, list []Step) []compiledStep {
 	if len(list) > maxSteps {
-		c.addError(at, "step", fmt.Errorf("%d of them, over the %d allowed", len(list), maxSteps))
+		c.addError(at, "step", fmt.Errorf("%d steps, over the %d allowed", len(list), maxSteps))
 		return nil
 	}
 	steps := make([]compiledStep, len(list))
@@ -172,13 +172,13 @@
 		case s.Match != "":
 			steps[i].pattern = c.compilePattern(at, field, s.Match, false)
 			if s.Status != 0 || s.Stop {
-				c.addError(at, field, errors.New("it rewrites, stops or answers, not several of these"))
+				c.addError(at, field, errors.New("a step must do one of these only: rewrite, stop or answer"))
 			}
 		case s.Stop:
 		case s.Status < 200 || s.Status > 599:
-			c.addError(at, field, fmt.Errorf("%d is no status of an answer", s.Status))
+			c.addError(at, field, fmt.Errorf("%d is not a valid response status", s.Status))
 		case (s.Location != "") != route.IsRedirect(s.Status):
-			c.addError(at, field, fmt.Errorf("status %d and a location of %q do not go together", s.Status, s.Location))
+			c.addError(at, field, fmt.Errorf("status %d with location %q: only a redirect has a location, and it needs one", s.Status, s.Location))
 		}
 	}
 	return steps
@@ -190,7 +190,7 @@
 		return nil
 	}
 	if len(at) >= maxDepth {
-		c.addError(at, "within", fmt.Errorf("locations are more than %d deep", maxDepth))
+		c.addError(at, "within", fmt.Errorf("locations are nested more than %d deep", maxDepth))
 		return nil
 	}
 	l := &locationSet{exact: map[string]*location{}}
@@ -199,7 +199,7 @@
 		spec := &list[i]
 		here := append(slices.Clip(at), i)
 		if spec.Name == "" || names[spec.Name] {
-			c.addError(here, "name", fmt.Errorf("%q is missing or comes twice", spec.Name))
+			c.addError(here, "name", fmt.Errorf("%q is empty or used twice", spec.Name))
 		}
 		names[spec.Name] = true
 		p := &location{Location: spec, steps: c.compileSteps(here, spec.Steps), action: c.compileAction(here, spec), pages: around}
@@ -225,7 +225,7 @@
 	case p.Kind == Named:
 		c.addNamedLocation(at, p)
 	case p.Kind == Equals && l.exact[p.Path] != nil, p.Kind != Equals && prefixes[p.Path]:
-		c.addError(at, "path", fmt.Errorf("%q has a location already", p.Path))
+		c.addError(at, "path", fmt.Errorf("there is already a location for %q", p.Path))
 	case p.Kind == Equals:
 		l.exact[p.Path] = p
 	default:
@@ -261,19 +261,19 @@
 	}
 	switch {
 	case a.Replace != "" && a.Target != "":
-		c.addError(at, "replace", errors.New("there is a target already"))
+		c.addError(at, "replace", errors.New("replace and target cannot both be set"))
 	case a.Replace != "" && l.Kind.isRegexp():
 		c.addError(at, "replace", errors.New("an expression has no prefix to replace"))
 	case a.Replace != "" && a.Replace[0] != '/':
 		c.addError(at, "replace", fmt.Errorf("%q does not begin with /", a.Replace))
 	}
 	if len(a.Headers) > maxHeaders {
-		c.addError(at, "headers", fmt.Errorf("%d of them, over the %d allowed", len(a.Headers), maxHeaders))
+		c.addError(at, "headers", fmt.Errorf("%d headers, over the %d allowed", len(a.Headers), maxHeaders))
 		return out
 	}
 	for i, h := range a.Headers {
 		if h.Name == "" || strings.ContainsAny(h.Name, " \t:\r\n") || http.CanonicalHeaderKey(h.Name) != h.Name {
-			c.addError(at, fmt.Sprintf("headers[%d]", i), fmt.Errorf("%q is no name of a header in its usual spelling", h.Name))
+			c.addError(at, fmt.Sprintf("headers[%d]", i), fmt.Errorf("%q is not a header name in canonical form", h.Name))
 		}
 		out.headers = append(out.headers, c.compileTemplate(at, fmt.Sprintf("headers[%d]", i), h.Value))
 	}
--- a/internal/vhost/errors.go
+++ b/internal/vhost/errors.go
@@ -40,7 +40,7 @@
 // compilePages compiles the error pages of a server or location.
 func (c *compiler) compilePages(at []int, list []ErrorPage) []compiledPage {
 	if len(list) > maxPages {
-		c.addError(at, "error", fmt.Errorf("%d of them, over the %d allowed", len(list), maxPages))
+		c.addError(at, "error", fmt.Errorf("%d error pages, over the %d allowed", len(list), maxPages))
 		return nil
 	}
 	pages := make([]compiledPage, len(list))
--- a/internal/vhost/template.go
+++ b/internal/vhost/template.go
@@ -81,7 +81,7 @@
 // parseTemplate parses a template.
 func parseTemplate(text string) (template, error) {
 	if strings.ContainsAny(text, "\r\n\x00") {
-		return nil, errors.New("line ends are not allowed")
+		return nil, errors.New("line breaks and NUL bytes are not allowed")
 	}
 	var t template
 	for text != "" {
