--- a/internal/nginx/block.go
+++ b/internal/nginx/block.go
@@ -14,7 +14,7 @@
 	pending       []pendingPages // error pages, which are translated once all locations are known
 }
 
-// importBlock translates the block of a server, or of a location within parent. Settings are those of the block itself.
+// importBlock translates the block of a server, or of a location within parent. set holds the settings of this block.
 func (l *serverImporter) importBlock(
 	d *Directive, set settings, s *scope, parent *locationPlan,
 ) (steps []stepPlan, locations []*locationPlan) {
@@ -38,7 +38,7 @@
 	return steps, locations
 }
 
-// importSets reads the variables of set, which hold in the whole block.
+// importSets reads the set directives, whose variables apply to the whole block.
 func (l *serverImporter) importSets(d *Directive, s *scope) {
 	for _, k := range directivesNamed(d.Body, "set") {
 		if len(k.Args) != 2 || !strings.HasPrefix(k.Args[0].Text, "$") {
@@ -46,14 +46,14 @@
 		}
 		value, err := s.resolve(k.Args[1].Text)
 		if err == nil && !isConstant(value) {
-			err = fmt.Errorf("the value is not known before a request is there")
+			err = fmt.Errorf("the value depends on the request")
 		}
 		if err != nil {
 			l.drop(k, err.Error())
 			continue
 		}
 		s.constants[k.Args[0].Text[1:]] = constantText(value)
-		l.outcomes.record(k, Differs, 0, "the value stands where the variable was used")
+		l.outcomes.record(k, Differs, 0, "the variable is replaced by its value wherever it is used")
 	}
 }
 
@@ -65,7 +65,7 @@
 // constantText returns the text of a template without placeholders.
 func constantText(template string) string { return strings.ReplaceAll(template, "{{", "{") }
 
-// importLocations translates the locations of a block, and adds those that nginx implies.
+// importLocations translates the locations of a block, and adds the redirects that nginx adds implicitly.
 func (l *serverImporter) importLocations(d *Directive, set settings, s scope, parent *locationPlan) (locations []*locationPlan) {
 	taken := map[locationKey]bool{}
 	for _, k := range directivesNamed(d.Body, "location") {
@@ -76,7 +76,7 @@
 		switch {
 		case p == nil:
 		case !p.isExpression() && taken[p.key()]:
-			l.drop(k, "a location of this path stands before it")
+			l.drop(k, "an earlier location has the same path")
 		default:
 			taken[p.key()] = true
 			locations = append(locations, p)
@@ -85,7 +85,7 @@
 	return append(locations, l.slashRedirects(locations, taken)...)
 }
 
-// locationKey is what only one location of a level may have: an exact path or a prefix. Expressions may be repeated.
+// locationKey is an exact path or a prefix, which only one location of a level may have. Expressions may be repeated.
 type locationKey struct{ kind, path string }
 
 func (p *locationPlan) isExpression() bool { return p.field == "regex" || p.field == "regex_any" }
@@ -98,7 +98,7 @@
 	return locationKey{p.field, p.path}
 }
 
-// slashRedirects returns the redirects that nginx implies: for a prefix that ends in a slash and sends to servers, the path without
+// slashRedirects returns the redirects that nginx adds implicitly: for a prefix that ends in a slash and is proxied, the path without
 // the slash is answered with 301, unless it has a location of its own.
 func (l *serverImporter) slashRedirects(list []*locationPlan, taken map[locationKey]bool) (out []*locationPlan) {
 	for _, p := range list {
@@ -115,7 +115,7 @@
 	return out
 }
 
-// redirectPort returns what follows the host in a redirect to the listener itself.
+// redirectPort returns the port, with its colon, in a redirect to the listener itself; "" for the default port.
 func (l *serverImporter) redirectPort() string {
 	port := l.listener.address[strings.LastIndexByte(l.listener.address, ':'):]
 	if port == ":80" || port == ":443" && l.listener.certificateFrom != nil {
@@ -124,7 +124,7 @@
 	return port
 }
 
-// uniqueName returns a name for a location that no other has.
+// uniqueName returns a name that no other location has.
 func (l *serverImporter) uniqueName(name string) string {
 	for n, base := 2, name; l.locationNames[name]; n++ {
 		name = fmt.Sprintf("%s-%d", base, n)
--- a/internal/nginx/errorpage.go
+++ b/internal/nginx/errorpage.go
@@ -16,19 +16,19 @@
 	lines     []string
 }
 
-// pendingPages are the error pages of one level. They may lead to named locations anywhere in the server.
+// pendingPages are the error pages of one level, which may refer to named locations anywhere in the server.
 type pendingPages struct {
 	to    *[]pagePlan
 	from  []*Directive
 	scope scope
 }
 
-// addErrorPages adds the error pages of a level for importErrorPages.
+// addErrorPages records the error pages of a level, which importErrorPages translates later.
 func (l *serverImporter) addErrorPages(to *[]pagePlan, from []*Directive, s scope) {
 	l.pending = append(l.pending, pendingPages{to, from, s.clone()})
 }
 
-// importErrorPages translates the error pages, once all locations are known.
+// importErrorPages translates the error pages. It is called when all locations are known.
 func (l *serverImporter) importErrorPages() {
 	names := map[string]bool{}
 	for _, p := range l.server.locations {
@@ -48,7 +48,7 @@
 	}
 }
 
-// newErrorPage translates an error_page, or returns the reason why it is dropped. Names are those of the named locations.
+// newErrorPage translates an error_page, or returns the reason why it is dropped. names holds the named locations.
 func newErrorPage(d *Directive, s scope, names map[string]bool) (p pagePlan, reason string) {
 	p.directive = d
 	if len(d.Args) < 2 {
@@ -74,7 +74,7 @@
 	return p, ""
 }
 
-// pageStatus is the status of the final response: =CODE, = for that of the page, or none for that of the error.
+// pageStatus is the status of the final response: =CODE sets it, = takes that of the page, and without either that of the error is kept.
 type pageStatus struct {
 	code  int
 	isOwn bool
@@ -88,7 +88,7 @@
 	n, err := strconv.Atoi(text[1:])
 	hasNoBody := n == http.StatusNoContent || n == http.StatusResetContent || n == http.StatusNotModified
 	if err != nil || n < 200 || n > 599 || hasNoBody {
-		return pageStatus{}, fmt.Sprintf("%q is no status of an answer with a body", text)
+		return pageStatus{}, fmt.Sprintf("%q is not the status of a response with a body", text)
 	}
 	return pageStatus{code: n}, ""
 }
@@ -113,7 +113,7 @@
 	for _, a := range args {
 		code, err := strconv.Atoi(a.Text)
 		if err != nil || code < 300 || code > 599 {
-			return nil, fmt.Sprintf("%q is no status of an error", a.Text)
+			return nil, fmt.Sprintf("%q is not an error status: must be from 300 to 599", a.Text)
 		}
 		codes = append(codes, code)
 	}
@@ -124,7 +124,7 @@
 func pageLine(uri string, s scope, names map[string]bool, status pageStatus) (line, reason string) {
 	if name, ok := strings.CutPrefix(uri, "@"); ok {
 		if !names[name] {
-			return "", "there is no location " + uri + " that was carried over"
+			return "", "there is no location " + uri + ", or it was dropped"
 		}
 		return "named = " + quoteTOML(name), ""
 	}
@@ -137,9 +137,9 @@
 	case strings.HasPrefix(uri, "/"):
 		return "page = " + quoteTOML(to), ""
 	case !hasScheme || strings.ContainsAny(scheme, "/?"):
-		return "", fmt.Sprintf("%q is no path, name or URL", uri)
+		return "", fmt.Sprintf("%q is not a path, a named location or a URL", uri)
 	case !status.isRedirect():
-		return "", "a URL is a redirect, with one of the statuses 301, 302, 303, 307 and 308"
+		return "", "a URL is a redirect, whose status must be 301, 302, 303, 307 or 308"
 	}
 	return "redirect = " + quoteTOML(to), ""
 }
@@ -160,7 +160,7 @@
 		}
 		t.outcomes.record(p.directive, Translated, line, "")
 		if isEarly {
-			t.outcomes.record(p.directive, Differs, line, "requests that cannot be read or are too long are answered before a location is chosen")
+			t.outcomes.record(p.directive, Differs, line, "invalid or too long requests are answered before a location is chosen")
 		}
 	}
 }
--- a/internal/nginx/import.go
+++ b/internal/nginx/import.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// File is a configuration with its includes: the tree has what is included in the place of each include.
+// File is a configuration in which each include is replaced by the included directives.
 type File struct {
 	Directives []*Directive
 	Includes   []*Directive
@@ -18,7 +18,7 @@
 	defaultMaxBody = 1 << 20
 	maxAttempts    = 4
 	maxAim         = time.Second
-	unlimitedBody  = 1 << 39 // bytes, for a body without a limit
+	unlimitedBody  = 1 << 39 // bytes; used for a body without a limit
 )
 
 // importer translates a tree into a plan, and writes the plan as an operator file.
@@ -30,7 +30,7 @@
 	listeners     []*listenerPlan
 	servers       []*siteServer
 	siteNames     map[string]bool
-	wildcardPorts map[string]bool // at which a server listens at all addresses
+	wildcardPorts map[string]bool // ports at which a server listens on all addresses
 }
 
 // Import translates a file into the text of an operator file, with a report of every directive.
@@ -56,7 +56,7 @@
 	out := t.writeFile()
 	Walk(f.Directives, func(d *Directive) {
 		if t.outcomes[d] == nil && isInherited(d.Name) {
-			t.outcomes.record(d, Differs, 0, "nothing that was carried over uses it")
+			t.outcomes.record(d, Differs, 0, "no directive that was carried over uses it")
 		}
 	})
 	return out, t.outcomes.newReport(f)
@@ -70,7 +70,7 @@
 	})
 }
 
-// importHTTP translates the block http, or a file that is included there.
+// importHTTP translates the directives of the block http.
 func (t *importer) importHTTP(list []*Directive, s scope) {
 	for _, d := range list {
 		switch {
@@ -89,9 +89,9 @@
 		}
 	}
 	for _, d := range s.maps {
-		t.outcomes.record(d, Differs, 0, "it is looked up now, where a variable that it makes is used")
+		t.outcomes.record(d, Differs, 0, "it is evaluated at import, where its variable is used")
 		for _, line := range d.Body {
-			t.outcomes.record(line, Differs, 0, "it is looked up now")
+			t.outcomes.record(line, Differs, 0, "it is evaluated at import")
 		}
 	}
 	for _, d := range list {
@@ -101,7 +101,7 @@
 	}
 }
 
-// findWildcardPorts finds the ports at which a server listens at all addresses.
+// findWildcardPorts finds the ports at which a server listens on all addresses.
 func (t *importer) findWildcardPorts(list []*Directive) {
 	for _, d := range directivesNamed(list, "server") {
 		for _, listen := range directivesNamed(d.Body, "listen") {
@@ -115,7 +115,7 @@
 	}
 }
 
-// directivesNamed returns the directives of a name.
+// directivesNamed returns the directives with this name.
 func directivesNamed(list []*Directive, name string) (out []*Directive) {
 	for _, d := range list {
 		if d.Name == name {
--- a/internal/nginx/import_test.go
+++ b/internal/nginx/import_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// imported translates a text and checks that the report has each directive once.
-func imported(t testing.TB, text string) (string, *Report) {
+// importText translates a text and checks that the report has each directive once.
+func importText(t testing.TB, text string) (string, *Report) {
 	t.Helper()
 	list, err := Parse("f", text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	out, report := Import(&File{Directives: list})
-	accounted(t, list, nil, report)
+	checkReport(t, list, nil, report)
 	return out, report
 }
 
-// accounted checks that input directives are report entries, one to one, and that totals agree.
-func accounted(t testing.TB, list, includes []*Directive, r *Report) {
+// checkReport checks that the report has each input directive exactly once, and that its totals are right.
+func checkReport(t testing.TB, list, includes []*Directive, r *Report) {
 	t.Helper()
 	want := map[string]int{}
 	count := func(d *Directive) { want[d.Pos.String()]++ }
@@ -34,16 +34,16 @@
 	for _, e := range r.Entries {
 		key := Pos{e.File, e.Line, e.Column}.String()
 		if want[key]--; want[key] < 0 {
-			t.Errorf("%s is told more often than it stands in the file", key)
+			t.Errorf("%s is reported more often than it is in the file", key)
 		}
 		totals[e.Outcome]++
 		if e.Outcome != Translated && e.Note == "" {
-			t.Errorf("%s: %s without a word why", key, e.Outcome)
+			t.Errorf("%s: %s without a note", key, e.Outcome)
 		}
 	}
 	for key, n := range want {
 		if n > 0 {
-			t.Errorf("%s is not told", key)
+			t.Errorf("%s is not reported", key)
 		}
 	}
 	for _, f := range []Outcome{Translated, Differs, Dropped} {
@@ -53,8 +53,8 @@
 	}
 }
 
-// fate finds the entry of the directive that begins with a text.
-func (r *Report) fate(t testing.TB, begins string) Entry {
+// entryOf returns the entry of the directive that begins with a text.
+func (r *Report) entryOf(t testing.TB, begins string) Entry {
 	t.Helper()
 	for _, e := range r.Entries {
 		if strings.HasPrefix(e.Directive, begins) {
@@ -65,7 +65,7 @@
 	return Entry{}
 }
 
-const whole = `user www;
+const fullConfig = `user www;
 events { worker_connections 1024; }
 http {
     include mime.types.inc;
@@ -113,7 +113,7 @@
 `
 
 func TestImport(t *testing.T) {
-	out, r := imported(t, whole)
+	out, r := importText(t, fullConfig)
 	for begins, want := range map[string]Outcome{
 		"user": Dropped, "events": Dropped, "worker_connections": Dropped, "http": Translated, "map": Differs, "upstream shelf": Translated,
 		"zone": Differs, "least_conn": Differs, "server 127.0.0.1:9001": Differs, "server 127.0.0.1:9002": Translated, "server [::1]:9003": Translated,
@@ -126,7 +126,7 @@
 		"error_page": Translated, "limit_req": Dropped, "server_name shop.example.org other": Dropped, "return 301": Translated,
 		"proxy_pass http://$backend": Dropped, "resolver": Dropped, "client_max_body_size": Translated, "proxy_read_timeout 5s": Differs,
 	} {
-		if e := r.fate(t, begins); e.Outcome != want || want == Translated && e.Output == 0 {
+		if e := r.entryOf(t, begins); e.Outcome != want || want == Translated && e.Output == 0 {
 			t.Errorf("%s: %s at %d (%s), want %s", begins, e.Outcome, e.Output, e.Note, want)
 		}
 	}
@@ -135,8 +135,8 @@
 		"server 127.0.0.1:9002": `address = "127.0.0.1:9002"`, "proxy_pass http://box": `pool = "box.example.org"`, "location ^~": "[[site.location]]",
 		`location ~ "^/api`: "[[site.location.location]]", "return 301": "[[site.step]]", "proxy_set_header X-Town": `name = "X-Town"`,
 	} {
-		if e := r.fate(t, begins); !strings.Contains(strings.Join(lines[max(e.Output-2, 0):e.Output+1], "\n"), want) {
-			t.Errorf("%s is said to stand on line %d, %q", begins, e.Output, lines[e.Output-1])
+		if e := r.entryOf(t, begins); !strings.Contains(strings.Join(lines[max(e.Output-2, 0):e.Output+1], "\n"), want) {
+			t.Errorf("%s: the report gives line %d, which is %q", begins, e.Output, lines[e.Output-1])
 		}
 	}
 	for _, want := range []string{
@@ -147,15 +147,15 @@
 			t.Errorf("no %s in\n%s", want, out)
 		}
 	}
-	if e := r.fate(t, "proxy_next_upstream error"); !strings.Contains(e.Note, "non_idempotent is not carried") || strings.Contains(out, `effect = "keyed"`) {
+	if e := r.entryOf(t, "proxy_next_upstream error"); !strings.Contains(e.Note, "non_idempotent is not carried") || strings.Contains(out, `effect = "keyed"`) {
 		t.Errorf("non_idempotent: %q", e.Note)
 	}
-	if e := r.fate(t, "return 405"); !strings.Contains(e.Note, "within if of line") {
+	if e := r.entryOf(t, "return 405"); !strings.Contains(e.Note, "within if of line") {
 		t.Errorf("under if: %q", e.Note)
 	}
 }
 
-// Files that include others, are cut, include themselves, or are large.
+// TestImportFiles checks files that include others, and errors for files that are truncated or include themselves or a missing file.
 func TestImportFiles(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -176,7 +176,7 @@
 		t.Fatal(err)
 	}
 	out, r := Import(f)
-	accounted(t, f.Directives, f.Includes, r)
+	checkReport(t, f.Directives, f.Includes, r)
 	if len(f.Includes) != 3 || strings.Count(out, "[[site]]") != 2 {
 		t.Errorf("%d includes, output\n%s", len(f.Includes), out)
 	}
@@ -193,7 +193,7 @@
 	}
 }
 
-func large(locations int) string {
+func largeConfig(locations int) string {
 	var b strings.Builder
 	b.WriteString("upstream u { server 127.0.0.1:9001; }\nserver {\nlisten 8080;\n")
 	for i := range locations {
@@ -204,21 +204,21 @@
 }
 
 func TestLargeFile(t *testing.T) {
-	text := large(6700) // over 20,000 lines
-	begun := time.Now()
-	out, r := imported(t, text)
+	text := largeConfig(6700) // over 20,000 lines
+	start := time.Now()
+	out, r := importText(t, text)
 	if n := strings.Count(text, "\n"); n < 20_000 || r.Totals[Dropped] != 0 || strings.Count(out, "pool = ") != 6700 {
 		t.Errorf("%d lines, %v", n, r.Totals)
 	}
-	if took := time.Since(begun); took > 20*time.Second {
+	if took := time.Since(start); took > 20*time.Second {
 		t.Errorf("took %v", took)
 	}
 }
 
-// What any text becomes has each directive told once.
+// FuzzImport checks for any text that the report has each directive exactly once.
 func FuzzImport(f *testing.F) {
-	f.Add(whole)
-	f.Add(large(3))
+	f.Add(fullConfig)
+	f.Add(largeConfig(3))
 	f.Add("map $a $a { default $a; } server { location / { proxy_pass http://$a; } }")
 	f.Add("map $a $a { default $a$a$a$a; } map $b $c { default $a$a$a; } server { location / { proxy_pass http://$a$c; } }")
 	f.Add("server { location /a { location /b { } } location ~ x { location = x { return 200 $1; } } }")
@@ -230,13 +230,13 @@
 			return
 		}
 		_, r := Import(&File{Directives: list})
-		accounted(t, list, nil, r)
+		checkReport(t, list, nil, r)
 	})
 }
 
 func BenchmarkImport(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
-		text := large(n)
+		text := largeConfig(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -245,16 +245,17 @@
 					b.Fatal(err)
 				}
 				if out, _ := Import(&File{Directives: list}); out == "" {
-					b.Fatal("nothing")
+					b.Fatal("the output is empty")
 				}
 			}
 		})
 	}
 }
 
-// Error pages are carried with their levels, named locations and statuses, and told where they cannot be.
+// TestImportErrorPages checks that error pages are imported with their levels, named locations and statuses, and that those without a
+// counterpart are reported as dropped or different.
 func TestImportErrorPages(t *testing.T) {
-	out, r := imported(t, `error_page 500 /all.html;
+	out, r := importText(t, `error_page 500 /all.html;
 proxy_intercept_errors on;
 server {
     listen 8080;
@@ -285,18 +286,18 @@
 		"error_page 407": Dropped, "error_page 504": Translated, "internal": Translated, "location @later": Translated, "location @no": Dropped,
 		"proxy_pass http://127.0.0.1:9002/x": Dropped, "location ~ /x": Dropped,
 	} {
-		if e := r.fate(t, begins); e.Outcome != want || want == Translated && e.Output == 0 {
+		if e := r.entryOf(t, begins); e.Outcome != want || want == Translated && e.Output == 0 {
 			t.Errorf("%s: %s at %d (%s), want %s", begins, e.Outcome, e.Output, e.Note, want)
 		}
 	}
-	for want, times := range map[string]int{
+	for want, count := range map[string]int{
 		"codes = [500]\npage = \"/all.html\"": 1, "codes = [404, 410]\nown_status = true\npage = \"/missing?of={path}\"": 1,
 		"codes = [502, 503]\nnamed = \"later\"": 1, "codes = [401]\nstatus = 200\npage = \"/in.html\"": 1,
 		"codes = [402]\nstatus = 301\nredirect = \"https://pay.example/{host}\"": 1, "codes = [504]\npage = \"/slow.html\"": 1,
 		"internal = true": 1, "named = \"later\"\npool": 1, "intercept = true": 3,
 	} {
-		if n := strings.Count(out, want); n != times {
-			t.Errorf("%d times, want %d: %s in\n%s", n, times, want, out)
+		if n := strings.Count(out, want); n != count {
+			t.Errorf("%d times, want %d: %s in\n%s", n, count, want, out)
 		}
 	}
 }
--- a/internal/nginx/include.go
+++ b/internal/nginx/include.go
@@ -10,7 +10,7 @@
 )
 
 var (
-	errTooLong      = fmt.Errorf("the files are over %d MiB together", MaxText>>20)
+	errTooLong      = fmt.Errorf("the files have more than %d MiB together", MaxText>>20)
 	errTooManyFiles = fmt.Errorf("more than %d files", MaxFiles)
 	errIncludeDepth = fmt.Errorf("includes are more than %d deep", MaxIncludes)
 	errCycle        = errors.New("the file includes itself")
@@ -18,8 +18,8 @@
 )
 
 // Load reads a file and the files that it includes. Names are relative to the folder of the first file. A pattern that matches
-// nothing is no error, a file that does not exist is. Files of a pattern are read in the order of their names. Included directives
-// replace the include, which File has apart.
+// nothing is not an error, but a file that does not exist is. Files of a pattern are read in the order of their names. Included
+// directives replace the include, which is recorded in File.Includes.
 func Load(path string) (*File, error) {
 	r := &loader{folder: filepath.Dir(path)}
 	list, err := r.loadFile(path, nil, Pos{path, 1, 1})
@@ -38,7 +38,7 @@
 	includes []*Directive
 }
 
-// loadFile reads one file. From are the files that include it, and at is the position of the include.
+// loadFile reads one file. from holds the files that include it, and at is the position of the include.
 func (r *loader) loadFile(path string, from []string, at Pos) ([]*Directive, error) {
 	path = filepath.Clean(path)
 	switch {
@@ -52,7 +52,7 @@
 	}
 	info, err := os.Stat(path)
 	if err == nil && !info.Mode().IsRegular() {
-		err = errors.New("is no regular file")
+		err = errors.New("not a regular file")
 	}
 	if err != nil {
 		return nil, &Error{at, fmt.Errorf("%s: %w", path, err)}
@@ -71,7 +71,7 @@
 	return r.expand(list, append(slices.Clip(from), path))
 }
 
-// expand replaces each include by the directives of the files that it names.
+// expand replaces each include with the directives of the files that it names.
 func (r *loader) expand(list []*Directive, from []string) ([]*Directive, error) {
 	out := make([]*Directive, 0, len(list))
 	for _, d := range list {
--- a/internal/nginx/location.go
+++ b/internal/nginx/location.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// locationFields are the keys of a location in the operator file, by the modifier in nginx.
+// locationFields maps a modifier of nginx to the key of the path of a location in the operator file.
 var locationFields = map[string]string{"": "begins", "=": "exact", "^~": "only", "~": "regex", "~*": "regex_any"}
 
 // fieldNamed is the key of a named location.
 const fieldNamed = "named"
 
-// importLocation translates a location; nil if it is dropped.
+// importLocation translates a location. It returns nil if the location is dropped.
 func (l *serverImporter) importLocation(d *Directive, inherited settings, s scope, parent *locationPlan) *locationPlan {
 	field, path, ok := locationPath(d)
 	if !ok {
-		l.drop(d, "the location cannot be read")
+		l.drop(d, "the location needs a path, after one of no modifier, =, ^~, ~ and ~*")
 		return nil
 	}
 	if reason := checkLocation(field, path, parent, &s); reason != "" {
@@ -73,36 +73,37 @@
 	switch {
 	case field == fieldNamed:
 		if parent != nil {
-			return "named locations stand in a server, not within a location"
+			return "a named location must be in a server, not within a location"
 		}
 		if path == "" {
-			return "the location cannot be read"
+			return "the named location has no name after @"
 		}
 	case parent != nil && parent.field == fieldNamed:
-		return "a named location holds no others"
+		return "a named location must not contain other locations"
 	case strings.HasPrefix(field, "regex"):
 		re, err := compileExpression(path)
 		if err != nil {
-			return fmt.Sprintf("RE2 cannot hold the expression (%v): ITS REQUESTS GO TO OTHER LOCATIONS; "+
+			return fmt.Sprintf("RE2 does not accept the expression (%v): ITS REQUESTS GO TO OTHER LOCATIONS; "+
 				"write it without look-around and back-references", err)
 		}
 		s.addCaptures(re)
 	case parent != nil && !strings.HasPrefix(parent.field, "regex") && !strings.HasPrefix(path, parent.path):
-		return "it is outside of the location that holds it"
+		return "its path does not begin with that of the location around it"
 	}
 	return ""
 }
 
-// checkHasAction records the difference for a location that sends to no server: it answers 404, or 501 if what it did was dropped.
+// checkHasAction records the difference for a location without a server to send to. It responds with 404, or with 501 if directives in
+// it were dropped.
 func (l *serverImporter) checkHasAction(p *locationPlan, d *Directive) {
 	if p.proxy != nil || len(p.steps) > 0 && len(directivesNamed(d.Body, "proxy_pass")) == 0 {
 		return
 	}
 	isDropped := func(k *Directive) bool { return l.outcomes[k] != nil && l.outcomes[k].Outcome == Dropped }
 	if slices.ContainsFunc(d.Body, isDropped) {
-		l.outcomes.record(d, Differs, 0, "what it did was dropped: it answers 501")
+		l.outcomes.record(d, Differs, 0, "directives in it were dropped: it responds with 501")
 		p.steps = append(p.steps, stepPlan{lines: []string{"status = 501", `body = "not carried over\n"`}})
 		return
 	}
-	l.outcomes.record(d, Differs, 0, "it sends to no server: it answers 404")
+	l.outcomes.record(d, Differs, 0, "it sends to no server: it responds with 404")
 }
--- a/internal/nginx/nginx_test.go
+++ b/internal/nginx/nginx_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// shape writes a tree in one line, words between bars.
-func shape(list []*Directive) string {
+// formatTree returns a tree in one line, with a bar before each word.
+func formatTree(list []*Directive) string {
 	var b strings.Builder
 	for _, d := range list {
 		b.WriteString("|" + d.Name)
@@ -19,7 +19,7 @@
 			b.WriteString("|" + a.Text)
 		}
 		if d.Block {
-			b.WriteString("{" + d.Raw + shape(d.Body) + "}")
+			b.WriteString("{" + d.Raw + formatTree(d.Body) + "}")
 		}
 		b.WriteString(";")
 	}
@@ -48,8 +48,8 @@
 			want = `|if|($a|=|b|){|return|404;};`
 		}
 		want = strings.Replace(want, "|{};", "{};", 1)
-		if err != nil || shape(list) != want {
-			t.Errorf("%q is read as %q, %v, want %q", text, shape(list), err, want)
+		if err != nil || formatTree(list) != want {
+			t.Errorf("%q is parsed as %q, %v, want %q", text, formatTree(list), err, want)
 		}
 	}
 	list, err := Parse("f", "a;\n\n  b {\n\tc 'd' e;\n}")
@@ -57,11 +57,11 @@
 		t.Fatal(err)
 	}
 	if c := list[1].Body[0]; list[1].Pos.String() != "f:3:3" || c.Pos.String() != "f:4:2" || c.Args[1].Pos.String() != "f:4:8" || !c.Args[0].Quoted {
-		t.Errorf("places %v, %v, %v", list[1].Pos, c.Pos, c.Args)
+		t.Errorf("positions %v, %v, %v", list[1].Pos, c.Pos, c.Args)
 	}
 }
 
-func TestErrorsNameTheirPlace(t *testing.T) {
+func TestErrorsHavePositions(t *testing.T) {
 	deep := strings.Repeat("a {", MaxDepth+1) + strings.Repeat("}", MaxDepth+1)
 	for text, want := range map[string]string{
 		"a\nb":               "f:1:1: the directive is not ended",
@@ -87,8 +87,8 @@
 	}
 }
 
-// folder writes files, given by name and text.
-func folder(t *testing.T, files map[string]string) string {
+// writeFiles writes files, given by name and text, to a new folder and returns the folder.
+func writeFiles(t *testing.T, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
 	for name, text := range files {
@@ -104,7 +104,7 @@
 }
 
 func TestIncludes(t *testing.T) {
-	dir := folder(t, map[string]string{
+	dir := writeFiles(t, map[string]string{
 		"nginx.conf":     "a;\nhttp { include conf.d/*.conf; include none/*.conf; }\ninclude last;",
 		"conf.d/2.conf":  "two;",
 		"conf.d/10.conf": "ten { include conf.d/deep; }",
@@ -116,8 +116,8 @@
 		t.Fatal(err)
 	}
 	list := file.Directives
-	if shape(list) != "|a;|http{|ten{|deep;};|two;};|z;" || len(file.Includes) != 4 {
-		t.Fatalf("%q, %d includes", shape(list), len(file.Includes))
+	if formatTree(list) != "|a;|http{|ten{|deep;};|two;};|z;" || len(file.Includes) != 4 {
+		t.Fatalf("%q, %d includes", formatTree(list), len(file.Includes))
 	}
 	if d := list[1].Body[0].Body[0]; d.Pos.File != filepath.Join(dir, "conf.d/deep") {
 		t.Error(d.Pos)
@@ -137,20 +137,20 @@
 		"includes are more than":      chain,
 		"syntax error in pattern":     {"c0": "include a[;"},
 	} {
-		if _, err := Load(filepath.Join(folder(t, files), "c0")); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Load(filepath.Join(writeFiles(t, files), "c0")); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
-	long := folder(t, map[string]string{"c0": "include long; include long;", "long": strings.Repeat(" ", MaxText/2+1)})
+	long := writeFiles(t, map[string]string{"c0": "include long; include long;", "long": strings.Repeat(" ", MaxText/2+1)})
 	if _, err := Load(filepath.Join(long, "c0")); !errors.Is(err, errTooLong) {
 		t.Error(err)
 	}
-	if _, err := Load(t.TempDir()); err == nil || !strings.Contains(err.Error(), "no regular file") {
+	if _, err := Load(t.TempDir()); err == nil || !strings.Contains(err.Error(), "not a regular file") {
 		t.Error(err)
 	}
 }
 
-// FuzzParse reads any text; what is read is printed so that it reads the same, and each place is one of the text.
+// FuzzParse checks for any text that positions are within the text, and that a printed tree is parsed as the same tree.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{
 		"http { server { listen 80; location ~* \\.(gif|jpg)$ { proxy_pass http://b/; } } }",
@@ -179,8 +179,8 @@
 			t.Fatal(err)
 		}
 		again, err := Parse("f", out.String())
-		if err != nil || shape(again) != shape(list) {
-			t.Errorf("%q is printed as %q, which is %q, %v", text, out.String(), shape(again), err)
+		if err != nil || formatTree(again) != formatTree(list) {
+			t.Errorf("%q is printed as %q, which is parsed as %q, %v", text, out.String(), formatTree(again), err)
 		}
 	})
 }
--- a/internal/nginx/plan.go
+++ b/internal/nginx/plan.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// settings are what servers and locations inherit, each with the directive that sets it.
+// settings are the values that servers and locations inherit, each with the directive that sets it.
 type settings struct {
 	connect, read, body              *Directive
 	nextUpstream, tries, nextTimeout *Directive
@@ -22,7 +22,7 @@
 	name           string
 	directive      *Directive // the upstream, or the first proxy_pass
 	servers        []serverPlan
-	readTimeouts   []time.Duration // of its users, in the order of the file
+	readTimeouts   []time.Duration // of the locations that use the pool, in the order of the file
 	connectTimeout time.Duration
 	attempts       int
 	users          []*settings
@@ -43,7 +43,7 @@
 	certificate, key         string
 	certificateFrom, keyFrom *Directive
 	maxBody                  int64
-	defaultServer            *siteServer // the default
+	defaultServer            *siteServer
 }
 
 // siteServer is a server block, which becomes a site.
@@ -67,7 +67,7 @@
 
 // locationPlan is a location of a site.
 type locationPlan struct {
-	directive     *Directive // nil for a location that nginx implies
+	directive     *Directive // nil for a location that nginx adds implicitly
 	name          string
 	field         string
 	path          string
@@ -81,7 +81,7 @@
 	intercept, internal *Directive
 }
 
-// proxyPlan is what a location sends to a pool.
+// proxyPlan says how a location sends requests to a pool.
 type proxyPlan struct {
 	directive       *Directive
 	pool            *poolPlan
@@ -91,8 +91,8 @@
 	settings        *settings
 }
 
-// headerPlan is a header that is set on the way to a server.
+// headerPlan is a header that is set in requests to a server.
 type headerPlan struct {
-	directive   *Directive // nil for Host if nothing sets it
+	directive   *Directive // nil for the default Host
 	name, value string
 }
--- a/internal/nginx/proxypass.go
+++ b/internal/nginx/proxypass.go
@@ -11,13 +11,13 @@
 
 // importProxyPass translates proxy_pass in a location.
 func (l *serverImporter) importProxyPass(p *locationPlan, d *Directive, set *settings, s scope) {
-	host, uri, reason := passedTo(d, s)
+	host, uri, reason := parseProxyPass(d, s)
 	out := &proxyPlan{directive: d, readTimeout: set.readTime, settings: set}
 	if reason == "" {
 		reason = out.setTarget(p, uri, s)
 	}
 	if reason == "" {
-		out.pool, reason = l.poolOf(host, d)
+		out.pool, reason = l.poolFor(host, d)
 	}
 	if reason != "" {
 		l.drop(d, reason)
@@ -32,17 +32,17 @@
 	p.proxy = out
 }
 
-// passedTo returns the host and the URI of a proxy_pass, or the reason why it is dropped.
-func passedTo(d *Directive, s scope) (host, uri, reason string) {
+// parseProxyPass returns the host and the URI of a proxy_pass, or the reason why it is dropped.
+func parseProxyPass(d *Directive, s scope) (host, uri, reason string) {
 	if len(d.Args) != 1 {
 		return "", "", "it needs one URL"
 	}
 	rest, ok := strings.CutPrefix(d.Args[0].Text, "http://")
 	if !ok {
-		return "", "", "servers are spoken to in HTTP/1.1 without TLS: name one as http://HOST"
+		return "", "", "the URL must be http://HOST: requests to servers use HTTP/1.1 without TLS"
 	}
 	if strings.HasPrefix(rest, "unix:") {
-		return "", "", noUnixSocket
+		return "", "", unixSocketReason
 	}
 	host, uri = splitHost(rest)
 	if !strings.Contains(host, "$") {
@@ -50,10 +50,10 @@
 	}
 	resolved, err := s.resolve(host)
 	if err == nil && !isConstant(resolved) {
-		err = fmt.Errorf("the host is not known before a request is there")
+		err = fmt.Errorf("the host depends on the request")
 	}
 	if err != nil {
-		return "", "", err.Error() + ": servers are not looked up for each request; name a pool for each"
+		return "", "", err.Error() + ": servers are not looked up for each request; use a location and a pool for each host"
 	}
 	host, path := splitHost(constantText(resolved))
 	return host, path + uri, ""
@@ -80,7 +80,7 @@
 	case strings.HasPrefix(p.field, "regex"), p.field == fieldNamed:
 		return "a URI without variables is not allowed in a location with an expression or a name"
 	case strings.ContainsAny(uri, "?#"):
-		return "the URI holds a query, which would come before the rest of the path"
+		return "the URI has a query, which would come before the rest of the path"
 	default:
 		out.replace = uri
 	}
@@ -97,8 +97,8 @@
 	p.attempts = max(p.attempts, set.attempts)
 }
 
-// poolOf returns the pool that a host names, which may be a new one, or the reason why there is none.
-func (l *serverImporter) poolOf(host string, d *Directive) (*poolPlan, string) {
+// poolFor returns the pool for a host. It adds a pool if there is none yet, or returns the reason why the host cannot be used.
+func (l *serverImporter) poolFor(host string, d *Directive) (*poolPlan, string) {
 	if p := l.poolsByName[host]; p != nil {
 		return p, ""
 	}
@@ -121,7 +121,7 @@
 	return p, ""
 }
 
-// importHeaders translates the headers that are set on the way to a server. If Host is not set, it is what proxy_pass names.
+// importHeaders translates the headers that are set in requests to a server. If Host is not set, it is the host of proxy_pass.
 func (l *serverImporter) importHeaders(out *proxyPlan, set *settings, s scope, host string) {
 	s = s.clone()
 	s.constants["proxy_host"] = host
@@ -137,16 +137,16 @@
 	if len(l.server.listeners) > 1 {
 		delete(s.constants, "server_port")
 	}
-	named := false
+	setsHost := false
 	for _, d := range set.headers {
 		name := http.CanonicalHeaderKey(d.Args[0].Text)
 		switch name {
 		case "Connection", "Upgrade", "Te", "Transfer-Encoding", "Content-Length", "Keep-Alive":
-			l.outcomes.record(d, Dropped, 0, "connections and framing are the program's own; protocols are not switched")
+			l.outcomes.record(d, Dropped, 0, "connections and framing are handled by the proxy; protocol upgrades are not supported")
 			continue
 		}
 		if strings.ContainsAny(name, " \t:") || name == "" {
-			l.outcomes.record(d, Dropped, 0, "this is no name of a header")
+			l.outcomes.record(d, Dropped, 0, fmt.Sprintf("%q is not a valid header name", name))
 			continue
 		}
 		value, err := s.resolve(d.Args[1].Text)
@@ -154,11 +154,11 @@
 			l.outcomes.record(d, Dropped, 0, err.Error())
 			continue
 		}
-		named = named || name == "Host"
+		setsHost = setsHost || name == "Host"
 		l.outcomes.record(d, Translated, 0, "")
 		out.headers = append(out.headers, headerPlan{directive: d, name: name, value: value})
 	}
-	if !named {
+	if !setsHost {
 		out.headers = append(out.headers, headerPlan{name: "Host", value: strings.ReplaceAll(host, "{", "{{")})
 	}
 }
--- a/internal/nginx/report.go
+++ b/internal/nginx/report.go
@@ -10,10 +10,11 @@
 	"text/tabwriter"
 )
 
-// Outcome is what became of a directive.
+// Outcome says how a directive was imported.
 type Outcome string
 
-// The outcomes. A translated directive means the same in the output. One that differs means the same except for what its note says.
+// The outcomes. A translated directive has the same meaning in the output. One that differs has the same meaning except for what its
+// note says.
 const (
 	Translated Outcome = "carried"
 	Differs    Outcome = "differs"
@@ -27,7 +28,7 @@
 	Column    int     `json:"column"`
 	Directive string  `json:"directive"`
 	Outcome   Outcome `json:"fate"`
-	Output    int     `json:"output_line,omitempty"` // the first line that holds it; 0 for none
+	Output    int     `json:"output_line,omitempty"` // the first line of its translation; 0 for none
 	Note      string  `json:"note,omitempty"`        // what differs and when, or why it was dropped and what to do
 }
 
@@ -37,10 +38,10 @@
 	Totals  map[Outcome]int `json:"totals"`
 }
 
-// outcomes holds the outcome of each directive. The first one that is recorded stays, unless a later one is worse. Notes are added.
+// outcomes holds the outcome of each directive. The first one that is recorded is kept unless a later one is worse. Notes are joined.
 type outcomes map[*Directive]*Entry
 
-// record records an outcome. Line is that of the output; 0 for none.
+// record records an outcome. line is the line of the output; 0 for none.
 func (m outcomes) record(d *Directive, f Outcome, line int, note string) {
 	e := m[d]
 	if e == nil {
@@ -77,7 +78,7 @@
 	return out.String()
 }
 
-// newReport lists every directive of a tree, and the includes. A directive without an outcome is one that was dropped.
+// newReport lists every directive of a tree, and the includes. A directive without an outcome was dropped.
 func (m outcomes) newReport(f *File) *Report {
 	r := &Report{Totals: map[Outcome]int{Translated: 0, Differs: 0, Dropped: 0}}
 	add := func(d *Directive) {
@@ -89,7 +90,7 @@
 	}
 	Walk(f.Directives, add)
 	for _, d := range f.Includes {
-		m.record(d, Translated, 0, "what it includes stands in its place")
+		m.record(d, Translated, 0, "it is replaced by the included directives")
 		add(d)
 	}
 	slices.SortStableFunc(r.Entries, func(a, b Entry) int {
--- a/internal/nginx/server.go
+++ b/internal/nginx/server.go
@@ -20,7 +20,7 @@
 	switch {
 	case len(b.listeners) > 0:
 	case len(listens) > 0:
-		t.drop(d, "it listens nowhere: none of its addresses could be carried over")
+		t.drop(d, "none of its listen addresses could be carried over")
 		return
 	default:
 		t.addListener(b, ":80", false, nil)
@@ -56,7 +56,7 @@
 		host, port = strings.Trim(text, "[]"), "80"
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > 65535 || strings.ContainsAny(host, "/[] $") {
-		return "", "", fmt.Errorf("%q is no address", text)
+		return "", "", fmt.Errorf("%q is not a listen address: must be a port or host:port", text)
 	}
 	if host == "*" || host == "0.0.0.0" || host == "::" {
 		host = ""
@@ -67,12 +67,12 @@
 // importListen translates a listen directive of a server.
 func (t *importer) importListen(b *siteServer, d *Directive, set *settings) {
 	if len(d.Args) == 0 {
-		t.drop(d, "it names no address")
+		t.drop(d, "the address is missing")
 		return
 	}
 	text := d.Args[0].Text
 	if strings.HasPrefix(text, "unix:") {
-		t.drop(d, "Unix sockets are not listened on: use a loopback address")
+		t.drop(d, "listening on Unix sockets is not supported: use a loopback address")
 		return
 	}
 	host, port, err := listenAddress(text)
@@ -81,12 +81,12 @@
 		t.drop(d, err.Error())
 		return
 	case host != "" && t.wildcardPorts[port]:
-		t.drop(d, "another server listens at all addresses of this port, and takes what comes here: give them ports of their own")
+		t.drop(d, "another server listens on all addresses of this port and gets these requests too: use different ports")
 		return
 	}
 	t.outcomes.record(d, Translated, 0, "")
 	if strings.HasPrefix(text, "[::]") {
-		t.outcomes.record(d, Differs, 0, "one listener takes IPv4 and IPv6 at this port")
+		t.outcomes.record(d, Differs, 0, "one listener accepts both IPv4 and IPv6 on this port")
 	}
 	isDefault, tls := false, false
 	for _, a := range d.Args[1:] {
@@ -96,9 +96,9 @@
 		case "ssl":
 			tls = true
 		case "ipv6only", "backlog", "rcvbuf", "sndbuf", "reuseport", "deferred", "so_keepalive", "bind", "fastopen", "setfib", "http2":
-			t.outcomes.record(d, Differs, 0, a.Text+" has no counterpart; requests are answered without it")
+			t.outcomes.record(d, Differs, 0, a.Text+" has no counterpart; requests are served without it")
 		default:
-			t.outcomes.record(d, Dropped, 0, a.Text+" has no counterpart: callers that rely on it are not understood")
+			t.outcomes.record(d, Dropped, 0, a.Text+" has no counterpart: clients that rely on it are not served")
 		}
 	}
 	address := net.JoinHostPort(host, port)
@@ -114,11 +114,11 @@
 		l.certificateFrom, l.certificate = set.certificate, set.certificate.Args[0].Text
 		l.keyFrom, l.key = set.key, set.key.Args[0].Text
 	} else if tls && set.certificate != nil && set.certificate.Args[0].Text != l.certificate {
-		t.outcomes.record(set.certificate, Dropped, 0, "a listener has one certificate: that of the first server at "+address)
+		t.outcomes.record(set.certificate, Dropped, 0, "a listener has one certificate, that of the first server at "+address)
 	}
 }
 
-// addListener adds an address to a server, and returns its listener, which other servers may have too.
+// addListener adds an address to a server, and returns its listener, which other servers may share.
 func (t *importer) addListener(b *siteServer, address string, isDefault bool, d *Directive) *listenerPlan {
 	i := slices.IndexFunc(t.listeners, func(l *listenerPlan) bool { return l.address == address })
 	if i < 0 {
@@ -143,13 +143,13 @@
 	return l
 }
 
-// importNames translates the names of a server. A name of another server at one of the same listeners belongs to that one.
+// importNames translates the names of a server. A name that an earlier server has at one of the same listeners is dropped.
 func (t *importer) importNames(b *siteServer, d *Directive, s *scope) {
 	t.outcomes.record(d, Translated, 0, "")
 	b.names = append(b.names, d)
 	var names []string
 	for _, a := range d.Args {
-		if rest, ok := strings.CutPrefix(a.Text, "."); ok && rest != "" { // the name and those below it
+		if rest, ok := strings.CutPrefix(a.Text, "."); ok && rest != "" { // .NAME stands for NAME and *.NAME
 			names = append(names, rest, "*"+a.Text)
 		} else {
 			names = append(names, a.Text)
@@ -170,24 +170,24 @@
 			}
 			s.addCaptures(re)
 		case strings.Contains(name, "$"):
-			t.outcomes.record(d, Dropped, 0, name+" holds a variable")
+			t.outcomes.record(d, Dropped, 0, name+" contains a variable")
 			continue
 		case strings.Contains(strings.TrimSuffix(strings.TrimPrefix(name, "*."), ".*"), "*") || strings.ContainsAny(name, "/ "):
-			t.outcomes.record(d, Dropped, 0, name+" is no name that nginx knows")
+			t.outcomes.record(d, Dropped, 0, name+" is not a valid server name: a wildcard must be the first or the last label")
 			continue
 		default:
 			name = strings.TrimSuffix(strings.ToLower(name), ".")
 		}
 		if other := t.ownerOfName(b, name); other != nil {
 			line := other.directive.Pos.Line
-			t.outcomes.record(d, Dropped, 0, fmt.Sprintf("%s belongs to the server of line %d already, as nginx warns", name, line))
+			t.outcomes.record(d, Dropped, 0, fmt.Sprintf("%s already belongs to the server of line %d; nginx warns of this too", name, line))
 			continue
 		}
 		b.hosts = append(b.hosts, name)
 	}
 }
 
-// ownerOfName returns the server that has a name at one of the listeners of a server; nil for none.
+// ownerOfName returns the server that has a name at one of the listeners of b; nil for none.
 func (t *importer) ownerOfName(b *siteServer, name string) *siteServer {
 	if slices.Contains(b.hosts, name) {
 		return b
--- a/internal/nginx/settings.go
+++ b/internal/nginx/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// isInherited reports whether a directive is one of settings. Its outcome is recorded where the settings are used.
+// isInherited reports whether a directive is one of those in settings. Their outcomes are recorded where the settings are used.
 func isInherited(name string) bool {
 	switch name {
 	case "proxy_connect_timeout", "proxy_read_timeout", "proxy_next_upstream", "proxy_next_upstream_tries", "proxy_next_upstream_timeout",
@@ -16,7 +16,7 @@
 	return false
 }
 
-// readSettings returns the settings of a level, over those that it inherits.
+// readSettings returns the settings of a level: those that it inherits, with its own directives applied.
 func (t *importer) readSettings(list []*Directive, s settings) settings {
 	var headers, pages []*Directive
 	for _, d := range list {
@@ -30,13 +30,13 @@
 		case "client_max_body_size":
 			n, err := parseSize(firstArg(d))
 			if err != nil || len(d.Args) != 1 {
-				t.drop(d, "the size cannot be read")
+				t.drop(d, "it needs one size, such as 8k, 1m or 1g")
 				continue
 			}
 			s.body, s.bodySize = d, n
 		case "proxy_set_header":
 			if len(d.Args) != 2 {
-				t.drop(d, "it needs a name and a value")
+				t.drop(d, "a header name and a value are needed")
 				continue
 			}
 			headers = append(headers, d)
@@ -73,13 +73,13 @@
 func (t *importer) readTimeout(d *Directive, to *time.Duration, by **Directive) {
 	v, err := parseTime(firstArg(d))
 	if err != nil || len(d.Args) != 1 || v <= 0 {
-		t.drop(d, "the time cannot be read")
+		t.drop(d, "it needs one time over 0, such as 30, 500ms or 1h30m")
 		return
 	}
 	*to, *by = v, d
 }
 
-// readRetrySetting reads the directives of further attempts.
+// readRetrySetting reads a directive about retries.
 func (t *importer) readRetrySetting(d *Directive, s *settings) {
 	switch d.Name {
 	case "proxy_next_upstream":
@@ -90,7 +90,7 @@
 	case "proxy_next_upstream_tries":
 		n, err := strconv.Atoi(firstArg(d))
 		if err != nil || n < 0 || len(d.Args) != 1 {
-			t.drop(d, "the number cannot be read")
+			t.drop(d, "it needs one number of attempts, 0 or more")
 			return
 		}
 		s.tries = d
--- a/internal/nginx/step.go
+++ b/internal/nginx/step.go
@@ -8,7 +8,7 @@
 	"milletmast/internal/route"
 )
 
-// importStep translates rewrite, return and break; false if the directive is dropped.
+// importStep translates rewrite, return and break. It returns false if the directive is dropped.
 func (l *serverImporter) importStep(d *Directive, s *scope) (stepPlan, bool) {
 	step := stepPlan{directive: d}
 	reason := ""
@@ -38,7 +38,7 @@
 	}
 	re, err := compileExpression(d.Args[0].Text)
 	if err != nil {
-		return nil, fmt.Sprintf("RE2 cannot hold the expression: %v", err)
+		return nil, fmt.Sprintf("RE2 does not accept the expression: %v", err)
 	}
 	own := s.clone()
 	own.addCaptures(re)
@@ -52,7 +52,7 @@
 		flag = d.Args[2].Text
 	}
 	if !rewriteFlags[flag] {
-		return nil, fmt.Sprintf("the flag %q is unknown", flag)
+		return nil, fmt.Sprintf("the flag %q is unknown: must be last, break, redirect or permanent", flag)
 	}
 	isURL := strings.HasPrefix(replacement, "http://") || strings.HasPrefix(replacement, "https://") ||
 		strings.HasPrefix(replacement, "$scheme")
@@ -67,7 +67,7 @@
 	return lines, ""
 }
 
-// statusNoResponse has nginx close the connection without a response.
+// statusNoResponse makes nginx close the connection without a response.
 const statusNoResponse = 444
 
 // returnLines returns the lines of a return, or the reason why it is dropped.
@@ -84,9 +84,9 @@
 	case err != nil && len(d.Args) == 1:
 		return []string{"status = 302", "redirect = " + quoteTOML(last)}, ""
 	case err != nil || code < 200 || code > 599:
-		return nil, fmt.Sprintf("%q is no status of an answer", d.Args[0].Text)
+		return nil, fmt.Sprintf("%q is not a response status: must be from 200 to 599", d.Args[0].Text)
 	case code == statusNoResponse:
-		return nil, "callers are not left without an answer: answer 403 or 400"
+		return nil, "closing a connection without a response is not supported: return 403 or 400"
 	}
 	lines = []string{"status = " + strconv.Itoa(code)}
 	redirect := route.IsRedirect(code)
--- a/internal/nginx/token.go
+++ b/internal/nginx/token.go
@@ -38,8 +38,8 @@
 	word      tokenKind = iota // a name or parameter
 	semicolon                  // ends a directive
 	opening                    // begins a block
-	closing                    // ends one
-	end                        // of the file
+	closing                    // ends a block
+	end                        // end of the file
 )
 
 // token is a token of a file. The text of a word is without quotes and escapes.
@@ -114,7 +114,7 @@
 
 var (
 	errQuoteNotClosed = errors.New("a quote is not closed")
-	errNoSeparator    = errors.New("a space, \";\" or \"{\" is missing behind a quote")
+	errNoSeparator    = errors.New("a space, \";\" or \"{\" is missing after a quote")
 	errControl        = errors.New("a control character")
 )
 
@@ -140,7 +140,7 @@
 	return token{kind: word, text: b.String(), quoted: true, pos: at}, nil
 }
 
-// readBareWord reads a word without quotes. The braces of ${name} belong to it.
+// readBareWord reads a word without quotes, which includes the braces of ${name}.
 func (l *lexer) readBareWord(at Pos) (token, error) {
 	var b strings.Builder
 	for variable := false; ; {
@@ -183,7 +183,7 @@
 	}
 }
 
-// skipLuaString skips the rest of a string, which ends with its quote or with the line; false at the end of the file.
+// skipLuaString skips the rest of a string, which ends with its quote or with the line. It returns false at the end of the file.
 func (l *lexer) skipLuaString(quote byte) bool {
 	for {
 		c, ok := l.peek()
@@ -210,7 +210,7 @@
 }
 
 // readChar reads one character of a word, or an escape: a backslash before a quote or a backslash is removed, \t, \r and \n stand for
-// those, and any other backslash is kept, as expressions need it.
+// control characters, and any other backslash is kept, because expressions need it.
 func (l *lexer) readChar(b *strings.Builder) error {
 	at := l.pos()
 	c := l.advance()
--- a/internal/nginx/tree.go
+++ b/internal/nginx/tree.go
@@ -10,30 +10,30 @@
 // Limits of a configuration.
 const (
 	MaxText     = 8 << 20 // bytes of all files together
-	MaxDepth    = 32      // blocks within each other
-	MaxIncludes = 16      // files that include each other
+	MaxDepth    = 32      // nested blocks
+	MaxIncludes = 16      // nested includes
 	MaxFiles    = 1024
 )
 
 // Arg is a parameter of a directive.
 type Arg struct {
 	Text   string
-	Quoted bool // it was written in quotes
+	Quoted bool // written in quotes
 	Pos    Pos
 }
 
-// Directive is a name with parameters, and a block for some.
+// Directive is a name with parameters and, for some directives, a block.
 type Directive struct {
 	Name  string
 	Args  []Arg
-	Block bool         // it has a block, which may be empty
-	Body  []*Directive // of the block
-	Raw   string       // the text of a block in another language
+	Block bool         // has a block, which may be empty
+	Body  []*Directive // directives of the block
+	Raw   string       // text of a block in Lua
 	Pos   Pos
 }
 
-// holdsLua reports whether the block is in Lua.
-func (d *Directive) holdsLua() bool { return strings.HasSuffix(d.Name, "_by_lua_block") }
+// hasLuaBlock reports whether the block is in Lua.
+func (d *Directive) hasLuaBlock() bool { return strings.HasSuffix(d.Name, "_by_lua_block") }
 
 // Walk calls f for each directive, the outer ones first.
 func Walk(list []*Directive, f func(*Directive)) {
@@ -106,7 +106,7 @@
 			return d, nil
 		case opening:
 			d.Block = true
-			if d.holdsLua() {
+			if d.hasLuaBlock() {
 				d.Raw, err = l.readLuaBlock(t.pos)
 				return d, err
 			}
@@ -136,7 +136,7 @@
 			out.WriteString(";\n")
 			continue
 		}
-		if d.holdsLua() {
+		if d.hasLuaBlock() {
 			out.WriteString(" {" + d.Raw + "}\n")
 			continue
 		}
--- a/internal/nginx/units.go
+++ b/internal/nginx/units.go
@@ -28,7 +28,7 @@
 		}
 		value, err := strconv.ParseInt(rest[:n], 10, 32)
 		if err != nil {
-			return 0, fmt.Errorf("%q is no time", text)
+			return 0, fmt.Errorf("%q is not a time", text)
 		}
 		rest = rest[n:]
 		m := 0
@@ -37,7 +37,7 @@
 		}
 		unit, ok := timeUnits[rest[:m]]
 		if !ok {
-			return 0, fmt.Errorf("%q is no time", text)
+			return 0, fmt.Errorf("%q is not a time", text)
 		}
 		total += time.Duration(value) * unit
 		if rest = rest[m:]; rest == "" {
@@ -64,7 +64,7 @@
 	}
 	n, err := strconv.ParseInt(text, 10, 41)
 	if err != nil || n < 0 || n > (1<<40)/unit {
-		return 0, fmt.Errorf("%q is no size", text)
+		return 0, fmt.Errorf("%q is not a size", text)
 	}
 	return n * unit, nil
 }
--- a/internal/nginx/upstream.go
+++ b/internal/nginx/upstream.go
@@ -12,7 +12,7 @@
 func (t *importer) importUpstream(d *Directive) {
 	name := d.Args[0].Text
 	if t.poolsByName[name] != nil {
-		t.drop(d, "an upstream of this name stands before it")
+		t.drop(d, "an earlier upstream has the same name")
 		return
 	}
 	t.outcomes.record(d, Translated, 0, "")
@@ -28,9 +28,9 @@
 		case "keepalive", "keepalive_timeout", "keepalive_requests", "keepalive_time":
 			t.outcomes.record(k, Differs, 0, "idle connections are kept within the pool's idle_timeout and share of descriptors")
 		case "zone":
-			t.outcomes.record(k, Differs, 0, "the servers of a pool are known to the whole process without it")
+			t.outcomes.record(k, Differs, 0, "the servers of a pool are shared by the whole process anyway")
 		case "least_conn", "random", "least_time":
-			t.outcomes.record(k, Differs, 0, "servers are chosen by credits, which take into account what each has out")
+			t.outcomes.record(k, Differs, 0, "servers are chosen by credits, which take into account the open requests of each")
 		case "hash", "ip_hash", "sticky":
 			t.drop(k, "requests are not tied to servers by a key: make the servers share their state")
 		default:
@@ -48,7 +48,7 @@
 // importUpstreamServer translates a server of an upstream.
 func (t *importer) importUpstreamServer(p *poolPlan, d *Directive, ids map[string]int) {
 	if len(d.Args) == 0 {
-		t.drop(d, "it names no address")
+		t.drop(d, "the address is missing")
 		return
 	}
 	address, reason := serverAddress(d.Args[0].Text)
@@ -67,19 +67,19 @@
 		switch key {
 		case "weight":
 			if n, err := strconv.Atoi(value); err != nil || n < 1 {
-				t.outcomes.record(d, Dropped, 0, a.Text+" cannot be read")
+				t.outcomes.record(d, Dropped, 0, a.Text+": the weight must be an integer of 1 or more")
 				continue
 			}
 			s.weight = value
-			t.outcomes.record(d, Differs, 0, "weight is a hint until the server is measured: shares then follow what it can take")
+			t.outcomes.record(d, Differs, 0, "the weight applies until the server is measured: shares then follow its capacity")
 		case "backup":
 			s.backup = true
 		case "down":
 			s.down = true
 		case "max_fails", "fail_timeout":
-			t.outcomes.record(d, Differs, 0, a.Text+": a failing server is cut by the pool's own measurements, and tried again by single requests")
+			t.outcomes.record(d, Differs, 0, a.Text+": the pool ejects a failing server by its own measurements, and probes it with single requests")
 		case "max_conns":
-			t.outcomes.record(d, Differs, 0, a.Text+": what a server has out is bounded by what it is measured to take")
+			t.outcomes.record(d, Differs, 0, a.Text+": the open requests of a server are bounded by its measured capacity")
 		default:
 			t.outcomes.record(d, Differs, 0, a.Text+" has no counterpart")
 		}
@@ -94,23 +94,23 @@
 	}
 }
 
-// noUnixSocket is why a server at a Unix socket is dropped.
-const noUnixSocket = "Unix sockets of servers are not connected to: have the server listen on loopback"
+// unixSocketReason is the reason why a server at a Unix socket is dropped.
+const unixSocketReason = "servers at Unix sockets are not supported: have the server listen on a loopback address"
 
 // serverAddress parses the address of a server, or returns the reason why it cannot be used. The default port is 80.
 func serverAddress(text string) (address, reason string) {
 	switch {
 	case strings.HasPrefix(text, "unix:"):
-		return "", noUnixSocket
+		return "", unixSocketReason
 	case strings.Contains(text, "$"):
-		return "", "the address holds a variable"
+		return "", "the address contains a variable"
 	}
 	host, port, err := net.SplitHostPort(text)
 	if err != nil {
 		host, port = strings.Trim(text, "[]"), "80"
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > 65535 || host == "" || strings.ContainsAny(host, "/[] ") {
-		return "", fmt.Sprintf("%q is no address of a server", text)
+		return "", fmt.Sprintf("%q is not a server address: must be host or host:port", text)
 	}
 	return net.JoinHostPort(host, port), ""
 }
--- a/internal/nginx/variables.go
+++ b/internal/nginx/variables.go
@@ -10,13 +10,13 @@
 	"milletmast/internal/vhost"
 )
 
-// scope is what variables can be replaced by when the configuration is imported.
+// scope holds the values by which variables can be replaced when the configuration is imported.
 type scope struct {
-	constants   map[string]string     // values of set, and those that follow from an address or a name
-	maps        map[string]*Directive // by the variable that a map sets
-	captures    map[string]bool       // by name, of expressions
+	constants   map[string]string     // values of set directives, and those derived from an address or a name
+	maps        map[string]*Directive // by the name of the variable that the map sets
+	captures    map[string]bool       // names of the captures of expressions
 	hasNumbered bool                  // an expression has numbered captures
-	lookups     *int                  // of maps, for one text
+	lookups     *int                  // map lookups for one text so far
 }
 
 func (s scope) clone() scope {
@@ -24,14 +24,14 @@
 	return s
 }
 
-// placeholders are the variables that templates of sites have.
+// placeholders maps variables of nginx to placeholders in the templates of sites.
 var placeholders = map[string]string{
 	"uri": "{path}", "document_uri": "{path}", "request_uri": "{raw}", "args": "{query}", "query_string": "{query}", "host": "{host}",
 	"remote_addr": "{caller}", "scheme": "{scheme}", "request_method": "{method}", "proxy_add_x_forwarded_for": "{forwarded}",
 	"http_host": "{header:Host}", "content_type": "{header:Content-Type}",
 }
 
-// resolve converts a text with variables to a template with placeholders. The error names a variable that has none.
+// resolve converts a text with variables to a template with placeholders. The error names the variable that has no placeholder.
 func (s scope) resolve(text string) (string, error) {
 	if s.lookups == nil {
 		s.lookups = new(int)
@@ -50,7 +50,7 @@
 		if name == "is_args" {
 			next, behind, err := cutVariable(strings.TrimPrefix(after, "$"))
 			if err != nil || !strings.HasPrefix(after, "$") || next != "args" && next != "query_string" {
-				return "", fmt.Errorf("$is_args without $args behind it has no counterpart")
+				return "", fmt.Errorf("$is_args without $args after it has no counterpart")
 			}
 			out.WriteString("{?query}")
 			text = behind
@@ -66,7 +66,7 @@
 	return out.String(), nil
 }
 
-// cutVariable cuts the name of a variable off the text behind a dollar sign.
+// cutVariable splits the text after a dollar sign into the name of the variable and the rest.
 func cutVariable(text string) (name, rest string, err error) {
 	if after, ok := strings.CutPrefix(text, "{"); ok {
 		if name, rest, ok = strings.Cut(after, "}"); !ok || name == "" {
@@ -81,7 +81,7 @@
 		}
 	}
 	if n == 0 {
-		return "", "", fmt.Errorf("a $ has no name behind it")
+		return "", "", fmt.Errorf("a $ has no variable name after it")
 	}
 	return text[:n], text[n:], nil
 }
@@ -90,7 +90,7 @@
 	return c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
 }
 
-// maxLookups bounds the maps that are looked up for one text, as maps may lead to others or to themselves.
+// maxLookups bounds the map lookups for one text, because maps may refer to other maps or to themselves.
 const maxLookups = 64
 
 // resolveVariable returns the template of a variable.
@@ -114,11 +114,11 @@
 	}
 	if d := s.maps[name]; d != nil {
 		if *s.lookups++; *s.lookups > maxLookups {
-			return "", fmt.Errorf("$%s: over %d maps are looked up for one text", name, maxLookups)
+			return "", fmt.Errorf("$%s: one text needs more than %d map lookups", name, maxLookups)
 		}
 		return s.lookUpMap(d)
 	}
-	return "", fmt.Errorf("$%s is not known before a request is there", name)
+	return "", fmt.Errorf("$%s depends on the request and has no placeholder", name)
 }
 
 // lookUpMap returns the value of a map whose source is constant.
@@ -128,7 +128,7 @@
 		return "", err
 	}
 	if !isConstant(source) {
-		return "", fmt.Errorf("$%s: the map's source is not known before a request is there", strings.TrimPrefix(d.Args[1].Text, "$"))
+		return "", fmt.Errorf("$%s: the source of the map depends on the request", strings.TrimPrefix(d.Args[1].Text, "$"))
 	}
 	source = constantText(source)
 	result := ""
@@ -140,7 +140,7 @@
 			result = line.Args[0].Text
 		}
 		if strings.HasPrefix(line.Name, "~") || strings.Contains(line.Name, "*") {
-			return "", fmt.Errorf("$%s: the map has expressions or wildcards", strings.TrimPrefix(d.Args[1].Text, "$"))
+			return "", fmt.Errorf("$%s: maps with expressions or wildcards are not supported", strings.TrimPrefix(d.Args[1].Text, "$"))
 		}
 	}
 	for _, line := range d.Body {
@@ -151,7 +151,7 @@
 	return s.resolve(result)
 }
 
-// compileExpression compiles an expression that a table can hold.
+// compileExpression compiles an expression within the limits of package vhost.
 func compileExpression(text string) (*regexp.Regexp, error) {
 	if len(text) > vhost.MaxPatternBytes {
 		return nil, fmt.Errorf("it has %d bytes, over the %d allowed", len(text), vhost.MaxPatternBytes)
--- a/internal/nginx/write.go
+++ b/internal/nginx/write.go
@@ -55,12 +55,12 @@
 // writeFile writes the plan as an operator file, and records for each directive the first line that holds it.
 func (t *importer) writeFile() string {
 	w := &lineWriter{}
-	w.writeLine("# Imported from nginx. The report of the import tells what differs and what was dropped.")
-	w.writeLine("# Classes: nginx has none. Requests of safe methods may be sent again, others only where none can have run. aim is a")
-	w.writeLine("# guess: the time in which an answer is wanted; give_up is proxy_read_timeout. Set both, and worth, by what you know.")
+	w.writeLine("# Imported from nginx. The report of the import lists what differs and what was dropped.")
+	w.writeLine("# Classes: nginx has none. Requests with safe methods may be sent again, others only if they cannot have run. aim is an")
+	w.writeLine("# estimate of the latency that clients need; give_up is proxy_read_timeout. Set both, and worth, as your clients need them.")
 	w.writeLine("")
 	t.setBodyLimits()
-	// Each pool is guaranteed 16 connections, of the 0.4 of all descriptors that are for servers.
+	// Each pool is guaranteed 16 connections, out of the 0.4 of all descriptors that are for servers.
 	if n := 16*len(t.pools)*3 + 256; n > 1024 {
 		w.writeLine("[limits]")
 		w.writeLine("sockets = %d", n)
@@ -78,10 +78,10 @@
 	return w.out.String()
 }
 
-// setBodyLimits gives each listener the largest body of its locations.
+// setBodyLimits sets the body limit of each listener to the largest one of its locations.
 func (t *importer) setBodyLimits() {
-	var most func(list []*locationPlan) int64
-	most = func(list []*locationPlan) (n int64) {
+	var largestBody func(list []*locationPlan) int64
+	largestBody = func(list []*locationPlan) (n int64) {
 		for _, p := range list {
 			size := p.maxBody
 			if size == 0 {
@@ -90,12 +90,12 @@
 			if p.proxy == nil {
 				size = 0
 			}
-			n = max(n, size, most(p.locations))
+			n = max(n, size, largestBody(p.locations))
 		}
 		return n
 	}
 	for _, b := range t.servers {
-		n := most(b.locations)
+		n := largestBody(b.locations)
 		for _, l := range b.listeners {
 			l.maxBody = max(l.maxBody, n, defaultMaxBody)
 		}
@@ -123,14 +123,14 @@
 func (t *importer) writePool(w *lineWriter, p *poolPlan) {
 	line := w.writeLine("[[pool]]")
 	w.writeLine("name = %s", quoteTOML(p.name))
-	if p.directive.Name == "upstream" { // the line of a proxy_pass is that of its location
+	if p.directive.Name == "upstream" { // a proxy_pass is recorded with its location instead
 		t.outcomes.record(p.directive, Translated, line, "")
 		if p.name != p.directive.Args[0].Text {
-			t.outcomes.record(p.directive, Differs, line, "its name is none of a pool: the pool is "+p.name)
+			t.outcomes.record(p.directive, Differs, line, "its name is not allowed for a pool: the pool is named "+p.name)
 		}
 	}
 	if len(p.users) == 0 {
-		t.outcomes.record(p.directive, Differs, line, "no location sends to it")
+		t.outcomes.record(p.directive, Differs, line, "no location uses it")
 		p.readTimeouts, p.connectTimeout, p.attempts = []time.Duration{defaultTimeout}, defaultTimeout, maxAttempts
 	}
 	attempts := w.writeLine("attempts = %d", p.attempts)
@@ -160,7 +160,7 @@
 	for _, u := range p.users {
 		if u.read != nil && u.readTime == readTimeout {
 			t.outcomes.record(u.read, Differs, line,
-				"it bounds the time to the answer, of all attempts together, not the time between two reads")
+				"it bounds the time to the response over all attempts, not the time between two reads")
 		}
 	}
 }
@@ -192,30 +192,31 @@
 		t.outcomes.record(u.connect, Translated, connect, "")
 		if u.connectTime != p.connectTimeout {
 			t.outcomes.record(u.connect, Differs, connect,
-				"a pool has one, half of its shortest proxy_read_timeout at most: "+p.connectTimeout.String())
+				"a pool has one connect timeout, at most half of its shortest proxy_read_timeout: "+p.connectTimeout.String())
 		}
 	}
 	if u.nextUpstream != nil {
 		t.outcomes.record(u.nextUpstream, Differs, attempts,
-			"what may be sent again follows the class: safe requests after any failure, others only where none can have run")
+			"retries depend on the class: safe requests after any failure, others only if they cannot have run")
 		for _, a := range u.nextUpstream.Args {
 			if a.Text == "non_idempotent" {
-				t.outcomes.record(u.nextUpstream, Differs, attempts, "non_idempotent is not carried: it would send again what may have run")
+				t.outcomes.record(u.nextUpstream, Differs, attempts, "non_idempotent is not carried: it would repeat requests that may have run")
 			}
 		}
 	}
 	if u.tries != nil {
 		t.outcomes.record(u.tries, Translated, attempts, "")
 		if u.attempts != p.attempts || u.tries.Args[0].Text != fmt.Sprint(p.attempts) {
-			t.outcomes.record(u.tries, Differs, attempts, fmt.Sprintf("a pool has one number of attempts, %d at most: %d", maxAttempts, p.attempts))
+			t.outcomes.record(u.tries, Differs, attempts, fmt.Sprintf("a pool has one number of attempts, at most %d: %d", maxAttempts, p.attempts))
 		}
 	}
 	if u.nextTimeout != nil {
-		t.outcomes.record(u.nextTimeout, Differs, attempts, "attempts are begun while the class's give_up allows")
+		t.outcomes.record(u.nextTimeout, Differs, attempts, "new attempts are started until the give_up of the class")
 	}
 }
 
-// writeSite writes a site. A site is the default of all its listeners or of none: one that is both is written twice.
+// writeSite writes a site. In the operator file a site is the default of all its listeners or of none, so a server that is the default
+// of only some is written as two sites.
 func (t *importer) writeSite(w *lineWriter, b *siteServer) {
 	var asDefault, others []string
 	for _, l := range b.listeners {
@@ -257,7 +258,7 @@
 		if len(d.Args) == 1 && d.Args[0].Text == "off" {
 			t.outcomes.record(d, Translated, line, "")
 		} else {
-			t.outcomes.record(d, Dropped, 0, "what stands in for an error is not replaced in its turn")
+			t.outcomes.record(d, Dropped, 0, "an error in an error page is not replaced by another error page")
 		}
 	}
 	t.writeLocations(w, "site.location", b.locations)
@@ -277,7 +278,7 @@
 	}
 }
 
-// writeLocations writes locations, with those within them.
+// writeLocations writes locations, including the nested ones.
 func (t *importer) writeLocations(w *lineWriter, table string, list []*locationPlan) {
 	for _, p := range list {
 		line := w.writeLine("[[%s]]", table)
@@ -298,7 +299,7 @@
 	}
 }
 
-// writeProxy writes what a location sends to its pool. Line is that of the location.
+// writeProxy writes how a location sends requests to its pool. line is the line of the location.
 func (t *importer) writeProxy(w *lineWriter, p *locationPlan, line int) {
 	x := p.proxy
 	at := w.writeLine("pool = %s", quoteTOML(x.pool.name))
