--- a/internal/nginx/location.go
+++ b/internal/nginx/location.go
@@ -17,7 +17,7 @@
 func (l *serverImporter) importLocation(d *Directive, inherited settings, s scope, parent *locationPlan) *locationPlan {
 	field, path, ok := locationPath(d)
 	if !ok {
-		l.drop(d, "the location needs a path, after one of no modifier, =, ^~, ~ and ~*")
+		l.drop(d, "the location needs a path, with no modifier or one of =, ^~, ~ and ~*")
 		return nil
 	}
 	if reason := checkLocation(field, path, parent, &s); reason != "" {
--- a/internal/nginx/server.go
+++ b/internal/nginx/server.go
@@ -56,7 +56,7 @@
 		host, port = strings.Trim(text, "[]"), "80"
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > 65535 || strings.ContainsAny(host, "/[] $") {
-		return "", "", fmt.Errorf("%q is not a listen address: must be a port or host:port", text)
+		return "", "", fmt.Errorf("%q is not a listen address: must be a port, a host or host:port", text)
 	}
 	if host == "*" || host == "0.0.0.0" || host == "::" {
 		host = ""
