--- a/internal/faultdrill/drill_test.go
+++ b/internal/faultdrill/drill_test.go
@@ -160,10 +160,10 @@
 	for _, c := range []struct{ sidecarFault, faults, want string }{
 		{faultNone, failingServers, ""},
 		{faultSecondAnswer, "", "rule 1: a second final answer"},
-		{faultSendAfterDrain, replacedServers, "rule 2: after the word that the server takes nothing new"},
+		{faultSendAfterDrain, replacedServers, "rule 2: after the server list reported that the server takes nothing new"},
 		{faultRepeatUnsafe, failingServers, "rule 4: unsafe request"},
 		{faultSendAfterClientLeft, "", "rule 1: an attempt of a request that is over"},
-		{faultOverloadCold, coldServer, "rule 3: times what the cold server can do"},
+		{faultOverloadCold, coldServer, "rule 3: times the capacity of the cold server"},
 		{faultNoAnswer, "", "rule 1: has no answer"},
 		{faultSecondKeyedEffect, "", "rule 4: has a second effect"},
 		{faultParallelAttempt, "", "rule 4: a second attempt beside one that is out"},
