--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -10,7 +10,7 @@
 )
 
 func sample() *Context {
-	return &Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 12.5, TimeLeft: 1500 * time.Millisecond, Retries: 3, Path: []string{"aaaaaaaa", "bbbbbbbb"}}
+	return &Context{Root: "0123456789abcdef", Attempt: "01234567", PriorityWeight: 12.5, TimeLeft: 1500 * time.Millisecond, Retries: 3, Path: []string{"aaaaaaaa", "bbbbbbbb"}}
 }
 
 func TestContextRoundTrip(t *testing.T) {
@@ -66,7 +66,7 @@
 		if err != nil {
 			return
 		}
-		if c.String() != text || c.Retries < 0 || c.Retries > MaxRetries || c.Hops() < 1 || c.Hops() > MaxHops || !(c.Worth >= 0 && c.Worth <= MaxWorth) || c.TimeLeft < 0 {
+		if c.String() != text || c.Retries < 0 || c.Retries > MaxRetries || c.Hops() < 1 || c.Hops() > MaxHops || !(c.PriorityWeight >= 0 && c.PriorityWeight <= MaxWorth) || c.TimeLeft < 0 {
 			t.Errorf("%q is read as %+v and written as %q", text, c, c.String())
 		}
 	})
--- a/internal/budget/context.go
+++ b/internal/budget/context.go
@@ -29,7 +29,7 @@
 type Context struct {
 	Root            string        // of the external request: 16 hexadecimal digits
 	Attempt         string        // of the calling tier, that this call is part of: 8 hexadecimal digits
-	Worth           float64       // priority weight of the external request
+	PriorityWeight  float64       // priority weight of the external request
 	TimeLeft        time.Duration // time left when the attempt was sent
 	Retries         int           // retries for all calls of that attempt together
 	MayHaveExecuted bool          // an earlier attempt, at any tier, may have executed all of this
@@ -42,7 +42,7 @@
 
 // String returns the canonical text of a context.
 func (c *Context) String() string {
-	weight := strings.TrimSuffix(strings.TrimRight(strconv.FormatFloat(c.Worth, 'f', 3, 64), "0"), ".")
+	weight := strings.TrimSuffix(strings.TrimRight(strconv.FormatFloat(c.PriorityWeight, 'f', 3, 64), "0"), ".")
 	again := notExecuted
 	if c.MayHaveExecuted {
 		again = strconv.FormatInt(min(max(c.FirstSentAgo, 0), maxTimeLeft).Milliseconds(), 10)
@@ -120,13 +120,13 @@
 	if hasPoint && (len(decimals) < 1 || len(decimals) > 3 || strings.HasSuffix(decimals, "0") || strings.Trim(decimals, "0123456789") != "") {
 		return false
 	}
-	c.Worth = float64(n)
+	c.PriorityWeight = float64(n)
 	if hasPoint {
 		f, err := strconv.ParseFloat(v, 64)
 		if err != nil || f > MaxWorth {
 			return false
 		}
-		c.Worth = f
+		c.PriorityWeight = f
 	}
 	return true
 }
--- a/internal/mesh/peerwatch/watcher.go
+++ b/internal/mesh/peerwatch/watcher.go
@@ -84,8 +84,8 @@
 	return added, removed
 }
 
-// HeardFrom records a response of a peer.
-func (w *Watcher) HeardFrom(now time.Time, name string) {
+// RecordResponse records a response of a peer.
+func (w *Watcher) RecordResponse(now time.Time, name string) {
 	if p := w.peers[name]; p != nil {
 		p.lastReceived = now
 		p.setState(Healthy)
--- a/internal/mesh/peerwatch/watcher_test.go
+++ b/internal/mesh/peerwatch/watcher_test.go
@@ -59,7 +59,7 @@
 		t.Fatal(added, removed)
 	}
 	now = now.Add(900 * time.Millisecond)
-	w.HeardFrom(now, "a")
+	w.RecordResponse(now, "a")
 	now = now.Add(200 * time.Millisecond)
 	if got := w.NewlySilent(now); !slices.Equal(got, []string{"b"}) || !w.IsHealthy("a") || w.IsHealthy("b") {
 		t.Fatalf("newly silent peers %v, want b", got)
@@ -67,7 +67,7 @@
 	if got := w.NewlySilent(now); len(got) > 0 {
 		t.Fatalf("newly silent a second time: %v", got)
 	}
-	w.HeardFrom(now, "b")
+	w.RecordResponse(now, "b")
 	if !w.IsHealthy("b") {
 		t.Fatal("a peer that responds again is not healthy")
 	}
--- a/internal/mesh/proxy/gossip.go
+++ b/internal/mesh/proxy/gossip.go
@@ -166,7 +166,7 @@
 // handleGossip handles the message of a watched peer.
 func (w *watchers) handleGossip(name string, g *Gossip) {
 	now := time.Now()
-	w.watcher.HeardFrom(now, name)
+	w.watcher.RecordResponse(now, name)
 	var ch discovery.Change
 	if g.Snapshot != nil {
 		ch = w.proxy.state.HandleSnapshot(discovery.FromProxy, g.Snapshot)
--- a/internal/mesh/proxy/outboundrequest.go
+++ b/internal/mesh/proxy/outboundrequest.go
@@ -195,12 +195,12 @@
 		admitTimeLeft = plan.queueTime + admitTimeout
 	}
 	return &sidecar.Exchange{
-		Body:          out.request.Body,
-		OmitLength:    out.request.Method == http.MethodGet,
-		ID:            out.request.Header.Get(idHeader),
-		PeerIsOurs:    true,
-		MaxReplyBytes: maxBodyBytes,
-		AskTimeout:    admitTimeLeft,
+		Body:            out.request.Body,
+		OmitLength:      out.request.Method == http.MethodGet,
+		ID:              out.request.Header.Get(idHeader),
+		PeerIsProxy:     true,
+		MaxReplyBytes:   maxBodyBytes,
+		ContinueTimeout: admitTimeLeft,
 		Head: func(left time.Duration) []byte {
 			var b bytes.Buffer
 			out.writeHead(&b, instanceID)
--- a/internal/mesh/proxy/upstream.go
+++ b/internal/mesh/proxy/upstream.go
@@ -192,7 +192,7 @@
 
 // abort responds to all requests in flight, which ends them.
 func (u *upstreamService) abort() {
-	u.forEachModule((*sidecar.Service).AnswerAll)
+	u.forEachModule((*sidecar.Service).RespondToAll)
 }
 
 // close ends the service and the requests in flight.
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -26,8 +26,8 @@
 // a path that servers could interpret in two ways.
 func Normalize(raw string) (Path, error) { return normalize(raw, false) }
 
-// NormalizeWhole returns the decoded normal form of a path that keeps the parameters after ";".
-func NormalizeWhole(raw string) (string, error) {
+// NormalizeWithParameters returns the decoded normal form of a path that keeps the parameters after ";".
+func NormalizeWithParameters(raw string) (string, error) {
 	p, err := normalize(raw, true)
 	return p.Match, err
 }
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -51,6 +51,6 @@
 	// send makes one attempt and returns its outcome for the decision module, and the response if there is one.
 	send(u *upstream, a *attempt, e *endpoint, deadline time.Time) (balancer.Outcome, *response)
 	duration(sent time.Time) time.Duration // of an attempt, without the time that the client took to send a body
-	isSpent() bool                         // the request cannot be retried
+	isNotRepeatable() bool                 // the request cannot be retried
 	isUnbounded() bool                     // its duration depends on the client and does not measure the server
 }
--- a/internal/sidecar/await.go
+++ b/internal/sidecar/await.go
@@ -61,7 +61,7 @@
 		switch {
 		case upload.err != nil:
 			loop.do(func() { loop.clientLeft(k) })
-		case !upload.isWhole(): // the server did not read all of it: the event loop decides how to continue
+		case !upload.isForwarded(): // the server did not read all of it: the event loop decides how to continue
 			select {
 			case r = <-responded:
 				return r, true, true
--- a/internal/sidecar/bulk_test.go
+++ b/internal/sidecar/bulk_test.go
@@ -55,7 +55,7 @@
 func (c *client) ask(t *testing.T) *http.Response {
 	t.Helper()
 	c.send("GET", "read", "")
-	_ = c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	res, err := http.ReadResponse(c.reader, &http.Request{Method: "GET"})
 	if err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := start(t, config(t, script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+			s := start(t, config(t, scriptedServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 				c.write(conn)
 				return c.more
 			}).Addr().String()))
@@ -121,7 +121,7 @@
 	const readers, endpoints = 10, 4
 	var addrs []string
 	for range endpoints {
-		addrs = append(addrs, script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+		addrs = append(addrs, scriptedServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 32<<20)
 			_, _ = io.Copy(conn, &pattern{length: 32 << 20})
 			return true
@@ -155,7 +155,7 @@
 func TestLongResponseBreaksOff(t *testing.T) {
 	for _, head := range []string{fmt.Sprintf("Content-Length: %d", longBodySize), "Transfer-Encoding: chunked"} {
 		requests := make(chan struct{}, 10)
-		s := start(t, config(t, script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+		s := start(t, config(t, scriptedServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 			requests <- struct{}{}
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", head)
 			if strings.HasPrefix(head, "T") {
@@ -181,7 +181,7 @@
 // The parts of a streamed response must be forwarded as they arrive, not held back until more has arrived.
 func TestLongResponseInPieces(t *testing.T) {
 	next := make(chan string)
-	s := start(t, config(t, script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+	s := start(t, config(t, scriptedServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBufferedBody+6)
 		for piece := range next {
 			_, _ = io.WriteString(conn, piece)
@@ -254,7 +254,7 @@
 	addr, bodies := startBodyServer(t)
 	s := start(t, config(t, addr))
 	c := dial(t, s)
-	_ = c.SetDeadline(time.Now().Add(long))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	for i, framing := range []string{fmt.Sprintf("Content-Length: %d", longBodySize), "Transfer-Encoding: chunked"} {
 		expect := []string{"", "Expect: 100-continue\r\n"}[i]
 		fmt.Fprintf(c, "POST /pay/x HTTP/1.1\r\nHost: h\r\nX-Class: pay\r\nX-Request-Id: %d\r\n%s%s\r\n\r\n", i, expect, framing)
@@ -276,7 +276,7 @@
 			}
 			_, _ = io.WriteString(c, "0\r\n\r\n")
 		}
-		if res, text := c.answer(t); res.StatusCode != 200 || text != "hi" {
+		if res, text := c.readResponse(t); res.StatusCode != 200 || text != "hi" {
 			t.Fatalf("%s: status %d, %q", framing, res.StatusCode, text)
 		}
 		if g := <-bodies; g.n != longBodySize || g.hash != patternHash(longBodySize) {
@@ -300,7 +300,7 @@
 	go func() { _ = s.Run(t.Context()) }()
 	c := dial(t, s)
 	fmt.Fprintf(c, "POST /pay/x HTTP/1.1\r\nHost: h\r\nX-Class: pay\r\nX-Request-Id: 1\r\nContent-Length: %d\r\n\r\n%s", longBodySize, strings.Repeat("x", maxBufferedBody))
-	_ = c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	if text, err := io.ReadAll(c.reader); err != nil || strings.Contains(string(text), " 200 ") {
 		t.Errorf("response %q, %v", text, err)
 	}
@@ -312,7 +312,7 @@
 
 // Heads that arrive in pieces and rarely used forms of HTTP/1.1 must be accepted.
 func TestRequestForms(t *testing.T) {
-	s := start(t, config(t, script(t, echo).Addr().String()))
+	s := start(t, config(t, scriptedServer(t, echo).Addr().String()))
 	const rest = "Host: other\r\nX-Class: read\r\nX-Request-Id: 1\r\n"
 	for _, c := range []struct{ name, text, want string }{
 		{"absolute form", "GET http://backend.local/read/x?a=%2F HTTP/1.1\r\n" + rest + "\r\n", "GET /read/x?a=%2F 1 "},
@@ -327,7 +327,7 @@
 			for at := 0; at < len(c.text); at += size {
 				_, _ = io.WriteString(client, c.text[at:min(at+size, len(c.text))])
 			}
-			if res, body := client.answer(t); res.StatusCode != 200 || body != c.want {
+			if res, body := client.readResponse(t); res.StatusCode != 200 || body != c.want {
 				t.Errorf("%s in pieces of %d: status %d, %q, want %q", c.name, size, res.StatusCode, body, c.want)
 			}
 		}
@@ -337,7 +337,7 @@
 // Near the limit, connections that never carried a request must be evicted before those that did, however many there are, even if
 // part of a request was received on them.
 func TestUnusedConnectionsAreEvicted(t *testing.T) {
-	cfg := config(t, script(t, echo).Addr().String())
+	cfg := config(t, scriptedServer(t, echo).Addr().String())
 	cfg.Sockets = MinSockets
 	s := start(t, cfg)
 	kept := dial(t, s)
@@ -345,7 +345,7 @@
 	for n, piece := range []string{"GET ", "/re", "ad/x HTT", "P/1.1\r\nHost: h\r\n", "X-Cl", "ass: read\r\n", "X-Reque", "st-Id: slow", "\r\n"} {
 		kept.id = fmt.Sprint(n)
 		kept.send("GET", "read", "")
-		if res, _ := kept.answer(t); res.StatusCode != 200 || res.Close {
+		if res, _ := kept.readResponse(t); res.StatusCode != 200 || res.Close {
 			t.Fatalf("status %d, close %v", res.StatusCode, res.Close)
 		}
 		_, _ = io.WriteString(slow, piece) // as it keeps sending, others are evicted before it
@@ -368,19 +368,19 @@
 		})
 	}
 	_, _ = io.WriteString(slow, "\r\n")
-	if res, _ := slow.answer(t); res.StatusCode != 200 {
+	if res, _ := slow.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("the slow client: status %d", res.StatusCode)
 	}
 }
 
 // If a server announces that it closes its connection after a long response, no other request may be sent on that connection.
 func TestConnectionNotKept(t *testing.T) {
-	u := pooled(script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+	u := newTestUpstream(scriptedServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", maxBufferedBody+1)
 		_, _ = conn.Write(bytes.Repeat([]byte("x"), maxBufferedBody+1))
 		return true // the server does not close it in fact
 	}).Addr().String(), 4)
-	if got, _ := attemptOn(u, long); got != balancer.OK {
+	if got, _ := attemptOn(u, testTimeout); got != balancer.OK {
 		t.Fatalf("outcome %v", got)
 	}
 	u.mu.Lock()
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -102,7 +102,7 @@
 	}
 	l.handle(&balancer.Event{
 		Kind: balancer.EvAttemptEnded, Request: c.event.Request, Attempt: uint16(number), Server: server,
-		Outcome: o, Elapsed: inMillis(took), RequestEnded: c.ended, NotRepeatable: c.sender().isSpent() || c.attempts[number].final,
+		Outcome: o, Elapsed: inMillis(took), RequestEnded: c.ended, NotRepeatable: c.sender().isNotRepeatable() || c.attempts[number].final,
 	})
 	l.forget(c)
 }
--- a/internal/sidecar/calltree.go
+++ b/internal/sidecar/calltree.go
@@ -84,11 +84,11 @@
 		return nil, rejection
 	}
 	if received == nil {
-		t.context = budget.Context{Root: newID(), Attempt: rootAttempt, Worth: class.PriorityWeight, Retries: ts.retries}
+		t.context = budget.Context{Root: newID(), Attempt: rootAttempt, PriorityWeight: class.PriorityWeight, Retries: ts.retries}
 		t.budget = budget.NewRetryBudget(ts.retries)
 	} else {
 		t.context = *received
-		t.context.Worth = min(t.context.Worth, d.maxWorth)
+		t.context.PriorityWeight = min(t.context.PriorityWeight, d.maxPriorityWeight)
 		t.context.Retries = min(t.context.Retries, ts.retries) // no more than a request from outside gets here
 		t.budget = ts.budgets.Get(&t.context, t.arrivedAt)
 	}
@@ -163,7 +163,7 @@
 // apply applies the context to a call: its priority weight, the limit of its attempts, and its deadline.
 func (t *treeCall) apply(k *call, p *pool) {
 	k.tree, t.leaf = t, p.spec.Leaf
-	k.event.PriorityWeight = t.context.Worth
+	k.event.PriorityWeight = t.context.PriorityWeight
 	k.event.MaxAttempts = 1 + t.budget.Remaining()
 	if t.context.Hops() > 0 {
 		left := withoutMargin(t.context.TimeLeft.Seconds())
@@ -228,7 +228,7 @@
 		Number:  number,
 		Outcome: outcomeNames[o],
 		TookMS:  inMillis(took),
-		Weight:  t.context.Worth,
+		Weight:  t.context.PriorityWeight,
 	})
 }
 
--- a/internal/sidecar/calltree_test.go
+++ b/internal/sidecar/calltree_test.go
@@ -101,7 +101,7 @@
 		if tier == 1 {
 			in = inText
 		}
-		i, _ := launch(t, parse(t, text, in, poolText("p", pool), servers, routeText("r", "/", "p", "read", "")))
+		i, _ := runWithoutLeakCheck(t, parse(t, text, in, poolText("p", pool), servers, routeText("r", "/", "p", "read", "")))
 		addr = i.Addresses()["in"]
 	}
 	return addr
@@ -112,7 +112,7 @@
 	t.Helper()
 	transport := &http.Transport{MaxIdleConnsPerHost: 8}
 	defer transport.CloseIdleConnections()
-	client := &http.Client{Transport: transport, Timeout: patience}
+	client := &http.Client{Transport: transport, Timeout: callTimeout}
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	next := make(chan int)
@@ -224,7 +224,7 @@
 			for n := range 2 {
 				in := strings.Replace(innerText, "127.0.0.1:0", addrs[n], 1) + fmt.Sprintf("front = %q\n", front)
 				pool := poolText("p", fmt.Sprintf("protocol = %q\n", front))
-				launch(t, parse(t, contextText(fmt.Sprint("side-", n), 2, ""), in, pool, serverText(addrs[1-n]), routeText("circle", "/", "p", "read", "")))
+				runWithoutLeakCheck(t, parse(t, contextText(fmt.Sprint("side-", n), 2, ""), in, pool, serverText(addrs[1-n]), routeText("circle", "/", "p", "read", "")))
 			}
 			if front == "grpc" {
 				cc := dialRPC(t, addrs[0])
@@ -258,10 +258,10 @@
 func TestContextsAreTrustedOnInnerListeners(t *testing.T) {
 	s := servers(t, "a")[0]
 	outer := strings.Replace(inText, "name = \"in\"", "name = \"out\"", 1)
-	i, _ := launch(t, parse(t, contextText("me", 2, ""), innerText, "max_worth = 20\n", outer, poolText("p", "", s), routeText("r", "/", "p", "read", "")))
-	valid := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 12, TimeLeft: 900 * time.Millisecond, Retries: 1, Path: []string{"aaaaaaaa"}}
+	i, _ := runWithoutLeakCheck(t, parse(t, contextText("me", 2, ""), innerText, "max_worth = 20\n", outer, poolText("p", "", s), routeText("r", "/", "p", "read", "")))
+	valid := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", PriorityWeight: 12, TimeLeft: 900 * time.Millisecond, Retries: 1, Path: []string{"aaaaaaaa"}}
 	excessive := valid
-	excessive.Worth, excessive.Retries, excessive.Attempt = 1e6, 99, "89abcdef"
+	excessive.PriorityWeight, excessive.Retries, excessive.Attempt = 1e6, 99, "89abcdef"
 	send := func(listener string, values ...string) (int, *budget.Context) {
 		t.Helper()
 		r, _ := http.NewRequest("GET", "http://"+i.Addresses()[listener]+"/x", nil)
@@ -285,14 +285,14 @@
 		}
 		return res.StatusCode, c
 	}
-	if _, c := send("in", valid.String()); c.Root != valid.Root || c.Attempt == valid.Attempt || c.Worth != 12 || c.Retries != 1 ||
+	if _, c := send("in", valid.String()); c.Root != valid.Root || c.Attempt == valid.Attempt || c.PriorityWeight != 12 || c.Retries != 1 ||
 		c.TimeLeft > 900*time.Millisecond || c.TimeLeft < 500*time.Millisecond || fmt.Sprint(c.Path) != fmt.Sprint([]string{"aaaaaaaa", hashHopID("me")}) {
 		t.Errorf("trusted: %+v", c)
 	}
-	if _, c := send("in", excessive.String()); c.Worth != 20 || c.Retries != 1 {
+	if _, c := send("in", excessive.String()); c.PriorityWeight != 20 || c.Retries != 1 {
 		t.Errorf("over the limits: %+v", c)
 	}
-	if _, c := send("out", valid.String()); c.Root == valid.Root || c.Worth != 1 || c.Retries != 1 || c.Hops() != 1 || c.TimeLeft < time.Second {
+	if _, c := send("out", valid.String()); c.Root == valid.Root || c.PriorityWeight != 1 || c.Retries != 1 || c.Hops() != 1 || c.TimeLeft < time.Second {
 		t.Errorf("from outside: %+v", c)
 	}
 	reached := len(s.Records())
@@ -360,7 +360,7 @@
 		if class == "" {
 			class, wantAttempts = "read", 2 // one of the two retries is delegated to the next tier
 		}
-		i, stop := launch(t, parse(t, contextText("me", 2, ""), innerText, poolText("p", ""), serverText(ln.Addr().String()), routeText("r", "/", "p", class, "")))
+		i, stop := runWithoutLeakCheck(t, parse(t, contextText("me", 2, ""), innerText, poolText("p", ""), serverText(ln.Addr().String()), routeText("r", "/", "p", class, "")))
 		res, err := http.Get("http://" + i.Addresses()["in"] + "/x")
 		if err != nil {
 			t.Fatal(err)
@@ -390,7 +390,7 @@
 	for _, class := range []string{"read", "pay", "add", "everywhere"} {
 		text += routeText(class, "/"+class, "p", class, "")
 	}
-	i, _ := launch(t, parse(t, contextText("me", 2, ""), innerText, pool, text))
+	i, _ := runWithoutLeakCheck(t, parse(t, contextText("me", 2, ""), innerText, pool, text))
 	for _, c := range []struct {
 		class string
 		again bool
@@ -401,7 +401,7 @@
 		{"everywhere", true, 9 * time.Second, true}, {"everywhere", true, 10 * time.Second, false}, {"everywhere", false, 0, true},
 	} {
 		before := len(s.Records())
-		k := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 1, TimeLeft: 5 * time.Second, Path: []string{"aaaaaaaa"}, MayHaveExecuted: c.again, FirstSentAgo: c.since}
+		k := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", PriorityWeight: 1, TimeLeft: 5 * time.Second, Path: []string{"aaaaaaaa"}, MayHaveExecuted: c.again, FirstSentAgo: c.since}
 		r, _ := http.NewRequest("POST", "http://"+i.Addresses()["in"]+"/"+c.class, nil)
 		r.Header.Set(budget.Header, k.String())
 		r.Header.Set("Idempotency-Key", "7")
@@ -428,7 +428,7 @@
 // must reach the last tier only once.
 func TestLostResponseIsNotExecutedTwice(t *testing.T) {
 	last := servers(t, "a")[0]
-	back, _ := launch(t, parse(t, contextText("back", 2, ""), innerText, poolText("p", "leaf = true\n", last), routeText("r", "/", "p", "pay", "")))
+	back, _ := runWithoutLeakCheck(t, parse(t, contextText("back", 2, ""), innerText, poolText("p", "leaf = true\n", last), routeText("r", "/", "p", "pay", "")))
 	first := true
 	var mu sync.Mutex
 	a := newApp(t, back.Addresses()["in"], 1, true, func() bool {
@@ -438,7 +438,7 @@
 		first = false
 		return lost
 	})
-	front, _ := launch(t, parse(t, contextText("front", 2, ""), inText, poolText("q", ""), serverText(a.Addr()), routeText("r", "/", "q", "add", "")))
+	front, _ := runWithoutLeakCheck(t, parse(t, contextText("front", 2, ""), inText, poolText("q", ""), serverText(a.Addr()), routeText("r", "/", "q", "add", "")))
 	r, _ := http.NewRequest("GET", "http://"+front.Addresses()["in"]+"/x", nil)
 	r.Header.Set("Idempotency-Key", "7")
 	res, err := http.DefaultClient.Do(r)
@@ -455,8 +455,8 @@
 func TestTimeoutOfPreviousTier(t *testing.T) {
 	s := servers(t, "a")[0]
 	s.SetFault(fakeserver.NoResponse)
-	i, _ := launch(t, parse(t, contextText("me", 2, ""), innerText, poolText("p", "", s), routeText("r", "/", "p", "pay", "")))
-	k := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 1, TimeLeft: 300 * time.Millisecond, Path: []string{"aaaaaaaa"}}
+	i, _ := runWithoutLeakCheck(t, parse(t, contextText("me", 2, ""), innerText, poolText("p", "", s), routeText("r", "/", "p", "pay", "")))
+	k := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", PriorityWeight: 1, TimeLeft: 300 * time.Millisecond, Path: []string{"aaaaaaaa"}}
 	r, _ := http.NewRequest("GET", "http://"+i.Addresses()["in"]+"/x", nil)
 	r.Header.Set(budget.Header, k.String())
 	begun := time.Now()
@@ -474,9 +474,9 @@
 func TestCancelReachesAllTiers(t *testing.T) {
 	s := servers(t, "a")[0]
 	s.SetFault(fakeserver.NoResponse)
-	back, _ := launch(t, parse(t, contextText("back", 2, ""), innerText, poolText("p", "leaf = true\n", s), routeText("r", "/", "p", "read", "")))
+	back, _ := runWithoutLeakCheck(t, parse(t, contextText("back", 2, ""), innerText, poolText("p", "leaf = true\n", s), routeText("r", "/", "p", "read", "")))
 	a := newApp(t, back.Addresses()["in"], 1, true, nil)
-	front, _ := launch(t, parse(t, contextText("front", 2, ""), inText, poolText("q", ""), serverText(a.Addr()), routeText("r", "/", "q", "read", "")))
+	front, _ := runWithoutLeakCheck(t, parse(t, contextText("front", 2, ""), inText, poolText("q", ""), serverText(a.Addr()), routeText("r", "/", "q", "read", "")))
 	ctx, cancel := context.WithCancel(context.Background())
 	r, _ := http.NewRequestWithContext(ctx, "GET", "http://"+front.Addresses()["in"]+"/x", nil)
 	left := make(chan struct{})
@@ -488,7 +488,7 @@
 	}()
 	wait := func(what string, done func() bool) {
 		t.Helper()
-		for end := time.Now().Add(patience); !done(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(callTimeout); !done(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal(what)
 			}
@@ -507,9 +507,9 @@
 // A sidecar that does not support contexts, between two that do, must forward them.
 func TestSidecarWithoutContextsBetweenTiers(t *testing.T) {
 	s := servers(t, "a")[0]
-	back, _ := launch(t, parse(t, contextText("back", 2, ""), innerText, poolText("p", "", s), routeText("r", "/", "p", "read", "")))
-	old, _ := launch(t, parse(t, inText, poolText("p", ""), serverText(back.Addresses()["in"]), routeText("r", "/", "p", "read", "")))
-	front, _ := launch(t, parse(t, contextText("front", 2, ""), inText, poolText("p", ""), serverText(old.Addresses()["in"]), routeText("r", "/", "p", "read", "")))
+	back, _ := runWithoutLeakCheck(t, parse(t, contextText("back", 2, ""), innerText, poolText("p", "", s), routeText("r", "/", "p", "read", "")))
+	old, _ := runWithoutLeakCheck(t, parse(t, inText, poolText("p", ""), serverText(back.Addresses()["in"]), routeText("r", "/", "p", "read", "")))
+	front, _ := runWithoutLeakCheck(t, parse(t, contextText("front", 2, ""), inText, poolText("p", ""), serverText(old.Addresses()["in"]), routeText("r", "/", "p", "read", "")))
 	if n := sendRootRequests(t, front.Addresses()["in"], 3); n != 3 {
 		t.Fatalf("%d served", n)
 	}
@@ -524,10 +524,10 @@
 // A gRPC call must carry its context in metadata.
 func TestRPCContext(t *testing.T) {
 	s := newScript(t, false, func(p *fakeserver.FrameConn, id uint32, n int) { _ = p.WriteRSTStream(id, http2.ErrCodeRefusedStream) })
-	i, _ := launch(t, parse(t, contextText("me", 1, ""), strings.Replace(rpcText, "max_body", "inner = true\nmax_body", 1), rpcPool("p", "attempts = 4\nleaf = true\n"), s.server(), rpcRoutes("p")))
-	c := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", Worth: 12, TimeLeft: time.Second, Retries: 1, Path: []string{"aaaaaaaa"}}
+	i, _ := runWithoutLeakCheck(t, parse(t, contextText("me", 1, ""), strings.Replace(rpcText, "max_body", "inner = true\nmax_body", 1), rpcPool("p", "attempts = 4\nleaf = true\n"), s.server(), rpcRoutes("p")))
+	c := budget.Context{Root: "0123456789abcdef", Attempt: "01234567", PriorityWeight: 12, TimeLeft: time.Second, Retries: 1, Path: []string{"aaaaaaaa"}}
 	cc := dialRPC(t, i.Addresses()["in"])
-	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), contextName, c.String()), patience)
+	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), contextName, c.String()), callTimeout)
 	defer cancel()
 	in, out := []byte("x"), []byte(nil)
 	if err := cc.Invoke(ctx, "/pay.S/M", &in, &out); status.Code(err) != codes.Unavailable {
@@ -549,9 +549,9 @@
 	dir := t.TempDir()
 	files := []string{filepath.Join(dir, "front"), filepath.Join(dir, "back")}
 	sampled := func(n int) string { return fmt.Sprintf("sample = 1.0\ntrace = %q\n", files[n]) }
-	back, stopBack := launch(t, parse(t, contextText("back", 3, sampled(1)), innerText, poolText("p", unlimitedRetries, s), routeText("r", "/", "p", "read", "")))
+	back, stopBack := runWithoutLeakCheck(t, parse(t, contextText("back", 3, sampled(1)), innerText, poolText("p", unlimitedRetries, s), routeText("r", "/", "p", "read", "")))
 	a := newApp(t, back.Addresses()["in"], 2, true, func() bool { return false })
-	front, stopFront := launch(t, parse(t, contextText("front", 3, sampled(0)), inText, poolText("q", unlimitedRetries), serverText(a.Addr()), routeText("r", "/", "q", "read", "")))
+	front, stopFront := runWithoutLeakCheck(t, parse(t, contextText("front", 3, sampled(0)), inText, poolText("q", unlimitedRetries), serverText(a.Addr()), routeText("r", "/", "q", "read", "")))
 	sendRootRequests(t, front.Addresses()["in"], 20)
 	stopFront()
 	stopBack()
@@ -618,7 +618,7 @@
 			for _, s := range list {
 				processSerially(s, 20*time.Millisecond) // 100 a second in total
 			}
-			i, _ := launch(t, parse(t, contextText("me", 0, ""), innerText, poolText("p", "attempts = 1\n", list...), routeText("r", "/", "p", "read", "")))
+			i, _ := runWithoutLeakCheck(t, parse(t, contextText("me", 0, ""), innerText, poolText("p", "attempts = 1\n", list...), routeText("r", "/", "p", "read", "")))
 			all.Go(func() {
 				transport := &http.Transport{MaxIdleConnsPerHost: 100}
 				defer transport.CloseIdleConnections()
@@ -632,9 +632,9 @@
 					}
 					time.Sleep(time.Duration(r.ExpFloat64() * float64(time.Second/300)))
 					calls.Go(func() {
-						c := budget.Context{Root: fmt.Sprintf("%016x", n+1), Attempt: fmt.Sprintf("%08x", n), Worth: 1, TimeLeft: time.Second, Path: []string{"aaaaaaaa"}}
+						c := budget.Context{Root: fmt.Sprintf("%016x", n+1), Attempt: fmt.Sprintf("%08x", n), PriorityWeight: 1, TimeLeft: time.Second, Path: []string{"aaaaaaaa"}}
 						if carried == 1 {
-							c.Worth = w
+							c.PriorityWeight = w
 						}
 						q, _ := http.NewRequest("GET", "http://"+i.Addresses()["in"]+"/x", nil)
 						q.Header.Set(budget.Header, c.String())
--- a/internal/sidecar/expectcontinue_test.go
+++ b/internal/sidecar/expectcontinue_test.go
@@ -26,7 +26,7 @@
 	return Reply{Status: http.StatusOK, Body: fmt.Append(nil, len(e.Body))}
 }
 
-// A request with AskTimeout must send its body only to a server that accepts it. After a rejection without the body, the connection
+// A request with ContinueTimeout must send its body only to a server that accepts it. After a rejection without the body, the connection
 // must be reused.
 func TestBodyIsSentOnlyIfAccepted(t *testing.T) {
 	port, err := NewPort("127.0.0.1:0", PortLimits{MaxConns: 9, IdleTimeout: time.Minute, HeadTimeout: time.Minute}, &alternatingHandler{})
@@ -39,7 +39,7 @@
 	pool.SetServer(port.Addr().String(), 1)
 	request := &Exchange{
 		Head: func(time.Duration) []byte { return []byte("POST / HTTP/1.1\r\nHost: a\r\n") },
-		Body: []byte(strings.Repeat("x", 200_000)), MaxReplyBytes: 1 << 20, AskTimeout: time.Minute,
+		Body: []byte(strings.Repeat("x", 200_000)), MaxReplyBytes: 1 << 20, ContinueTimeout: time.Minute,
 	}
 	for i := range 6 {
 		port.frontend.clients.mu.Lock()
@@ -62,7 +62,7 @@
 	}
 	pool.SetServer(unresponsive.Addr().String(), 2)
 	shortTimeout := *request
-	shortTimeout.AskTimeout = 10 * time.Millisecond
+	shortTimeout.ContinueTimeout = 10 * time.Millisecond
 	if outcome, _ := pool.RoundTrip(t.Context(), &shortTimeout, time.Now().Add(time.Minute)); outcome != exchange.NotWritten {
 		t.Errorf("unresponsive server: outcome %d", outcome)
 	}
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -183,7 +183,7 @@
 	if !ok {
 		return false
 	}
-	if up := request.upload; up != nil && !up.isWhole() { // the client is still sending the body, so its next request cannot be found
+	if up := request.upload; up != nil && !up.isForwarded() { // the client is still sending the body, so its next request cannot be found
 		c.respondAndClose(&r)
 		return false
 	}
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -19,7 +19,7 @@
 func startWithCountingServer(t *testing.T, change func(*Sidecar)) (*Sidecar, chan string) {
 	t.Helper()
 	requestIDs := make(chan string, 1000)
-	s, err := New(config(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
+	s, err := New(config(t, scriptedServer(t, func(n int, c net.Conn, r *http.Request) bool {
 		requestIDs <- r.Header.Get("X-Request-Id")
 		return echo(n, c, r)
 	}).Addr().String()))
@@ -33,10 +33,10 @@
 	return s, requestIDs
 }
 
-// ends waits for the sidecar to close a connection and returns all that it wrote.
-func (c *client) ends(t *testing.T) string {
+// readToEnd waits for the sidecar to close a connection and returns all that it wrote.
+func (c *client) readToEnd(t *testing.T) string {
 	t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	text, err := io.ReadAll(c.reader)
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
@@ -69,7 +69,7 @@
 	} {
 		k := dial(t, s)
 		_, _ = io.WriteString(k, c.text)
-		if got := k.ends(t); !strings.HasPrefix(got, fmt.Sprint("HTTP/1.1 ", c.want)) || strings.Count(got, "HTTP/1.1") != 1 {
+		if got := k.readToEnd(t); !strings.HasPrefix(got, fmt.Sprint("HTTP/1.1 ", c.want)) || strings.Count(got, "HTTP/1.1") != 1 {
 			t.Errorf("%s: response %q, want one with status %d", name, got, c.want)
 		}
 	}
@@ -90,7 +90,7 @@
 			}
 		}
 	}()
-	_ = c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	if res, err := http.ReadResponse(c.reader, nil); err != nil || res.StatusCode != 413 {
 		t.Errorf("response %v, error %v", res, err)
 	}
@@ -107,7 +107,7 @@
 	} {
 		c := dial(t, s)
 		_, _ = io.WriteString(c, text)
-		if got := c.ends(t); got != "" {
+		if got := c.readToEnd(t); got != "" {
 			t.Errorf("%s: response %q", name, got)
 		}
 	}
@@ -116,10 +116,10 @@
 	}
 	c := dial(t, s)
 	c.send("GET", "read", "")
-	if res, _ := c.answer(t); res.StatusCode != 200 {
+	if res, _ := c.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
-	c.ends(t)
+	c.readToEnd(t)
 	s.frontend.clients.mu.Lock()
 	defer s.frontend.clients.mu.Unlock()
 	if n := s.frontend.clients.idleUsed.Len(); n > s.frontend.clients.open {
@@ -130,7 +130,7 @@
 // A request with the id of an open request must be rejected without affecting the open one.
 func TestIDOfOpenRequest(t *testing.T) {
 	release, requests := make(chan struct{}), make(chan struct{}, 10)
-	s := start(t, config(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
+	s := start(t, config(t, scriptedServer(t, func(n int, c net.Conn, r *http.Request) bool {
 		requests <- struct{}{}
 		<-release
 		return echo(n, c, r)
@@ -139,15 +139,15 @@
 	first.send("GET", "read", "")
 	<-requests
 	second.send("GET", "read", "")
-	if res, _ := second.answer(t); res.StatusCode != http.StatusConflict || !res.Close {
+	if res, _ := second.readResponse(t); res.StatusCode != http.StatusConflict || !res.Close {
 		t.Errorf("status %d, close %v", res.StatusCode, res.Close)
 	}
 	close(release)
-	if res, _ := first.answer(t); res.StatusCode != 200 {
+	if res, _ := first.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d for the first", res.StatusCode)
 	}
 	first.send("GET", "read", "") // the id can be used again
-	if res, _ := first.answer(t); res.StatusCode != 200 {
+	if res, _ := first.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d for the same id after the first", res.StatusCode)
 	}
 }
@@ -156,7 +156,7 @@
 // faulty.
 func TestUnusableRequestIsTriedOnce(t *testing.T) {
 	requests := make(chan struct{}, 10)
-	unusable := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	unusable := scriptedServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		requests <- struct{}{}
 		_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return true
@@ -165,7 +165,7 @@
 	for range 5 {
 		c := dial(t, s)
 		c.send("GET", "read", "")
-		if res, _ := c.answer(t); res.StatusCode != 400 || !res.Close {
+		if res, _ := c.readResponse(t); res.StatusCode != 400 || !res.Close {
 			t.Errorf("status %d, close %v", res.StatusCode, res.Close)
 		}
 	}
@@ -180,9 +180,9 @@
 	c := dial(t, s)
 	for range 20 {
 		c.send("POST", "pay", "body")
-		c.answer(t)
+		c.readResponse(t)
 	}
-	for left, end := 1, time.Now().Add(long); left > 0; {
+	for left, end := 1, time.Now().Add(testTimeout); left > 0; {
 		s.loop.do(func() {
 			left = len(s.loop.calls) + len(s.loop.openIDs)
 			for _, d := range s.loop.timers {
@@ -202,13 +202,13 @@
 	s, _ := startWithCountingServer(t, nil)
 	c := dial(t, s)
 	fmt.Fprint(c, "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: 1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-	_ = c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	if line, _ := c.reader.ReadString('\n'); !strings.HasPrefix(line, "HTTP/1.1 100") {
 		t.Fatalf("%q", line)
 	}
 	_, _ = c.reader.ReadString('\n')
 	_, _ = io.WriteString(c, "hi")
-	if res, _ := c.answer(t); res.StatusCode != 200 {
+	if res, _ := c.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
--- a/internal/sidecar/generation.go
+++ b/internal/sidecar/generation.go
@@ -89,16 +89,16 @@
 		spec := &cfg.Listeners[n]
 		key := listenerKey(spec)
 		next.routers[key] = &listenerRouter{
-			front:          spec.Front,
-			tls:            cfg.Certificates[spec.Name],
-			httpRoutes:     cfg.HTTPRoutes[spec.Name],
-			grpcRoutes:     cfg.GRPCRoutes[spec.Name],
-			sites:          cfg.SiteTables[spec.Name],
-			pools:          next.pools,
-			maxBody:        int64(spec.MaxBody),
-			callTrees:      next.callTrees,
-			trustsContexts: spec.Inner,
-			maxWorth:       spec.MaxWorth,
+			front:             spec.Front,
+			tls:               cfg.Certificates[spec.Name],
+			httpRoutes:        cfg.HTTPRoutes[spec.Name],
+			grpcRoutes:        cfg.GRPCRoutes[spec.Name],
+			sites:             cfg.SiteTables[spec.Name],
+			pools:             next.pools,
+			maxBody:           int64(spec.MaxBody),
+			callTrees:         next.callTrees,
+			trustsContexts:    spec.Inner,
+			maxPriorityWeight: spec.MaxWorth,
 		}
 		if i.listeners[key] != nil {
 			continue
--- a/internal/sidecar/grpc_test.go
+++ b/internal/sidecar/grpc_test.go
@@ -70,7 +70,7 @@
 	return string(out), err
 }
 
-const patience = 10 * time.Second
+const callTimeout = 10 * time.Second
 
 // rpcRoutes returns routes to the classes of a pool, chosen by the first part of the method.
 func rpcRoutes(pool string) string {
@@ -81,14 +81,14 @@
 	return text
 }
 
-// scriptedRPCServer is a server whose frames a test writes. It calls play with the number of the call, from 1, for each call that it
+// scriptedRPCServer is a server whose frames a test writes. It calls onCall with the number of the call, from 1, for each call that it
 // has received completely, or with early as soon as it has received the headers.
 type scriptedRPCServer struct {
-	ln    net.Listener
-	early bool
-	play  func(p *fakeserver.FrameConn, id uint32, n int)
+	ln     net.Listener
+	early  bool
+	onCall func(p *fakeserver.FrameConn, id uint32, n int)
 
-	writing sync.Mutex // held while frames are written and while play runs
+	writing sync.Mutex // held while frames are written and while onCall runs
 
 	mu     sync.Mutex
 	calls  int
@@ -108,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scriptedRPCServer{ln: ln, early: early, play: onCall, wake: make(chan struct{}, 1)}
+	s := &scriptedRPCServer{ln: ln, early: early, onCall: onCall, wake: make(chan struct{}, 1)}
 	var running sync.WaitGroup
 	running.Go(func() {
 		for {
@@ -164,7 +164,7 @@
 		default:
 		}
 		if due {
-			s.write(func() { s.play(p, f.Stream, n) })
+			s.write(func() { s.onCall(p, f.Stream, n) })
 		}
 	}
 }
@@ -179,7 +179,7 @@
 // until waits for a frame for which match returns true.
 func (s *scriptedRPCServer) until(t testing.TB, what string, match func(fakeserver.Frame) bool) {
 	t.Helper()
-	for end := time.After(patience); ; {
+	for end := time.After(callTimeout); ; {
 		s.mu.Lock()
 		found := slices.ContainsFunc(s.frames, match)
 		s.mu.Unlock()
@@ -375,7 +375,7 @@
 	cancel()
 	s.until(t, "the client's reset", func(f fakeserver.Frame) bool { return f.Type == http2.FrameRSTStream && f.Code == http2.ErrCodeCancel })
 
-	ctx, cancel = context.WithTimeout(context.Background(), patience)
+	ctx, cancel = context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	begun := time.Now()
 	if stream, err = cc.NewStream(ctx, both, "/stream.S/M"); err != nil {
@@ -385,7 +385,7 @@
 	if err := stream.RecvMsg(&m); status.Code(err) != codes.Unknown || time.Since(begun) > time.Second {
 		t.Errorf("%v after %v", err, time.Since(begun))
 	}
-	for end := time.Now().Add(patience); i.Status().Pools[0].Open != 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(callTimeout); i.Status().Pools[0].Open != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("a call stays open")
 		}
@@ -421,7 +421,7 @@
 	list("ready")
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", ""), fmt.Sprintf("[pool.source]\ntype = \"file\"\npath = %q\nevery = \"10ms\"\n", file), rpcRoutes("p")))
 	cc := dialRPC(t, i.Addresses()["in"])
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	stream, err := cc.NewStream(ctx, &grpc.StreamDesc{ClientStreams: true, ServerStreams: true}, "/stream.S/M")
 	if err != nil {
@@ -436,7 +436,7 @@
 		t.Fatal(string(m), err)
 	}
 	list("draining")
-	for end := time.Now().Add(patience); b.count() == 0; {
+	for end := time.Now().Add(callTimeout); b.count() == 0; {
 		if text, err := unary(cc, "/read.S/M", "x"); err != nil || text != "well" || time.Now().After(end) {
 			t.Fatal(text, err)
 		}
@@ -489,7 +489,7 @@
 		_ = peer.SendCall(id, path, false)
 	}
 	first := 0
-	if _, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool {
+	if _, err := peer.ReadUntil(callTimeout, func(f fakeserver.Frame) bool {
 		if len(f.Data) > 0 {
 			first++
 		}
@@ -500,21 +500,21 @@
 	begun := time.Now()
 	go stop()
 	goAway := func(f fakeserver.Frame) bool { return f.Type == http2.FrameGoAway }
-	all, err := peer.ReadUntil(patience, goAway)
+	all, err := peer.ReadUntil(callTimeout, goAway)
 	if err != nil || all[len(all)-1].LastStream != 1<<31-1 {
 		t.Fatal(all, err)
 	}
-	all, err = peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Type == http2.FramePing })
+	all, err = peer.ReadUntil(callTimeout, func(f fakeserver.Frame) bool { return f.Type == http2.FramePing })
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = peer.WritePing(true, [8]byte(all[len(all)-1].Data))
-	if all, err = peer.ReadUntil(patience, goAway); err != nil || all[len(all)-1].LastStream != 5 {
+	if all, err = peer.ReadUntil(callTimeout, goAway); err != nil || all[len(all)-1].LastStream != 5 {
 		t.Fatal(all, err)
 	}
 	close(finish)
 	ended := map[uint32]string{}
-	if _, err = peer.ReadUntil(patience, func(f fakeserver.Frame) bool {
+	if _, err = peer.ReadUntil(callTimeout, func(f fakeserver.Frame) bool {
 		if f.EndStream || f.Type == http2.FrameRSTStream {
 			if _, ok := ended[f.Stream]; ok && f.EndStream {
 				t.Errorf("stream %d ended twice", f.Stream)
@@ -578,11 +578,11 @@
 	a := newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {
 		_ = p.SendHeaders(id, false, ":status", "200", "content-type", "application/grpc")
 	}, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 1000})
-	b := newScript(t, true, a.play, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 1000})
+	b := newScript(t, true, a.onCall, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 1000})
 	const most = 400
 	i, _ := run(t, parse(t, fmt.Sprintf("[limits]\nstreams = %d\n", most), rpcText, "streams = 1000\n", rpcPool("p", "streams = 1000\n"), a.server(), b.server(), rpcRoutes("p")))
 	cc := dialRPC(t, i.Addresses()["in"])
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	for n := range most {
 		stream, err := cc.NewStream(ctx, &grpc.StreamDesc{ClientStreams: true, ServerStreams: true}, "/stream.S/M")
@@ -603,7 +603,7 @@
 	}
 	defer peer.Close()
 	_ = peer.SendCall(1, "/stream.S/M", false)
-	if all, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Stream == 1 }); err != nil || all[len(all)-1].Code != http2.ErrCodeRefusedStream {
+	if all, err := peer.ReadUntil(callTimeout, func(f fakeserver.Frame) bool { return f.Stream == 1 }); err != nil || all[len(all)-1].Code != http2.ErrCodeRefusedStream {
 		t.Error(all, err)
 	}
 }
@@ -621,7 +621,7 @@
 	_ = peer.WriteData(1, false, fakeserver.GRPCMessage("first"))
 	s.until(t, "the first message", func(f fakeserver.Frame) bool { return strings.Contains(string(f.Data), "first") })
 	_ = peer.WriteData(1, false, append(fakeserver.GRPCMessage("second"), 9, 0, 0, 0, 1))
-	all, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Stream == 1 && f.EndStream })
+	all, err := peer.ReadUntil(callTimeout, func(f fakeserver.Frame) bool { return f.Stream == 1 && f.EndStream })
 	if code := fakeserver.FieldValue(all, 1, "grpc-status"); err != nil || code != "3" {
 		t.Error(code, err)
 	}
@@ -654,7 +654,7 @@
 	})
 	i, _ := run(t, parse(t, rpcText, rpcPool("p", ""), s.server(), rpcRoutes("p")))
 	cc := dialRPC(t, i.Addresses()["in"])
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	stream, err := cc.NewStream(ctx, &grpc.StreamDesc{ServerStreams: true}, "/read.S/M")
 	if err != nil {
@@ -692,7 +692,7 @@
 	for _, class := range []string{"stream", "pay"} {
 		_ = peer.SendCall(id, "/"+class+".S/M", false)
 		_ = peer.WriteData(id, class == "pay", fakeserver.GRPCMessage("x"))
-		all, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Stream == id && f.EndStream })
+		all, err := peer.ReadUntil(callTimeout, func(f fakeserver.Frame) bool { return f.Stream == id && f.EndStream })
 		if err != nil {
 			t.Fatal(class, all, err)
 		}
@@ -711,7 +711,7 @@
 			t.Errorf("%s: heads %v, text %q", class, heads, text)
 		}
 		if class == "stream" { // the client is notified of that too (RFC 9113, 8.1)
-			if all, err = peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Stream == id }); err != nil || all[len(all)-1].Code != http2.ErrCodeNo {
+			if all, err = peer.ReadUntil(callTimeout, func(f fakeserver.Frame) bool { return f.Stream == id }); err != nil || all[len(all)-1].Code != http2.ErrCodeNo {
 				t.Error(all, err)
 			}
 		}
@@ -743,7 +743,7 @@
 	for n := range uint32(40) {
 		_ = peer.SendCall(2*n+1, "/stream.S/M", false)
 		_ = peer.WriteData(2*n+1, false, fakeserver.GRPCMessage("never read"))
-		for end := time.Now().Add(patience); s.count() <= int(n); time.Sleep(time.Millisecond) { // a burst would be rejected in part
+		for end := time.Now().Add(callTimeout); s.count() <= int(n); time.Sleep(time.Millisecond) { // a burst would be rejected in part
 			if time.Now().After(end) {
 				t.Fatal(s.count())
 			}
@@ -777,7 +777,7 @@
 		pairs []string
 		code  codes.Code
 	}{{nil, codes.InvalidArgument}, {[]string{"x-key", "1"}, codes.OK}, {[]string{"x-key", "1", "x-key", "2"}, codes.InvalidArgument}, {[]string{"idempotency-key", "1"}, codes.InvalidArgument}} {
-		ctx, cancel := context.WithTimeout(metadata.NewOutgoingContext(context.Background(), metadata.Pairs(c.pairs...)), patience)
+		ctx, cancel := context.WithTimeout(metadata.NewOutgoingContext(context.Background(), metadata.Pairs(c.pairs...)), callTimeout)
 		if err := cc.Invoke(ctx, "/add.S/M", &in, &out); status.Code(err) != c.code {
 			t.Errorf("%v: %v", c.pairs, err)
 		}
@@ -848,7 +848,7 @@
 			}
 		})
 		all.Go(func() {
-			ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), "x-call", fmt.Sprint("g", n), "idempotency-key", fmt.Sprint("g", n)), patience)
+			ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), "x-call", fmt.Sprint("g", n), "idempotency-key", fmt.Sprint("g", n)), callTimeout)
 			defer cancel()
 			in, out := []byte("x"), []byte(nil)
 			switch err := cc.Invoke(ctx, "/"+class+".S/M", &in, &out); status.Code(err) {
@@ -944,7 +944,7 @@
 				if took > 2*time.Second { // one second, and the time until writing into a full buffer fails
 					t.Errorf("the abusive connection was closed after %v, want at most 2s", took)
 				}
-			case <-time.After(patience):
+			case <-time.After(callTimeout):
 				t.Error("the abusive connection is still open")
 			}
 			slices.Sort(times)
@@ -977,14 +977,14 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	if all, err := peer.ReadUntil(patience, func(f fakeserver.Frame) bool { return f.Type == http2.FrameSettings && !f.Ack }); err != nil || all[len(all)-1].Values[http2.SettingMaxConcurrentStreams] != 7 {
+	if all, err := peer.ReadUntil(callTimeout, func(f fakeserver.Frame) bool { return f.Type == http2.FrameSettings && !f.Ack }); err != nil || all[len(all)-1].Values[http2.SettingMaxConcurrentStreams] != 7 {
 		t.Error(all, err)
 	}
 	gone := parse(t, inText, poolText("h", "", list...), routeText("r", "/", "h", "read", ""))
 	if _, err := i.Reload(gone); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); ; { // calls are still served until the connection is closed
+	for end := time.Now().Add(callTimeout); ; { // calls are still served until the connection is closed
 		text, err := unary(cc, "/read.S/M", "x")
 		if status.Code(err) == codes.Unavailable {
 			break
--- a/internal/sidecar/grpcrequest.go
+++ b/internal/sidecar/grpcrequest.go
@@ -54,7 +54,7 @@
 	return true
 }
 
-func (r *grpcRequest) isSpent() bool {
+func (r *grpcRequest) isNotRepeatable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.claimed
--- a/internal/sidecar/httprequest.go
+++ b/internal/sidecar/httprequest.go
@@ -150,8 +150,8 @@
 	return time.Since(sent)
 }
 
-// isSpent reports whether the request cannot be sent again.
-func (r *httpRequest) isSpent() bool { return r.upload != nil && r.upload.isClaimed() }
+// isNotRepeatable reports whether the request cannot be sent again.
+func (r *httpRequest) isNotRepeatable() bool { return r.upload != nil && r.upload.isClaimed() }
 
 // isUnbounded returns false, as the start of a response over HTTP/1.1 depends on the server only.
 func (r *httpRequest) isUnbounded() bool { return false }
--- a/internal/sidecar/instance_test.go
+++ b/internal/sidecar/instance_test.go
@@ -93,7 +93,7 @@
 func run(t testing.TB, cfg *operator.Config) (i *Instance, stop func()) {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	i, end := launch(t, cfg)
+	i, end := runWithoutLeakCheck(t, cfg)
 	stop = sync.OnceFunc(func() {
 		end()
 		if err := goleak.Find(before, goleak.IgnoreAnyFunction("milletmast/internal/fakeserver.(*Server).serve"),
@@ -107,8 +107,8 @@
 	return i, stop
 }
 
-// launch starts an instance without the check for goroutines, for tests that run several instances at a time.
-func launch(t testing.TB, cfg *operator.Config) (i *Instance, stop func()) {
+// runWithoutLeakCheck starts an instance without the check for goroutines, for tests that run several instances at a time.
+func runWithoutLeakCheck(t testing.TB, cfg *operator.Config) (i *Instance, stop func()) {
 	t.Helper()
 	i, err := NewInstance(cfg, nil)
 	if err != nil {
@@ -159,7 +159,7 @@
 
 // ask sends a request as given and reads the complete response.
 func (p *peer) ask(method, text string) (*http.Response, string, error) {
-	_ = p.SetDeadline(time.Now().Add(long))
+	_ = p.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(p, text); err != nil {
 		return nil, "", err
 	}
@@ -191,7 +191,7 @@
 // until waits for a condition.
 func until(t testing.TB, what string, f func() bool) {
 	t.Helper()
-	for end := time.Now().Add(long); !f(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("timed out waiting until ", what)
 		}
@@ -373,7 +373,7 @@
 	// Bodies that are too long, with and without an announced length.
 	connect(t, in).must(t, "POST", "POST /pay HTTP/1.1\r\nHost: h\r\nContent-Length: 5000000\r\n\r\n", 413)
 	endless := connect(t, in)
-	_ = endless.SetDeadline(time.Now().Add(long))
+	_ = endless.SetDeadline(time.Now().Add(testTimeout))
 	go func() {
 		_, _ = io.WriteString(endless, "POST /pay HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for range 500 {
@@ -622,7 +622,7 @@
 	peers := make([]*peer, open)
 	for n := range peers {
 		peers[n] = connect(t, in)
-		_ = peers[n].SetDeadline(time.Now().Add(long))
+		_ = peers[n].SetDeadline(time.Now().Add(testTimeout))
 		_, _ = io.WriteString(peers[n], "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
 		until(t, "the request is open", func() bool { return i.Status().Pools[0].Open == n+1 })
 	}
@@ -726,7 +726,7 @@
 	a, b := poolText("a", "", s[0], s[1]), poolText("b", "", s[2])
 	i, _ := run(t, parse(t, inText, a, b, routeText("r", "/", "a", "pay", "")))
 	c := connect(t, i.Addresses()["in"])
-	_ = c.SetDeadline(time.Now().Add(long))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	_, _ = io.WriteString(c, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
 	<-held
 	if _, err := i.Reload(parse(t, inText, b, routeText("r", "/", "b", "pay", ""))); err != nil {
@@ -826,7 +826,7 @@
 	i, stop := run(t, parse(t, inText, poolText("p", "", s[0]), routeText("r", "/", "p", "pay", ""), routeText("s", "/s", "p", "read", ""),
 		"\n[limits]\ndrain = \"300ms\"\n"))
 	stream := connect(t, i.Addresses()["in"])
-	_ = stream.SetDeadline(time.Now().Add(long))
+	_ = stream.SetDeadline(time.Now().Add(testTimeout))
 	_, _ = io.WriteString(stream, "GET /s?bytes=50000000 HTTP/1.1\r\nHost: h\r\n\r\n")
 	begun, err := http.ReadResponse(stream.reader, nil)
 	if err != nil || begun.StatusCode != 200 {
@@ -834,7 +834,7 @@
 	}
 	s[0].SetFault(fakeserver.NoResponse)
 	c := connect(t, i.Addresses()["in"])
-	_ = c.SetDeadline(time.Now().Add(long))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	_, _ = io.WriteString(c, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nX-Deadline: 60\r\n\r\n")
 	until(t, "the request has reached the server", func() bool { n, _, _, _ := s[0].Counts(); return n == 2 })
 	ended := make(chan struct{})
--- a/internal/sidecar/mux_test.go
+++ b/internal/sidecar/mux_test.go
@@ -22,14 +22,14 @@
 		u := newUpstream(balancer.Limits{ConnIdleTimeout: 100}, 500, 64)
 		u.muxes = muxConfig{maxStreams: c.streams}
 		u.setEndpoint(1, s.ln.Addr().String(), 0, balancer.Ready)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		var mu sync.Mutex
 		var open []*h2.Stream
 		var conns []*conn
 		var all sync.WaitGroup
 		for range 30 {
 			all.Go(func() {
-				st, streamConn, err := u.openStream(ctx, u.endpointOf(1), time.Now().Add(patience), &streamRequest{header: []h2.Field{
+				st, streamConn, err := u.openStream(ctx, u.endpointOf(1), time.Now().Add(callTimeout), &streamRequest{header: []h2.Field{
 					{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/a.B/C"},
 				}, end: true, claim: func() bool { return true }})
 				if c.allowed == 0 {
@@ -59,7 +59,7 @@
 			st.Reset(http2.ErrCodeCancel)
 			u.streamEnded(conns[n])
 		}
-		for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(callTimeout); ; time.Sleep(time.Millisecond) {
 			u.mu.Lock()
 			left := u.openConns
 			u.mu.Unlock()
@@ -79,15 +79,15 @@
 // and that a connection to a removed server opens no new streams but completes those that are open.
 func TestIdleMuxMakesRoom(t *testing.T) {
 	a := newScript(t, true, func(p *fakeserver.FrameConn, id uint32, n int) {})
-	b := newScript(t, true, a.play)
+	b := newScript(t, true, a.onCall)
 	u := newUpstream(balancer.Limits{}, 500, 1)
 	u.muxes = muxConfig{maxStreams: 10}
 	u.setEndpoint(1, a.ln.Addr().String(), 0, balancer.Ready)
 	u.setEndpoint(2, b.ln.Addr().String(), 0, balancer.Ready)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	open := func(server uint32) (*h2.Stream, *conn, error) {
-		return u.openStream(ctx, u.endpointOf(server), time.Now().Add(patience), &streamRequest{header: []h2.Field{
+		return u.openStream(ctx, u.endpointOf(server), time.Now().Add(callTimeout), &streamRequest{header: []h2.Field{
 			{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/a.B/C"},
 		}, end: true, claim: func() bool { return true }})
 	}
--- a/internal/sidecar/overrides_test.go
+++ b/internal/sidecar/overrides_test.go
@@ -23,7 +23,7 @@
 // eventually waits until a condition holds, and fails the test if it does not.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(long); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting until %s", what)
 		}
@@ -33,7 +33,7 @@
 // echoEndpoint starts an endpoint that echoes its requests, and returns its address and the number of requests that it got.
 func echoEndpoint(t *testing.T) (string, *atomic.Int64) {
 	n := &atomic.Int64{}
-	ln := script(t, func(i int, c net.Conn, r *http.Request) bool {
+	ln := scriptedServer(t, func(i int, c net.Conn, r *http.Request) bool {
 		n.Add(1)
 		return echo(i, c, r)
 	})
@@ -47,7 +47,7 @@
 	for i := range n {
 		c.id = fmt.Sprint("r", i)
 		c.send("GET", "read", "")
-		if res, _ := c.answer(t); res.StatusCode != 200 {
+		if res, _ := c.readResponse(t); res.StatusCode != 200 {
 			t.Fatalf("request %d: status %d", i, res.StatusCode)
 		}
 	}
@@ -140,7 +140,7 @@
 // The counters agree with the responses that clients got and the requests that endpoints got.
 func TestStatsMatchResponses(t *testing.T) {
 	var attempts atomic.Int64
-	ln := script(t, func(i int, c net.Conn, r *http.Request) bool {
+	ln := scriptedServer(t, func(i int, c net.Conn, r *http.Request) bool {
 		if attempts.Add(1)%3 == 0 && r.Method == "POST" {
 			fmt.Fprint(c, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")
 			return true
@@ -158,7 +158,7 @@
 		}
 		c.id = fmt.Sprint(i)
 		c.send(method, class, "")
-		res, _ := c.answer(t)
+		res, _ := c.readResponse(t)
 		statuses[class][res.StatusCode]++
 	}
 	if statuses["pay"][502] == 0 || statuses["read"][200] != 30 {
--- a/internal/sidecar/replay_test.go
+++ b/internal/sidecar/replay_test.go
@@ -273,7 +273,7 @@
 		if err != nil {
 			t.Fatalf("the imported configuration is invalid: %v\n%s\nfrom\n%s", err, out, text)
 		}
-		i, stop := launch(t, cfg)
+		i, stop := runWithoutLeakCheck(t, cfg)
 		c := connect(t, i.Addresses()["listen-8080"])
 		for range 14 {
 			path := "/"
@@ -354,7 +354,7 @@
 	if err != nil {
 		t.Fatalf("the imported configuration is invalid: %v\n%s", err, out)
 	}
-	i, _ := launch(t, cfg)
+	i, _ := runWithoutLeakCheck(t, cfg)
 	c := connect(t, i.Addresses()["listen-8080"])
 	for _, k := range []struct {
 		method, path string
--- a/internal/sidecar/roundtrip.go
+++ b/internal/sidecar/roundtrip.go
@@ -18,16 +18,16 @@
 	Body          []byte
 	OmitLength    bool   // an empty body is sent without Content-Length
 	ID            string // required in X-Attempt-Id of the response; see exchange.ResponseMatches
-	PeerIsOurs    bool   // the server is a proxy of the mesh: it responds in order and may omit the id
+	PeerIsProxy   bool   // the server is a proxy of the mesh: it responds in order and may omit the id
 	MaxReplyBytes int64  // limit of the response body
 
-	// AskTimeout is how long to wait for a 100 Continue. Until it arrives, the body is not sent and the request cannot have been
+	// ContinueTimeout is how long to wait for a 100 Continue. Until it arrives, the body is not sent and the request cannot have been
 	// executed. With 0 or an empty body, the request is sent at once.
-	AskTimeout time.Duration
+	ContinueTimeout time.Duration
 }
 
 // awaitsContinue reports whether the body is sent only after a 100 Continue.
-func (ex *Exchange) awaitsContinue() bool { return ex.AskTimeout > 0 && len(ex.Body) > 0 }
+func (ex *Exchange) awaitsContinue() bool { return ex.ContinueTimeout > 0 && len(ex.Body) > 0 }
 
 // interruptedAt is a deadline in the past, which interrupts reads and writes at once.
 var interruptedAt = time.Unix(1, 0)
@@ -37,7 +37,7 @@
 func (u *upstream) roundTrip(a *attempt, e *endpoint, ex *Exchange, deadline time.Time) (exchange.Outcome, *Reply) {
 	defer a.cancel()
 	c, err := u.connect(a.ctx, e, deadline)
-	for err == nil && !ex.PeerIsOurs && c.hasCarried(ex.ID) {
+	for err == nil && !ex.PeerIsProxy && c.hasCarried(ex.ID) {
 		u.discard(c)
 		c, err = u.connect(a.ctx, e, deadline)
 	}
@@ -77,7 +77,7 @@
 			return nil
 		}
 		c.apply(exchange.ContinueRequested)
-		if continueBy := time.Now().Add(ex.AskTimeout); continueBy.Before(deadline) {
+		if continueBy := time.Now().Add(ex.ContinueTimeout); continueBy.Before(deadline) {
 			c.setReadDeadline(a, continueBy)
 		}
 	} else if err := writeHeadAndBody(c, head, ex.Body); err == nil {
@@ -170,7 +170,7 @@
 	if err != nil || status < http.StatusOK {
 		return &Reply{Status: status}, err
 	}
-	isOwn := exchange.ResponseMatches(ex.ID, m.header["X-Attempt-Id"], ex.PeerIsOurs)
+	isOwn := exchange.ResponseMatches(ex.ID, m.header["X-Attempt-Id"], ex.PeerIsProxy)
 	if c.exchange.State == exchange.AwaitingContinue {
 		c.setReadDeadline(a, deadline)
 	}
--- a/internal/sidecar/routing.go
+++ b/internal/sidecar/routing.go
@@ -21,9 +21,9 @@
 	pools      map[string]*pool
 	maxBody    int64 // limit of the body of a request or of a gRPC message, in bytes
 
-	callTrees      *callTrees // nil if calls carry no context
-	trustsContexts bool       // the contexts of incoming calls are used
-	maxWorth       float64    // largest priority weight that an incoming context may set
+	callTrees         *callTrees // nil if calls carry no context
+	trustsContexts    bool       // the contexts of incoming calls are used
+	maxPriorityWeight float64    // largest priority weight that an incoming context may set
 }
 
 // route creates a call from the head of a request, by the first matching route or else by the sites.
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -24,7 +24,7 @@
 	Class            uint16
 	Deadline         time.Time // of the final response
 	MaxAttempts      int       // 0 for the limit of the settings
-	Worth            float64   // priority weight; 0 for that of the class
+	PriorityWeight   float64   // priority weight; 0 for that of the class
 	PreferredServers []string  // names of the servers to try first, in this order
 
 	// Attempt makes one attempt. It runs in a goroutine of its own; attempts of a request do not overlap.
@@ -76,7 +76,7 @@
 
 func (p *forwardedRequest) duration(sent time.Time) time.Duration { return time.Since(sent) }
 
-func (p *forwardedRequest) isSpent() bool { return p.final }
+func (p *forwardedRequest) isNotRepeatable() bool { return p.final }
 
 func (p *forwardedRequest) isUnbounded() bool { return false }
 
@@ -144,7 +144,7 @@
 	c.http.fromListener = true
 	now := time.Now()
 	c.timeout = inMillis(request.Deadline.Sub(now))
-	c.event = balancer.Event{Class: request.Class, MaxAttempts: request.MaxAttempts, PriorityWeight: request.Worth}
+	c.event = balancer.Event{Class: request.Class, MaxAttempts: request.MaxAttempts, PriorityWeight: request.PriorityWeight}
 	c.setDue(s.loop.toMillis(now))
 	s.loop.post(func() {
 		for _, name := range request.PreferredServers {
@@ -175,8 +175,8 @@
 	return learned
 }
 
-// AnswerAll sends a final response to every open request at once. Requests that were not executed and never will be are rejected.
-func (s *Service) AnswerAll() { s.loop.do(s.loop.answerAll) }
+// RespondToAll sends a final response to every open request at once. Requests that were not executed and never will be are rejected.
+func (s *Service) RespondToAll() { s.loop.do(s.loop.answerAll) }
 
 // Shutdown ends the service once it has no open requests, at the deadline, or when ctx ends. Requests that are still open get a
 // final response. It returns once all goroutines of the service have ended.
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -82,10 +82,10 @@
 	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", text, len(body), body) // an error shows when the response is read
 }
 
-// answer reads one response with its body.
-func (c *client) answer(t *testing.T) (*http.Response, string) {
+// readResponse reads one response with its body.
+func (c *client) readResponse(t *testing.T) (*http.Response, string) {
 	t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	res, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -105,16 +105,16 @@
 }
 
 func TestServes(t *testing.T) {
-	s := start(t, config(t, script(t, echo).Addr().String()))
+	s := start(t, config(t, scriptedServer(t, echo).Addr().String()))
 	c := dial(t, s)
 	for range 3 { // on one keep-alive connection
 		c.send("GET", "read", "", "X-Deadline: 2.000")
-		if res, body := c.answer(t); res.StatusCode != 200 || body != "GET /read/x?a=%2F id " {
+		if res, body := c.readResponse(t); res.StatusCode != 200 || body != "GET /read/x?a=%2F id " {
 			t.Fatalf("GET: status %d, body %q", res.StatusCode, body)
 		}
 	}
 	c.send("POST", "add", "box", "X-Deadline: 2.000", "Idempotency-Key: k1")
-	if res, body := c.answer(t); res.StatusCode != 200 || body != "POST /add/x?a=%2F id k1" {
+	if res, body := c.readResponse(t); res.StatusCode != 200 || body != "POST /add/x?a=%2F id k1" {
 		t.Errorf("POST: status %d, body %q", res.StatusCode, body)
 	}
 }
@@ -122,7 +122,7 @@
 // Malformed requests get a 4xx and are not forwarded.
 func TestMalformedRequestsAreNotForwarded(t *testing.T) {
 	requests := make(chan struct{}, 100)
-	s := start(t, config(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
+	s := start(t, config(t, scriptedServer(t, func(n int, c net.Conn, r *http.Request) bool {
 		requests <- struct{}{}
 		return echo(n, c, r)
 	}).Addr().String()))
@@ -146,13 +146,13 @@
 	} {
 		caller := dial(t, s)
 		caller.send(c.method, c.class, c.body, c.headers...)
-		if res, _ := caller.answer(t); res.StatusCode != c.want {
+		if res, _ := caller.readResponse(t); res.StatusCode != c.want {
 			t.Errorf("%s: status %d, want %d", c.name, res.StatusCode, c.want)
 		}
 	}
 	caller := dial(t, s)
 	fmt.Fprintf(caller, "POST /pay/x HTTP/1.1\r\nHost: h\r\nX-Class: pay\r\nX-Request-Id: i\r\nContent-Length: %d\r\n\r\n", maxPlatformBody+1)
-	if res, _ := caller.answer(t); res.StatusCode != 413 {
+	if res, _ := caller.readResponse(t); res.StatusCode != 413 {
 		t.Errorf("long body: status %d, want 413", res.StatusCode)
 	}
 	if n := len(requests); n != 1 {
@@ -190,25 +190,25 @@
 func TestUnsafeIsSentOnce(t *testing.T) {
 	requests := make(chan struct{}, 10)
 	broken := func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false }
-	s := start(t, config(t, script(t, broken).Addr().String(), script(t, broken).Addr().String()))
+	s := start(t, config(t, scriptedServer(t, broken).Addr().String(), scriptedServer(t, broken).Addr().String()))
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
-	if res, _ := c.answer(t); res.StatusCode != statusFailed || len(requests) != 1 {
+	if res, _ := c.readResponse(t); res.StatusCode != statusFailed || len(requests) != 1 {
 		t.Errorf("status %d after %d attempts, want a failure after one", res.StatusCode, len(requests))
 	}
 }
 
 // A request that an endpoint rejected without executing it is retried at another endpoint, even if it is unsafe.
 func TestNotExecutedIsRetriedElsewhere(t *testing.T) {
-	full := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	full := scriptedServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	s := start(t, config(t, full.Addr().String(), script(t, echo).Addr().String()))
+	s := start(t, config(t, full.Addr().String(), scriptedServer(t, echo).Addr().String()))
 	c := dial(t, s)
 	for range 4 {
 		c.send("POST", "pay", "1")
-		if res, _ := c.answer(t); res.StatusCode != 200 {
+		if res, _ := c.readResponse(t); res.StatusCode != 200 {
 			t.Errorf("status %d, want 200", res.StatusCode)
 		}
 	}
@@ -220,10 +220,10 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	s := start(t, config(t, script(t, full).Addr().String()))
+	s := start(t, config(t, scriptedServer(t, full).Addr().String()))
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
-	res, _ := c.answer(t)
+	res, _ := c.readResponse(t)
 	after, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
 	if res.StatusCode != statusRefused || err != nil || after <= 0 {
 		t.Errorf("status %d, Retry-After %q, want a rejection with a positive number", res.StatusCode, res.Header.Get("Retry-After"))
@@ -233,7 +233,7 @@
 // When a client disconnects, its attempt is canceled, so that the endpoint does not work in vain, and its call is removed.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	received, left := make(chan struct{}), make(chan struct{})
-	s := start(t, config(t, script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	s := start(t, config(t, scriptedServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		close(received)
 		_, _ = c.Read(make([]byte, 1))
 		close(left)
@@ -245,7 +245,7 @@
 	c.Close()
 	select {
 	case <-left:
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		t.Fatal("the attempt is still open")
 	}
 	for calls := 1; calls != 0; { // until the call has been removed
@@ -257,10 +257,10 @@
 func TestSilentEndpoint(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	s := start(t, config(t, script(t, func(int, net.Conn, *http.Request) bool { <-release; return false }).Addr().String()))
+	s := start(t, config(t, scriptedServer(t, func(int, net.Conn, *http.Request) bool { <-release; return false }).Addr().String()))
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
-	if res, _ := c.answer(t); res.StatusCode != statusFailed {
+	if res, _ := c.readResponse(t); res.StatusCode != statusFailed {
 		t.Errorf("status %d, want a failure", res.StatusCode)
 	}
 }
@@ -310,7 +310,7 @@
 // requests are completed, and only then does Run return.
 func TestDrain(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
-	s, err := New(config(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
+	s, err := New(config(t, scriptedServer(t, func(n int, c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Hold") != "" {
 			close(received)
 			<-release
@@ -335,13 +335,13 @@
 	late.id = "late"
 	for range 2 { // on a keep-alive connection, as its client may have no other sidecar in the meantime
 		late.send("GET", "read", "")
-		if res, _ := late.answer(t); res.StatusCode != 200 || res.Close {
+		if res, _ := late.readResponse(t); res.StatusCode != 200 || res.Close {
 			t.Errorf("status %d, close %v: a client that connects late must be served", res.StatusCode, res.Close)
 		}
 	}
-	late.ends(t)
+	late.readToEnd(t)
 	close(release)
-	if res, _ := slow.answer(t); res.StatusCode != 200 {
+	if res, _ := slow.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d for a request that was accepted before SIGTERM", res.StatusCode)
 	}
 	if err := <-ended; err != nil {
@@ -353,7 +353,7 @@
 func TestDrainRespondsBeforeKill(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
-	cfg := config(t, script(t, func(int, net.Conn, *http.Request) bool { close(received); <-release; return false }).Addr().String())
+	cfg := config(t, scriptedServer(t, func(int, net.Conn, *http.Request) bool { close(received); <-release; return false }).Addr().String())
 	cfg.Site.Settings.Classes[1].Timeout = 60000 // so that the request does not end by its own timeout
 	s, err := New(cfg)
 	if err != nil {
@@ -367,7 +367,7 @@
 	<-received
 	ended := make(chan struct{})
 	go func() { s.frontend.drain(s.listener, acceptTime); close(ended) }()
-	if res, _ := c.answer(t); res.StatusCode != statusFailed {
+	if res, _ := c.readResponse(t); res.StatusCode != statusFailed {
 		t.Errorf("status %d, want a failure", res.StatusCode)
 	}
 	<-ended
@@ -375,7 +375,7 @@
 
 // At the connection limit, idle client connections are closed so that new clients are served.
 func TestIdleClientsMakeRoom(t *testing.T) {
-	cfg := config(t, script(t, echo).Addr().String())
+	cfg := config(t, scriptedServer(t, echo).Addr().String())
 	cfg.Sockets = MinSockets
 	s, err := New(cfg)
 	if err != nil {
@@ -390,7 +390,7 @@
 	}
 	c := dial(t, s)
 	c.send("GET", "read", "")
-	if res, _ := c.answer(t); res.StatusCode != 200 {
+	if res, _ := c.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
@@ -400,12 +400,12 @@
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
-	s := start(t, config(t, script(t, func(int, net.Conn, *http.Request) bool { close(received); <-release; return false }).Addr().String()))
+	s := start(t, config(t, scriptedServer(t, func(int, net.Conn, *http.Request) bool { close(received); <-release; return false }).Addr().String()))
 	c := dial(t, s)
 	c.send("GET", "read", "")
 	<-received
 	_ = c.Conn.(*net.TCPConn).CloseWrite()
-	_ = c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	if text, err := io.ReadAll(c); len(text) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("response %q, error %v, want a closed connection", text, err)
 	}
@@ -415,7 +415,7 @@
 // returns.
 func discover(t *testing.T, f func(since string, send func(List), heartbeat func())) string {
 	t.Helper()
-	return script(t, func(_ int, c net.Conn, r *http.Request) bool {
+	return scriptedServer(t, func(_ int, c net.Conn, r *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		chunk := func(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 		f(r.URL.Query().Get("since"), func(l List) {
@@ -433,7 +433,7 @@
 func TestWatch(t *testing.T) {
 	next, done := make(chan string), make(chan struct{})
 	defer close(done)
-	addr := script(t, echo).Addr().String()
+	addr := scriptedServer(t, echo).Addr().String()
 	cfg := config(t)
 	cfg.InitialList.Rev = 7
 	cfg.Discovery = discover(t, func(since string, send func(List), heartbeat func()) {
@@ -450,7 +450,7 @@
 	s := start(t, cfg)
 	usable := func(want int) {
 		t.Helper()
-		for got, end := -1, time.Now().Add(long); got != want; {
+		for got, end := -1, time.Now().Add(testTimeout); got != want; {
 			if s.loop.do(func() { got = s.loop.usable }); time.Now().After(end) {
 				t.Fatalf("%d servers usable, want %d", got, want)
 			}
@@ -463,13 +463,13 @@
 	}
 	c := dial(t, s)
 	c.send("GET", "read", "")
-	if res, _ := c.answer(t); res.StatusCode != 200 {
+	if res, _ := c.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
 	next <- "Terminating"
 	usable(0)
 	c.send("GET", "read", "", "X-Deadline: 0.200")
-	if res, _ := c.answer(t); res.StatusCode != statusRefused {
+	if res, _ := c.readResponse(t); res.StatusCode != statusRefused {
 		t.Errorf("status %d with every endpoint draining, want a rejection", res.StatusCode)
 	}
 	next <- "Gone"
@@ -494,14 +494,14 @@
 	}
 	cfg := config(t)
 	for i := range 4 {
-		addr := script(t, hold).Addr().String()
+		addr := scriptedServer(t, hold).Addr().String()
 		cfg.InitialList.Targets = append(cfg.InitialList.Targets, Target{UID: fmt.Sprint("s-", i), Endpoint: addr, Zone: "z", State: "Ready"})
 	}
 	cfg.Discovery = discover(t, func(_ string, send func(List), _ func()) {
 		for i, old := range cfg.InitialList.Targets {
 			old.State = "Terminating"
 			send(List{Rev: int64(2*i + 1), Targets: []Target{old}})
-			addr := script(t, hold).Addr().String()
+			addr := scriptedServer(t, hold).Addr().String()
 			send(List{Rev: int64(2*i + 2), Targets: []Target{{UID: fmt.Sprint("n-", i), Endpoint: addr, Zone: "z", State: "Ready"}}})
 		}
 		<-done
@@ -518,7 +518,7 @@
 		clients[i].send("GET", "read", "")
 	}
 	for _, c := range clients {
-		if res, _ := c.answer(t); res.StatusCode != 200 {
+		if res, _ := c.readResponse(t); res.StatusCode != 200 {
 			t.Fatalf("status %d with %d requests held by endpoints, want %d", res.StatusCode, held.Load(), most)
 		}
 	}
@@ -540,9 +540,9 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	cfg := config(t, script(t, hold).Addr().String(), script(t, hold).Addr().String(), script(t, hold).Addr().String(),
-		script(t, fail).Addr().String())
-	cfg.Site.Settings.Classes[0].Timeout = 2 * float64(long.Milliseconds()) // so that the held requests do not time out
+	cfg := config(t, scriptedServer(t, hold).Addr().String(), scriptedServer(t, hold).Addr().String(), scriptedServer(t, hold).Addr().String(),
+		scriptedServer(t, fail).Addr().String())
+	cfg.Site.Settings.Classes[0].Timeout = 2 * float64(testTimeout.Milliseconds()) // so that the held requests do not time out
 	s := start(t, cfg)
 	defer close(done)
 	var rejected atomic.Int32
@@ -558,7 +558,7 @@
 	}
 	waitSettled := func(n int) {
 		t.Helper()
-		for end := time.Now().Add(long); int(held.Load()+rejected.Load()) < n; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); int(held.Load()+rejected.Load()) < n; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("%d held and %d rejected of %d", held.Load(), rejected.Load(), n)
 			}
@@ -621,8 +621,8 @@
 	revisions, oldEnded := make(chan int64, 10), make(chan struct{})
 	var failures atomic.Int32
 	next := make(chan int64)
-	d := &discovery{watchTimeout: long, rev: 1, onList: func(l List) { revisions <- l.Rev }, onFailure: func() { failures.Add(1) }}
-	old := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	d := &discovery{watchTimeout: testTimeout, rev: 1, onList: func(l List) { revisions <- l.Rev }, onFailure: func() { failures.Add(1) }}
+	old := scriptedServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 		go func() {
 			for rev := range next {
@@ -674,7 +674,7 @@
 // If the list is polled, the decision module decides when to poll again, so each failure must be reported to it.
 func TestFailedPollIsReported(t *testing.T) {
 	failed := make(chan struct{}, 1)
-	d := &discovery{watchTimeout: long, onList: func(List) { t.Error("a list was reported") }, onFailure: func() { failed <- struct{}{} }}
+	d := &discovery{watchTimeout: testTimeout, onList: func(List) { t.Error("a list was reported") }, onFailure: func() { failed <- struct{}{} }}
 	for name, text := range map[string]string{
 		"rejected":    "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 		"reset":       "",
@@ -682,7 +682,7 @@
 		"bad state":   "HTTP/1.1 200 OK\r\n\r\n" + `{"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"Odd"}]}` + "\n",
 		"bad address": "HTTP/1.1 200 OK\r\n\r\n" + `{"targets":[{"uid":"a","endpoint":"nowhere","state":"Ready"}]}` + "\n",
 	} {
-		d.addr = script(t, func(_ int, c net.Conn, _ *http.Request) bool { _, _ = io.WriteString(c, text); return false }).Addr().String()
+		d.addr = scriptedServer(t, func(_ int, c net.Conn, _ *http.Request) bool { _, _ = io.WriteString(c, text); return false }).Addr().String()
 		d.watchOnce(t.Context())
 		select {
 		case <-failed:
--- a/internal/sidecar/siterouting.go
+++ b/internal/sidecar/siterouting.go
@@ -14,7 +14,7 @@
 // because sites match them too.
 func siteRequest(req *route.Request, t requestTarget, caller, scheme string) (*vhost.Request, string) {
 	raw, _, _ := strings.Cut(t.uri, "?")
-	path, err := route.NormalizeWhole(raw)
+	path, err := route.NormalizeWithParameters(raw)
 	if err != nil {
 		return nil, err.Error()
 	}
--- a/internal/sidecar/siterouting_test.go
+++ b/internal/sidecar/siterouting_test.go
@@ -43,7 +43,7 @@
 // precedence over sites.
 func TestSitesOverSockets(t *testing.T) {
 	s := servers(t, "a")[0]
-	i, _ := launch(t, parse(t, inText, poolText("p", "", s), routeText("routed", "/kept/routed", "p", "read", ""), siteText))
+	i, _ := runWithoutLeakCheck(t, parse(t, inText, poolText("p", "", s), routeText("routed", "/kept/routed", "p", "read", ""), siteText))
 	c := connect(t, i.Addresses()["in"])
 	const head = "Host: shop.example:80\r\nCookie: a=b\r\n"
 	c.must(t, "GET", "GET /kept/a%20b;v=1?q=%20 HTTP/1.1\r\n"+head+"\r\n", 200)
@@ -76,7 +76,7 @@
 		server.SetWork(5 * time.Millisecond) // an attempt is canceled after six times the mean latency, which with tiny latencies happens by chance
 	}
 	text := poolText("p", "", s...) + "backup = true\n"
-	i, _ := launch(t, parse(t, inText, text, routeText("r", "/", "p", "read", "")))
+	i, _ := runWithoutLeakCheck(t, parse(t, inText, text, routeText("r", "/", "p", "read", "")))
 	c := connect(t, i.Addresses()["in"])
 	backupRequests := func(n int) (count int) { // of n requests that are sent
 		before, _, _, _ := s[2].Counts()
--- a/internal/sidecar/subset_test.go
+++ b/internal/sidecar/subset_test.go
@@ -75,7 +75,7 @@
 	parts := 0
 	for rank := range 5 {
 		before := requestCounts(s)
-		i, _ := launch(t, parse(t, inText, poolText("p", fmt.Sprintf("copies = 5\nrank = %d\nsubset = 4\nsubset_spare = 0", rank), s...), routeText("r", "/", "p", "read", "")))
+		i, _ := runWithoutLeakCheck(t, parse(t, inText, poolText("p", fmt.Sprintf("copies = 5\nrank = %d\nsubset = 4\nsubset_spare = 0", rank), s...), routeText("r", "/", "p", "read", "")))
 		sendConcurrently(t, i.Addresses()["in"], 120)
 		mine := 0
 		for name, n := range requestCounts(s) {
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -63,7 +63,7 @@
 					}
 					r = bufio.NewReader(c)
 				}
-				_ = c.SetDeadline(time.Now().Add(long))
+				_ = c.SetDeadline(time.Now().Add(testTimeout))
 				fmt.Fprintf(c, "GET /read/x HTTP/1.1\r\nHost: h\r\nX-Class: read\r\nX-Request-Id: %d-%d\r\n\r\n", i, n)
 				res, err := http.ReadResponse(r, nil)
 				switch {
--- a/internal/sidecar/upload.go
+++ b/internal/sidecar/upload.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// isWhole reports whether the body was forwarded to its end.
-func (up *uploadStream) isWhole() bool {
+// isForwarded reports whether the body was forwarded to its end.
+func (up *uploadStream) isForwarded() bool {
 	select {
 	case <-up.done:
 		return up.isComplete
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -13,7 +13,7 @@
 	"milletmast/balancer"
 )
 
-const long = 10 * time.Second // timeout of waits; a test that passes never reaches it
+const testTimeout = 10 * time.Second // timeout of waits; a test that passes never reaches it
 
 // listen opens a loopback listener that is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
@@ -26,9 +26,9 @@
 	return ln
 }
 
-// script starts a server that calls f for each request with the number of its connection, and closes the connection when f returns
-// false.
-func script(t *testing.T, f func(n int, c net.Conn, req *http.Request) (more bool)) net.Listener {
+// scriptedServer starts a server that calls f for each request with the number of its connection, and closes the connection when f
+// returns false.
+func scriptedServer(t *testing.T, f func(n int, c net.Conn, req *http.Request) (more bool)) net.Listener {
 	t.Helper()
 	ln := listen(t)
 	go func() {
@@ -76,8 +76,8 @@
 	return get().send(u, a, u.endpointOf(1), time.Now().Add(wait))
 }
 
-// pooled returns an upstream with the server 1 at an address.
-func pooled(addr string, maxConns int) *upstream {
+// newTestUpstream returns an upstream with the server 1 at an address.
+func newTestUpstream(addr string, maxConns int) *upstream {
 	u := newUpstream(balancer.Limits{}, 0, maxConns)
 	u.setEndpoint(1, addr, 0, balancer.Ready)
 	return u
@@ -125,11 +125,11 @@
 		{"followed by a second response", strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 2), balancer.OK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ln := script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+			ln := scriptedServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 				_, _ = io.WriteString(conn, c.response)
 				return false
 			})
-			got, a := attemptOn(pooled(ln.Addr().String(), 4), long)
+			got, a := attemptOn(newTestUpstream(ln.Addr().String(), 4), testTimeout)
 			final := c.want == balancer.OK || c.want == balancer.Canceled
 			if got != c.want || (a != nil) != final {
 				t.Fatalf("outcome %v with response %v, want outcome %v", got, a, c.want)
@@ -142,15 +142,15 @@
 	t.Run("silent", func(t *testing.T) {
 		release := make(chan struct{})
 		defer close(release)
-		ln := script(t, func(int, net.Conn, *http.Request) bool { <-release; return false })
-		if got, _ := attemptOn(pooled(ln.Addr().String(), 4), time.Second); got != balancer.Timeout {
+		ln := scriptedServer(t, func(int, net.Conn, *http.Request) bool { <-release; return false })
+		if got, _ := attemptOn(newTestUpstream(ln.Addr().String(), 4), time.Second); got != balancer.Timeout {
 			t.Errorf("outcome %v, want a timeout", got)
 		}
 	})
 	t.Run("refused", func(t *testing.T) {
 		ln := listen(t)
 		ln.Close()
-		if got, _ := attemptOn(pooled(ln.Addr().String(), 4), long); got != balancer.ConnectFailed {
+		if got, _ := attemptOn(newTestUpstream(ln.Addr().String(), 4), testTimeout); got != balancer.ConnectFailed {
 			t.Errorf("outcome %v, want a failed connect", got)
 		}
 	})
@@ -159,7 +159,7 @@
 // A request whose reused connection breaks is not retried below the decision module, as http.Transport would do.
 func TestBrokenConnectionIsNotRetried(t *testing.T) {
 	requests := make(chan int, 10)
-	ln := script(t, func(n int, c net.Conn, _ *http.Request) bool {
+	ln := scriptedServer(t, func(n int, c net.Conn, _ *http.Request) bool {
 		requests <- n
 		if len(requests) == 2 {
 			return false // the connection that served the first one breaks under the second
@@ -167,11 +167,11 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	u := pooled(ln.Addr().String(), 4)
-	if got, _ := attemptOn(u, long); got != balancer.OK {
+	u := newTestUpstream(ln.Addr().String(), 4)
+	if got, _ := attemptOn(u, testTimeout); got != balancer.OK {
 		t.Fatalf("first outcome %v, want %v", got, balancer.OK)
 	}
-	if got, _ := attemptOn(u, long); got != balancer.Reset {
+	if got, _ := attemptOn(u, testTimeout); got != balancer.Reset {
 		t.Errorf("second outcome %v, want a reset", got)
 	}
 	if a, b := <-requests, <-requests; a != 0 || b != 0 || len(requests) != 0 {
@@ -182,7 +182,7 @@
 // An endpoint may close an idle connection at any time. It must not be used, because a request written to it would count as a reset.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	kept, closed := make(chan struct{}), make(chan struct{})
-	ln := script(t, func(n int, c net.Conn, _ *http.Request) bool {
+	ln := scriptedServer(t, func(n int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		if n == 0 {
 			<-kept
@@ -191,8 +191,8 @@
 		}
 		return n > 0
 	})
-	u := pooled(ln.Addr().String(), 4)
-	attemptOn(u, long)
+	u := newTestUpstream(ln.Addr().String(), 4)
+	attemptOn(u, testTimeout)
 	close(kept)
 	<-closed
 	idle := u.endpointOf(1).idle
@@ -202,7 +202,7 @@
 	for isOpen(idle[0].Conn) { // until the FIN has arrived over the loopback
 		time.Sleep(time.Millisecond)
 	}
-	if got, _ := attemptOn(u, long); got != balancer.OK {
+	if got, _ := attemptOn(u, testTimeout); got != balancer.OK {
 		t.Errorf("outcome %v, want the request served on a new connection", got)
 	}
 	if u.openConns != 1 {
@@ -213,15 +213,15 @@
 // A canceled attempt belongs to a request that has its final response, so nothing may be written for it.
 func TestCanceledBeforeWriting(t *testing.T) {
 	requests := make(chan struct{}, 1)
-	ln := script(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
-	u := pooled(ln.Addr().String(), 4)
-	c, err := u.connect(t.Context(), u.endpointOf(1), time.Now().Add(long))
+	ln := scriptedServer(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
+	u := newTestUpstream(ln.Addr().String(), 4)
+	c, err := u.connect(t.Context(), u.endpointOf(1), time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
 	a := newAttempt(time.Time{})
 	a.abort()
-	if got, _, _ := u.sendHTTP1(a, c, get(), time.Now().Add(long)); got != balancer.Canceled {
+	if got, _, _ := u.sendHTTP1(a, c, get(), time.Now().Add(testTimeout)); got != balancer.Canceled {
 		t.Errorf("outcome %v, want %v", got, balancer.Canceled)
 	}
 	c.Close()
@@ -233,21 +233,21 @@
 // Canceling an attempt closes its connection, by which the endpoint notices the cancellation.
 func TestCanceledWhileWaiting(t *testing.T) {
 	received, left := make(chan struct{}), make(chan struct{})
-	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	ln := scriptedServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		close(received)
 		_, _ = c.Read(make([]byte, 1))
 		close(left)
 		return false
 	})
-	u := pooled(ln.Addr().String(), 4)
+	u := newTestUpstream(ln.Addr().String(), 4)
 	a := newAttempt(time.Time{})
 	go func() { <-received; a.abort() }()
-	if got, _ := get().send(u, a, u.endpointOf(1), time.Now().Add(long)); got != balancer.Canceled {
+	if got, _ := get().send(u, a, u.endpointOf(1), time.Now().Add(testTimeout)); got != balancer.Canceled {
 		t.Errorf("outcome %v, want %v", got, balancer.Canceled)
 	}
 	select {
 	case <-left:
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		t.Error("the connection stayed open")
 	}
 }
@@ -256,10 +256,10 @@
 // grace. An attempt that is too late is not sent, and counts as not executed.
 func TestLateAttemptIsNotSent(t *testing.T) {
 	requests := make(chan struct{}, 1)
-	ln := script(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
-	u := pooled(ln.Addr().String(), 4)
+	ln := scriptedServer(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
+	u := newTestUpstream(ln.Addr().String(), 4)
 	a := newAttempt(time.Now().Add(-time.Millisecond))
-	if got, _ := get().send(u, a, u.endpointOf(1), time.Now().Add(long)); got != balancer.ConnectFailed {
+	if got, _ := get().send(u, a, u.endpointOf(1), time.Now().Add(testTimeout)); got != balancer.ConnectFailed {
 		t.Errorf("outcome %v, want %v", got, balancer.ConnectFailed)
 	}
 	if len(u.endpointOf(1).idle) != 1 {
@@ -281,10 +281,10 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	first, second := script(t, serve), script(t, serve)
-	u := pooled(first.Addr().String(), 1)
+	first, second := scriptedServer(t, serve), scriptedServer(t, serve)
+	u := newTestUpstream(first.Addr().String(), 1)
 	u.setEndpoint(2, second.Addr().String(), 0, balancer.Ready)
-	attemptOn(u, long)
+	attemptOn(u, testTimeout)
 	if len(u.endpointOf(1).idle) != 1 {
 		t.Fatal("no idle connection after the first attempt")
 	}
@@ -292,11 +292,11 @@
 	go func() {
 		out := get()
 		out.header.Set("X-Request-Id", "hold")
-		got, _ := out.send(u, newAttempt(time.Time{}), u.endpointOf(2), time.Now().Add(long))
+		got, _ := out.send(u, newAttempt(time.Time{}), u.endpointOf(2), time.Now().Add(testTimeout))
 		done <- got
 	}()
 	<-held
-	if got, _ := attemptOn(u, long); got != balancer.ConnectFailed {
+	if got, _ := attemptOn(u, testTimeout); got != balancer.ConnectFailed {
 		t.Errorf("outcome %v at the connection limit", got)
 	}
 	close(hold)
@@ -307,7 +307,7 @@
 
 // Idle connections to a server are closed when it drains, is removed, moves or restarts.
 func TestIdleConnectionsEndWithTheServer(t *testing.T) {
-	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	ln := scriptedServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
@@ -319,8 +319,8 @@
 		"moved":     func(u *upstream) { u.setEndpoint(1, "127.0.0.1:1", 0, balancer.Ready) },
 		"closed":    func(u *upstream) { u.closeIdleConns(1) },
 	} {
-		u := pooled(addr, 4)
-		attemptOn(u, long)
+		u := newTestUpstream(addr, 4)
+		attemptOn(u, testTimeout)
 		if u.openConns != 1 {
 			t.Fatalf("%s: %d connections after the first attempt, want 1", name, u.openConns)
 		}
@@ -332,14 +332,14 @@
 
 // An idle connection must be closed well before the endpoint's own idle limit, even if there are no further requests.
 func TestIdleConnectionsExpire(t *testing.T) {
-	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	ln := scriptedServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	u := pooled(ln.Addr().String(), 4)
+	u := newTestUpstream(ln.Addr().String(), 4)
 	u.idleLimit = 20 * time.Millisecond
-	attemptOn(u, long)
-	for end := time.Now().Add(long); ; time.Sleep(time.Millisecond) {
+	attemptOn(u, testTimeout)
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		u.mu.Lock()
 		open := u.openConns
 		u.mu.Unlock()
@@ -355,7 +355,7 @@
 // The request is forwarded unchanged except for X-Deadline, which gives the time left.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	seen := make(chan string, 1)
-	ln := script(t, func(_ int, c net.Conn, r *http.Request) bool {
+	ln := scriptedServer(t, func(_ int, c net.Conn, r *http.Request) bool {
 		seen <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Host, " ", r.Header["X-Request-Id"], r.Header["User-Agent"])
 		left := r.Header.Get("X-Deadline")
 		if left <= "9.0" || left >= "9.9999" {
@@ -364,7 +364,7 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return false
 	})
-	attemptOn(pooled(ln.Addr().String(), 4), long-10*time.Millisecond)
+	attemptOn(newTestUpstream(ln.Addr().String(), 4), testTimeout-10*time.Millisecond)
 	if got, want := <-seen, "GET /browse/x?q=%20 backend.local [1] []"; got != want {
 		t.Errorf("request %q, want %q", got, want)
 	}
