--- a/cmd/milletemu/compare.go
+++ b/cmd/milletemu/compare.go
@@ -22,9 +22,9 @@
 	cmd := &cobra.Command{
 		Use:   "compare (SCENARIO --variant 'NAME: SETS'... | --results FILE --results FILE...)",
 		Short: "Compare variants of a scenario, or results of two builds, pair by pair of seeds",
-		Long: `Plays variants of a scenario over the same seeds, so that all see the same arrivals, work and faults, and tells for each
-figure the mean difference from the first variant with a 95% bootstrap interval. Where that holds 0 the seeds do not tell the
-two apart. With --results it compares what builds of the program printed with emulate run --json.`,
+		Long: `Runs variants of a scenario with the same seeds, so that all have the same arrivals, work and faults, and prints for each figure
+the mean difference from the first variant with a 95% bootstrap interval. If the interval contains 0, the seeds show no difference
+of the two. With --results it compares files that builds of the program printed with emulate run --json.`,
 		Example: "  milletmast emulate compare deploy/scenarios/zone.toml --seeds 1-20 --variant 'all:' --variant 'subset: pool.subset=8'\n" +
 			"  milletmast emulate compare --results old.json --results new.json",
 		Args: cobra.MaximumNArgs(1),
@@ -47,8 +47,8 @@
 	}
 	flags.register(cmd, "1-10")
 	cmd.Flags().StringArrayVar(&variants, "variant", nil,
-		"a variant: 'small: copies.count=20; demand.rate=900'; the first is what others are compared with")
-	cmd.Flags().StringArrayVar(&files, "results", nil, "a file of results; the first is what others are compared with")
+		"a variant: 'small: copies.count=20; demand.rate=900'; the others are compared with the first one")
+	cmd.Flags().StringArrayVar(&files, "results", nil, "a file of results; the others are compared with the first one")
 	return cmd
 }
 
@@ -58,7 +58,7 @@
 	results []*emulate.Result
 }
 
-// runVariantGroups runs the variants of a scenario, a group each.
+// runVariantGroups runs the variants of a scenario, and returns a group for each.
 func runVariantGroups(cmd *cobra.Command, flags *emulatorFlags, path string, variants []string) ([]resultGroup, error) {
 	results, err := flags.runVariants(cmd, path, variants)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return groups, nil
 }
 
-// readGroups reads files of results, a group each.
+// readGroups reads files of results, and returns a group for each.
 func readGroups(paths []string) ([]resultGroup, error) {
 	var groups []resultGroup
 	for _, path := range paths {
@@ -96,11 +96,11 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(text) > maxResultBytes {
-		return nil, fmt.Errorf("%s: the file is over 1 GiB", path)
+		return nil, fmt.Errorf("%s: the file is larger than the allowed 1 GiB", path)
 	}
 	var results []*emulate.Result
 	if err := json.Unmarshal(text, &results); err != nil {
-		return nil, fmt.Errorf("%s: no results of emulate run --json: %w", path, err)
+		return nil, fmt.Errorf("%s: the file contains no results of emulate run --json: %w", path, err)
 	}
 	return results, nil
 }
--- a/cmd/milletemu/drill.go
+++ b/cmd/milletemu/drill.go
@@ -24,10 +24,10 @@
 
 func drillCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "drill", Short: "Play scenarios over real processes, with faults between them",
-		Long: `Plays a scenario (deploy/drills, and those of deploy/scenarios that hold nothing which only the emulator knows) over real
-processes on loopback: sidecars, servers, the links between them, and a load, for as long as the scenario says. The four rules are
-checked over what was seen from outside. docs/operate/drill.md explains faults and figures.`,
+		Use: "drill", Short: "Run scenarios over real processes, with faults between them",
+		Long: `Runs a scenario (deploy/drills, and those of deploy/scenarios without settings that only the emulator supports) over real processes
+on loopback: sidecars, servers, the links between them, and a load, for as long as the scenario says. The four rules are checked with
+observations from outside the sidecars. docs/operate/drill.md explains faults and figures.`,
 	}
 	cmd.AddCommand(drillRunCommand(), drillCompareCommand(), drillListCommand())
 	return cmd
@@ -43,7 +43,7 @@
 func drillRunCommand() *cobra.Command {
 	var run drillRun
 	cmd := &cobra.Command{
-		Use: "run SCENARIO...", Short: "Play scenarios over processes and tell what service callers got and whether the rules held",
+		Use: "run SCENARIO...", Short: "Run scenarios over processes, and print the results of callers and violations of the rules",
 		Example: "  milletemu drill run deploy/drills/halves.toml --seeds 1-3\n" +
 			"  milletemu drill run deploy/drills/one-door.toml --report one-door.html --facts facts.jsonl",
 		Args: cobra.MinimumNArgs(1),
@@ -51,7 +51,7 @@
 	}
 	run.flags.register(cmd, "1")
 	cmd.Flags().StringVar(&run.reportPath, "report", "", "write a report with plots to this file (HTML)")
-	cmd.Flags().StringVar(&run.factsPath, "facts", "", "write all facts of the last seed to this file, a line of JSON each")
+	cmd.Flags().StringVar(&run.factsPath, "facts", "", "write all facts of the last seed to this file, one line of JSON for each")
 	return cmd
 }
 
@@ -186,8 +186,8 @@
 	cmd := &cobra.Command{
 		Use:   "compare SCENARIO --variant 'NAME: SETS'...",
 		Short: "Compare variants of a scenario over processes, or processes with the emulator, pair by pair of seeds",
-		Long: `As emulate compare, with every variant played over processes. The same seed asks the same requests at the same times and
-strikes the same servers and copies. With --emulator the first group is the emulator's.`,
+		Long: `Like emulate compare, but runs each variant over processes. The same seed gives the same requests at the same times and faults of
+the same servers and copies. With --emulator the first group is the results of the emulator.`,
 		Example: "  milletemu drill compare deploy/drills/one-door.toml --seeds 1-5 --variant 'all:' --variant 'one copy: copies.count=1'\n" +
 			"  milletemu drill compare deploy/drills/agree.toml --emulator --seeds 1-5 --variant 'processes:'",
 		Args: cobra.ExactArgs(1),
@@ -195,8 +195,8 @@
 	}
 	comparison.flags.register(cmd, "1-5")
 	cmd.Flags().StringArrayVar(&comparison.variants, "variant", nil,
-		"a variant: 'small: copies.count=20'; the first is what others are compared with")
-	cmd.Flags().BoolVar(&comparison.withEmulator, "emulator", false, "compare with the emulator's plays of the scenario as it is")
+		"a variant: 'small: copies.count=20'; the others are compared with the first one")
+	cmd.Flags().BoolVar(&comparison.withEmulator, "emulator", false, "compare with runs of the unchanged scenario in the emulator")
 	return cmd
 }
 
@@ -236,7 +236,7 @@
 	return nil
 }
 
-// runEmulator runs the scenario as it is in the emulator.
+// runEmulator runs the unchanged scenario in the emulator.
 func (d *drillComparison) runEmulator(cmd *cobra.Command, path string, seeds []uint64) (resultGroup, error) {
 	const name = "emulator"
 	flags := emulatorFlags{overrides: d.flags.overrides, concurrency: emulatorConcurrency}
@@ -264,8 +264,8 @@
 	return scenarios, names, nil
 }
 
-// runVariants runs the scenarios over processes, a group each. For each seed they run one after the other, so that a machine whose
-// speed changes affects all alike. It also returns how often a rule was broken.
+// runVariants runs the scenarios over processes, and returns a group for each and the number of violations of rules. For each seed the
+// scenarios run one after the other, so that changes of the machine's speed affect all alike.
 func (d *drillComparison) runVariants(
 	ctx context.Context, scenarios []*emulate.Scenario, names []string, seeds []uint64,
 ) (groups []resultGroup, violations int, err error) {
@@ -306,7 +306,7 @@
 		return err
 	}
 	if len(paths) == 0 {
-		return fmt.Errorf("%s: there are no drills", directory)
+		return fmt.Errorf("%s: the folder contains no drill (*.toml)", directory)
 	}
 	slices.Sort(paths)
 	table := newTable(cmd.OutOrStdout(), 0)
@@ -324,7 +324,7 @@
 func processCount(scenario *emulate.Scenario) int {
 	count := scenario.Copies.Count + scenario.Servers.Count
 	if scenario.Inner.IsPresent() {
-		count += scenario.Servers.Count + scenario.Inner.Servers.Count // a sidecar at each server, and the servers behind
+		count += scenario.Servers.Count + scenario.Inner.Servers.Count // a sidecar for each server, and the servers of the second tier
 	}
 	return count
 }
--- a/cmd/milletemu/flags.go
+++ b/cmd/milletemu/flags.go
@@ -25,15 +25,15 @@
 type emulatorFlags struct {
 	seeds       string
 	overrides   []string // KEY=VALUE, of the scenario
-	concurrency int      // runs at once
+	concurrency int      // number of concurrent runs
 	json        bool
 }
 
 func (f *emulatorFlags) register(cmd *cobra.Command, defaultSeeds string) {
-	cmd.Flags().StringVar(&f.seeds, "seeds", defaultSeeds, "seeds to play: 3, 1-10 or 1,4,7-9")
-	cmd.Flags().StringArrayVar(&f.overrides, "set", nil, "set a figure of the scenario: copies.count=20; may come again")
-	cmd.Flags().IntVar(&f.concurrency, "at-once", runtime.GOMAXPROCS(0), "runs played at once")
-	cmd.Flags().BoolVar(&f.json, "json", false, "print the whole results as JSON")
+	cmd.Flags().StringVar(&f.seeds, "seeds", defaultSeeds, "seeds to run: 3, 1-10 or 1,4,7-9")
+	cmd.Flags().StringArrayVar(&f.overrides, "set", nil, "set a value of the scenario: copies.count=20; may be repeated")
+	cmd.Flags().IntVar(&f.concurrency, "at-once", runtime.GOMAXPROCS(0), "number of concurrent runs")
+	cmd.Flags().BoolVar(&f.json, "json", false, "print the complete results as JSON")
 }
 
 // load reads a scenario for the emulator.
@@ -44,7 +44,7 @@
 // run runs jobs in the emulator. The results have the order of the jobs.
 func (f *emulatorFlags) run(cmd *cobra.Command, jobs []emulate.Job) ([]*emulate.Result, error) {
 	if f.concurrency < 1 {
-		return nil, fmt.Errorf("--at-once %d: nothing would be played", f.concurrency)
+		return nil, fmt.Errorf("--at-once %d: must be at least 1", f.concurrency)
 	}
 	ctx, stop := untilInterrupted(cmd)
 	defer stop()
@@ -94,10 +94,10 @@
 }
 
 func (f *drillFlags) register(cmd *cobra.Command, defaultSeeds string) {
-	cmd.Flags().StringVar(&f.seeds, "seeds", defaultSeeds, "seeds to play, one after the other: 3, 1-10 or 1,4,7-9")
-	cmd.Flags().StringArrayVar(&f.overrides, "set", nil, "set a figure of the scenario: copies.count=20; may come again")
+	cmd.Flags().StringVar(&f.seeds, "seeds", defaultSeeds, "seeds to run, one after the other: 3, 1-10 or 1,4,7-9")
+	cmd.Flags().StringArrayVar(&f.overrides, "set", nil, "set a value of the scenario: copies.count=20; may be repeated")
 	cmd.Flags().StringVar(&f.program, "program", "", "the sidecar's program (default: milletmast beside this one)")
-	cmd.Flags().BoolVar(&f.json, "json", false, "print the whole results as JSON")
+	cmd.Flags().BoolVar(&f.json, "json", false, "print the complete results as JSON")
 }
 
 // load reads a scenario for processes.
@@ -144,7 +144,7 @@
 // scenarioReader reads a scenario file for the emulator or for processes.
 type scenarioReader func(path string, overrides ...string) (*emulate.Scenario, error)
 
-// loadScenario reads a scenario file. What is wrong in it is printed to standard error, a line each.
+// loadScenario reads a scenario file. Its mistakes are printed to standard error, one line for each.
 func loadScenario(cmd *cobra.Command, read scenarioReader, path string, overrides []string) (*emulate.Scenario, error) {
 	scenario, err := read(path, overrides...)
 	if err != nil {
@@ -165,7 +165,7 @@
 			return nil, fmt.Errorf("--seeds %q: write 3, 1-10 or 1,4,7-9", text)
 		}
 		if last-first >= maxSeeds || uint64(len(seeds))+last-first >= maxSeeds {
-			return nil, fmt.Errorf("--seeds %q: more than %d", text, maxSeeds)
+			return nil, fmt.Errorf("--seeds %q: more than %d seeds", text, maxSeeds)
 		}
 		for seed := first; seed <= last; seed++ {
 			seeds = append(seeds, seed)
--- a/cmd/milletemu/main.go
+++ b/cmd/milletemu/main.go
@@ -1,5 +1,6 @@
-// Command milletemu runs fleets of sidecars in virtual time (emulate) or over processes (drill), and plans their sizes. milletmast
-// emulate and milletmast plan start it: the libraries for plots and statistics are too large for the sidecar's own program.
+// Command milletemu runs fleets of sidecars in virtual time (emulate) or over processes (drill), and plans their sizes. It is a program
+// of its own, which milletmast emulate and milletmast plan start, because the libraries for plots and statistics are too large for the
+// sidecar's program.
 package main
 
 import (
@@ -25,10 +26,10 @@
 func command() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "milletemu",
-		Short: "Play a fleet of sidecars over servers and callers in virtual time",
-		Long: `Plays scenarios (examples: deploy/scenarios): many sidecars, each with the real decision module, over models of servers,
+		Short: "Emulate a fleet of sidecars with servers and callers in virtual time",
+		Long: `Runs scenarios (examples: deploy/scenarios): many sidecars, each with the real decision module, over models of servers,
 network, discovery and callers, with one virtual clock and one seed a run. The same scenario and seed give the same result on
-any machine. docs/operate/emulate.md explains scenarios and figures. Exits 1 where a rule was broken or something is wrong.`,
+any machine. docs/operate/emulate.md explains scenarios and figures. The exit status is 1 if a rule was broken or after an error.`,
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	root.AddCommand(runCommand(), compareCommand(), plotCommand(), planCommand(), drillCommand())
--- a/cmd/milletemu/main_test.go
+++ b/cmd/milletemu/main_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// call runs a command line in this process.
-func call(args ...string) (out, errs string, err error) {
+// execute runs a command line in this process.
+func execute(args ...string) (out, errs string, err error) {
 	var o, e bytes.Buffer
 	cmd := command()
 	cmd.SetArgs(args)
@@ -19,12 +19,12 @@
 	return o.String(), e.String(), err
 }
 
-const calm = "../../deploy/scenarios/calm.toml"
+const calmScenario = "../../deploy/scenarios/calm.toml"
 
-var short = []string{"--set", "for=6s", "--set", "warmup=1s", "--set", "demand.rate=200"}
+var shortRun = []string{"--set", "for=6s", "--set", "warmup=1s", "--set", "demand.rate=200"}
 
 func TestRunPrints(t *testing.T) {
-	out, _, err := call(append([]string{"run", calm, "--seeds", "3,5-6"}, short...)...)
+	out, _, err := execute(append([]string{"run", calmScenario, "--seeds", "3,5-6"}, shortRun...)...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,12 +33,12 @@
 	}
 }
 
-// What run prints as JSON is what compare reads.
+// compare must read the JSON that run prints.
 func TestCompareResults(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
 	for i, extra := range []string{"servers.count=12", "servers.count=3"} {
-		out, _, err := call(append([]string{"run", calm, "--seeds", "1-3", "--json", "--set", extra}, short...)...)
+		out, _, err := execute(append([]string{"run", calmScenario, "--seeds", "1-3", "--json", "--set", extra}, shortRun...)...)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 	}
-	out, _, err := call("compare", "--results", files[0], "--results", files[1])
+	out, _, err := execute("compare", "--results", files[0], "--results", files[1])
 	if err != nil || !strings.Contains(out, "worse") || !strings.Contains(out, "3 seeds") {
 		t.Errorf("%v\n%s", err, out)
 	}
@@ -56,7 +56,7 @@
 func TestPlotDraws(t *testing.T) {
 	for _, form := range []string{"svg", "png"} {
 		path := filepath.Join(t.TempDir(), "p."+form)
-		if _, _, err := call(append([]string{"plot", calm, "-o", path, "--seeds", "1-2", "--variant", "one:", "--variant", "two: copies.count=5"}, short...)...); err != nil {
+		if _, _, err := execute(append([]string{"plot", calmScenario, "-o", path, "--seeds", "1-2", "--variant", "one:", "--variant", "two: copies.count=5"}, shortRun...)...); err != nil {
 			t.Fatal(err)
 		}
 		text, err := os.ReadFile(path)
@@ -78,21 +78,21 @@
 		{[]string{"run"}, "at least 1"},
 		{[]string{"run", "/nowhere.toml"}, "no such file"},
 		{[]string{"run", bad}, "errors: "},
-		{[]string{"run", calm, "--seeds", "3-1"}, "--seeds"},
-		{[]string{"run", calm, "--seeds", "1-5000"}, "more than 1000"},
-		{[]string{"run", calm, "--seeds", ""}, "--seeds"},
-		{[]string{"run", calm, "--set", "copies"}, "errors: 1"},
-		{[]string{"run", calm, "--at-once", "0"}, "--at-once"},
-		{[]string{"compare", calm}, "two variants"},
-		{[]string{"compare", calm, "--variant", "a", "--variant", "b:"}, "--variant"},
+		{[]string{"run", calmScenario, "--seeds", "3-1"}, "--seeds"},
+		{[]string{"run", calmScenario, "--seeds", "1-5000"}, "more than 1000"},
+		{[]string{"run", calmScenario, "--seeds", ""}, "--seeds"},
+		{[]string{"run", calmScenario, "--set", "copies"}, "errors: 1"},
+		{[]string{"run", calmScenario, "--at-once", "0"}, "--at-once"},
+		{[]string{"compare", calmScenario}, "two variants"},
+		{[]string{"compare", calmScenario, "--variant", "a", "--variant", "b:"}, "--variant"},
 		{[]string{"compare", "--results", bad, "--results", bad}, "no results"},
-		{[]string{"plot", calm, "-o", "x.gif"}, ".svg or .png"},
+		{[]string{"plot", calmScenario, "-o", "x.gif"}, ".svg or .png"},
 	} {
-		if _, _, err := call(c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, _, err := execute(c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v, want %q", c.args, err, c.want)
 		}
 	}
-	if _, errs, _ := call("run", bad); !strings.Contains(errs, bad+":1: for: ") || !strings.Contains(errs, bad+":2: rate: unknown key") {
-		t.Errorf("told: %s", errs)
+	if _, errs, _ := execute("run", bad); !strings.Contains(errs, bad+":1: for: ") || !strings.Contains(errs, bad+":2: rate: unknown key") {
+		t.Errorf("standard error: %s", errs)
 	}
 }
--- a/cmd/milletemu/output.go
+++ b/cmd/milletemu/output.go
@@ -14,8 +14,8 @@
 var errRulesBroken = errors.New("rules were broken")
 
 const (
-	worstSeconds     = 5 // length of the window whose served worth is printed as the worst
-	maxDetailedRuns  = 8 // up to which the classes of each run are printed
+	worstSeconds     = 5 // length of the window for the lowest earned share
+	maxDetailedRuns  = 8 // number of runs up to which the classes of each run are printed
 	columnSeparation = 2 // spaces between the columns of a table
 )
 
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// percentages returns the percentages of the requests that were refused, that failed or were given up, and that were late.
+// percentages returns the percentages of the requests that were rejected, that failed or were abandoned, and that were late.
 func percentages(r *emulate.Result) (refused, failed, late float64) {
 	perRequest := 100 / float64(max(r.Asked, 1))
 	for _, class := range r.Classes {
--- a/cmd/milletemu/plan.go
+++ b/cmd/milletemu/plan.go
@@ -11,7 +11,7 @@
 	"milletmast/internal/plan"
 )
 
-// printedSizesBelow is how many servers fewer than the answer a size may have to be printed.
+// printedSizesBelow limits by how many servers the printed failing sizes are below the answer.
 const printedSizesBelow = 2
 
 func planCommand() *cobra.Command {
@@ -19,11 +19,11 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "plan PLAN",
-		Short: "Find the fewest servers and copies that hold a target, also through stated losses",
-		Long: `Searches over the emulator for the fewest servers, with them the fewest copies, then the smallest subset and the shortest
-queue of those to be tried, that hold the plan's targets on each of its seeds, without and with each loss that has to be survived.
-Beside the answer stands a bound that no fleet can do without. That more servers never harm is not proved; two sizes below the
-answer are checked. The answer is played again on fresh seeds. Exits 1 where no size holds, naming what binds.`,
+		Short: "Find the fewest servers and copies that meet a target, also with stated losses",
+		Long: `Searches with the emulator for the fewest servers, with them the fewest copies, then the smallest subset and the shortest queue of
+those to try, that meet the plan's targets with each of its seeds, without and with each loss that has to be survived. It also prints
+a lower bound for any fleet. It is not proved that more servers never harm, so two sizes below the answer are checked. The answer is
+run again with fresh seeds. The exit status is 1 if no size holds; the error names the limiting figure.`,
 		Example: "  milletmast plan deploy/plans/zone.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -32,7 +32,7 @@
 				return operator.PrintErrors(cmd.ErrOrStderr(), args[0], err)
 			}
 			if concurrency < 1 {
-				return fmt.Errorf("--at-once %d: nothing would be played", concurrency)
+				return fmt.Errorf("--at-once %d: must be at least 1", concurrency)
 			}
 			ctx, stop := untilInterrupted(cmd)
 			defer stop()
@@ -46,12 +46,12 @@
 			return printAnswer(cmd.OutOrStdout(), answer)
 		},
 	}
-	cmd.Flags().IntVar(&concurrency, "at-once", runtime.GOMAXPROCS(0), "runs played at once")
+	cmd.Flags().IntVar(&concurrency, "at-once", runtime.GOMAXPROCS(0), "number of concurrent runs")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print the answer as JSON")
 	return cmd
 }
 
-// printAnswer prints the sizes that hold the targets, what binds them, and what was checked beside them.
+// printAnswer prints the smallest size, the figure with the least margin, the bound, and the sizes below that were checked.
 func printAnswer(w io.Writer, a *plan.Answer) error {
 	fmt.Fprintf(w, "plan: %v\n", a.Size)
 	binds := a.Binds
@@ -68,11 +68,11 @@
 		}
 	}
 	if c := a.Fresh; c != nil {
-		verdict := "holds there too"
+		result := "holds there too"
 		if !c.Holds {
-			verdict = "DOES NOT HOLD there"
+			result = "DOES NOT HOLD there"
 		}
-		fmt.Fprintf(w, "fresh seeds: %s: %s, seed %d: %s %.4f against %.4f\n", verdict, c.Scenario, c.Seed, c.Figure, c.Value, c.Target)
+		fmt.Fprintf(w, "fresh seeds: %s: %s, seed %d: %s %.4f against %.4f\n", result, c.Scenario, c.Seed, c.Figure, c.Value, c.Target)
 	}
 	fmt.Fprintln(w, "monotone: not proved; the sizes below the answer were played and fail")
 	return nil
--- a/cmd/milletemu/plot.go
+++ b/cmd/milletemu/plot.go
@@ -19,7 +19,7 @@
 	var variants []string
 	var outPath string
 	cmd := &cobra.Command{
-		Use: "plot SCENARIO -o FILE", Short: "Draw how a scenario goes over time, in one or more variants",
+		Use: "plot SCENARIO -o FILE", Short: "Plot the results of a scenario over time, in one or more variants",
 		Example: "  milletmast emulate plot deploy/scenarios/zone.toml --seeds 1-10 -o zone.svg\n" +
 			"  milletmast emulate plot deploy/scenarios/slow.toml --variant 'as it is:' --variant 'two attempts: pool.attempts=2' -o slow.png",
 		Args: cobra.ExactArgs(1),
@@ -40,14 +40,14 @@
 	}
 	flags.register(cmd, "1-5")
 	cmd.Flags().StringArrayVar(&variants, "variant", nil, "a variant: 'small: copies.count=20'")
-	cmd.Flags().StringVarP(&outPath, "out", "o", "", "the file to write")
+	cmd.Flags().StringVarP(&outPath, "out", "o", "", "path of the plot (.svg or .png)")
 	if err := cmd.MarkFlagRequired("out"); err != nil {
 		panic(err) // the flag is registered above
 	}
 	return cmd
 }
 
-// writeChart draws the course of runs into a file.
+// writeChart plots the results of runs over time into a file.
 func writeChart(path, format string, results []*emulate.Result) (err error) {
 	file, err := os.Create(path)
 	if err != nil {
--- a/cmd/milletemu/run.go
+++ b/cmd/milletemu/run.go
@@ -9,7 +9,7 @@
 func runCommand() *cobra.Command {
 	var flags emulatorFlags
 	cmd := &cobra.Command{
-		Use: "run SCENARIO...", Short: "Play scenarios and tell what service callers got and whether the rules held",
+		Use: "run SCENARIO...", Short: "Run scenarios, and print the results of callers and violations of the rules",
 		Example: "  milletmast emulate run deploy/scenarios/zone.toml --seeds 1-5\n" +
 			"  milletmast emulate run deploy/scenarios/*.toml --set copies.count=100 --json >results.json",
 		Args: cobra.MinimumNArgs(1),
--- a/internal/emulate/attempt.go
+++ b/internal/emulate/attempt.go
@@ -7,19 +7,19 @@
 	"milletmast/internal/rules"
 )
 
-// attempt is one attempt of a call.
+// attempt is one attempt of a call: one request that is sent to one server.
 type attempt struct {
 	call      *call
 	number    int
 	sentAt    float64
 	server    *server
-	conns     *serverConns // once it has a connection
+	conns     *serverConns // nil until a connection is open
 	job       *job
 	open      bool
-	onNewConn bool // its connection is new
+	onNewConn bool // it opens a new connection
 }
 
-// startAttempt starts an attempt.
+// startAttempt sends an attempt of a call to a server, on an idle connection or a new one. It times out at until.
 func (h *sidecar) startAttempt(c *call, id uint32, until float64) {
 	w := h.sim
 	a := &attempt{call: c, number: len(c.attempts), sentAt: w.now(), server: w.serversByID[id], open: true}
@@ -31,7 +31,7 @@
 		return
 	}
 	w.result.attempts++
-	w.record(&rules.Fact{Kind: rules.AttemptSent, Copy: h.copyID(), Request: c.id, Attempt: uint16(a.number), Server: id})
+	w.record(&rules.Fact{Kind: rules.AttemptSent, Copy: h.replicaID(), Request: c.id, Attempt: uint16(a.number), Server: id})
 	h.later(until-w.now(), func() { a.end(balancer.Timeout) })
 	if a.server == nil {
 		h.later(0, func() { a.end(balancer.NotSent) })
@@ -58,17 +58,17 @@
 func (a *attempt) connect() {
 	w, s, h := a.call.sidecar.sim, a.server, a.call.sidecar
 	if !a.open || !w.passes(h, s) {
-		return // no reply, until the time to connect is over
+		return // no reply: the attempt ends at the connect timeout
 	}
 	if s.state == down || s.conns >= s.spec.Connections {
 		w.clock.after(w.delay(h, a, 1), func() { a.end(balancer.ConnectFailed) })
 		return
 	}
-	a.conns = h.connsTo(s) // not that of before: the server may have ended meanwhile
+	a.conns = h.connsTo(s) // looked up again: the server may have restarted since the attempt started
 	s.conns++
 	a.conns.open++
 	w.result.connections++
-	w.clock.after(w.delay(h, a, 1)+w.delay(h, a, 2), a.arrive) // there and back, and the request on it
+	w.clock.after(w.delay(h, a, 1)+w.delay(h, a, 2), a.arrive) // the reply to the connection, and the request after it
 }
 
 // arrive is the arrival of the request at its server.
@@ -82,7 +82,9 @@
 		work += s.spec.Handshake.MS()
 	}
 	if s.isCold() {
-		w.record(&rules.Fact{Kind: rules.WorkArrived, Copy: c.sidecar.copyID(), Request: c.id, Server: s.id, Work: work, Capacity: s.capacity()})
+		w.record(&rules.Fact{
+			Kind: rules.WorkArrived, Copy: c.sidecar.replicaID(), Request: c.id, Server: s.id, Work: work, Capacity: s.capacity(),
+		})
 	}
 	a.job = &job{work: work, abandoned: !a.open, failureDraw: w.random.uniform(drawFailure, c.id, uint64(a.number))}
 	a.job.onEnd = func(o jobOutcome) {
@@ -105,7 +107,7 @@
 	s.accept(a.job)
 }
 
-// end ends the attempt, once.
+// end ends the attempt with an outcome. Later calls do nothing.
 func (a *attempt) end(o balancer.Outcome) {
 	c := a.call
 	h := c.sidecar
@@ -113,8 +115,8 @@
 		return
 	}
 	if h.stalled > h.sim.now() {
-		life := h.starts
-		h.sim.clock.schedule(h.stalled, func() { h.run(life, func() { a.end(o) }) })
+		incarnation := h.starts
+		h.sim.clock.schedule(h.stalled, func() { h.run(incarnation, func() { a.end(o) }) })
 		return
 	}
 	a.open = false
@@ -139,7 +141,7 @@
 	}
 	c.openAttempts--
 	c.mayHaveExecuted = c.mayHaveExecuted || !neverRan
-	h.sim.record(&rules.Fact{Kind: rules.AttemptEnded, Copy: h.copyID(), Request: c.id, Attempt: uint16(a.number), MayRun: !neverRan})
+	h.sim.record(&rules.Fact{Kind: rules.AttemptEnded, Copy: h.replicaID(), Request: c.id, Attempt: uint16(a.number), MayRun: !neverRan})
 	if o == balancer.OK {
 		h.finish(c, rules.Served, 0)
 	}
@@ -150,7 +152,7 @@
 	h.forget(c)
 }
 
-// serverID returns the id of the server; 0 for one that does not exist any more.
+// serverID returns the id of the server; 0 if it no longer exists.
 func (a *attempt) serverID() uint32 {
 	if a.server == nil {
 		return 0
@@ -161,8 +163,8 @@
 // serverConns are the connections of a sidecar to one server.
 type serverConns struct {
 	server *server
-	idle   []float64 // since when each is
-	open   int       // all
+	idle   []float64 // for each idle connection the time since when it is idle, in ms
+	open   int       // number of open connections, idle or in use
 }
 
 // connsTo returns the connections to a server.
@@ -191,8 +193,8 @@
 	l.server.conns -= n
 }
 
-// forgetAll forgets all connections, as one of the ends has ended. What is on its way on them finds none open.
-func (l *serverConns) forgetAll() {
+// dropAll drops all connections because the sidecar or the server has ended. Messages in transit are lost.
+func (l *serverConns) dropAll() {
 	l.server.conns -= l.open
 	l.idle, l.open = nil, 0
 }
--- a/internal/emulate/callers.go
+++ b/internal/emulate/callers.go
@@ -2,12 +2,12 @@
 
 import "milletmast/internal/rules"
 
-// clientTry is one try of a request by its caller.
+// clientTry is one try of a request: a caller may send the same request several times.
 type clientTry struct {
 	Arrival
 	number    int
 	at        float64 // when it starts, in ms
-	isCounted bool    // it came after the warmup
+	isCounted bool    // its request arrived after the warm-up
 	call      *call
 	ended     bool
 }
@@ -17,7 +17,7 @@
 	return Try{At: q.at, Class: q.Class, Number: q.number, Counts: q.isCounted}
 }
 
-// scheduleArrivals schedules the requests, one after the other.
+// scheduleArrivals schedules the requests, each when the one before arrives.
 func (w *simulation) scheduleArrivals() {
 	var next func()
 	next = func() {
@@ -37,7 +37,8 @@
 	next()
 }
 
-// chooseSidecar returns the sidecar of a caller: its own one, or the next one that is up, first of its zone; nil for none.
+// chooseSidecar returns the sidecar for a caller: its home sidecar if that is up, otherwise the next one that is up, preferably of the
+// same zone; nil for none.
 func (w *simulation) chooseSidecar(home int) *sidecar {
 	if h := w.sidecars[home]; h.up && !h.draining {
 		return h
@@ -58,47 +59,47 @@
 	return other
 }
 
-// startTry starts a try.
+// startTry starts a try: it reaches a sidecar, and ends at the latest at its caller's timeout.
 func (w *simulation) startTry(q *clientTry) {
 	q.at = w.now()
 	w.result.RecordTry(q.summary())
-	w.clock.after(w.scenario.Pool.Classes[q.Class].GiveUp.MS(), func() { w.clientLeaves(q) })
+	w.clock.after(w.scenario.Pool.Classes[q.Class].GiveUp.MS(), func() { w.disconnectClient(q) })
 	h := w.chooseSidecar(q.Home)
 	if h == nil {
 		w.endTry(q, rules.Failed, 0)
 		return
 	}
 	if after, leaves := w.traffic.LeavesEarly(&q.Arrival, q.number); leaves {
-		w.clock.after(after, func() { w.clientLeaves(q) })
+		w.clock.after(after, func() { w.disconnectClient(q) })
 	}
-	life := h.starts
-	h.run(life, func() {
+	incarnation := h.starts
+	h.run(incarnation, func() {
 		if !q.ended {
 			h.startCall(q)
 		}
 	})
 }
 
-// clientLeaves has a client leave that has no response.
-func (w *simulation) clientLeaves(q *clientTry) {
+// disconnectClient ends a try without a response because its client closes the connection.
+func (w *simulation) disconnectClient(q *clientTry) {
 	if q.ended {
 		return
 	}
 	if c := q.call; c != nil && !c.ended {
 		h := c.sidecar
-		h.run(h.starts, func() { h.clientLeft(c) })
+		h.run(h.starts, func() { h.handleDisconnect(c) })
 	}
 	w.endTry(q, 0, 0)
 }
 
-// deliverAnswer delivers a final response to its client.
-func (w *simulation) deliverAnswer(c *call, answer rules.Answer, after float64) {
+// deliverResponse delivers a final response to its client.
+func (w *simulation) deliverResponse(c *call, answer rules.Answer, after float64) {
 	if !c.try.ended {
 		w.endTry(c.try, answer, after)
 	}
 }
 
-// endTry ends a try, and starts another if the habit of the caller is so. No response is 0.
+// endTry ends a try, and schedules another if the caller retries. An answer of 0 means no response.
 func (w *simulation) endTry(q *clientTry, answer rules.Answer, after float64) {
 	q.ended = true
 	w.pendingTries--
--- a/internal/emulate/calls.go
+++ b/internal/emulate/calls.go
@@ -14,7 +14,7 @@
 type call struct {
 	sidecar         *sidecar
 	event           balancer.Event
-	id              uint64 // over the whole fleet
+	id              uint64 // unique over all sidecars
 	try             *clientTry
 	arrivedAt       float64
 	timeout         float64
@@ -25,7 +25,7 @@
 	shedRule        *degradation.ShedRule
 	queueElement    *list.Element
 	budget          *budget.RetryBudget // nil for none
-	admittedByFleet bool                // by the share of the load that all sidecars admit together
+	admittedByFleet bool                // admitted by the load shedding that all sidecars share
 }
 
 // retryAfter returns the Retry-After of a rejection, in ms.
@@ -48,7 +48,7 @@
 	h.calls[h.lastID] = c
 	h.callOrder = append(h.callOrder, c)
 	q.call = c
-	w.record(&rules.Fact{Kind: rules.RequestReceived, Copy: h.copyID(), Request: c.id, Class: uint16(q.Class), Due: c.arrivedAt + giveUp})
+	w.record(&rules.Fact{Kind: rules.RequestReceived, Copy: h.replicaID(), Request: c.id, Class: uint16(q.Class), Due: c.arrivedAt + giveUp})
 	h.admitByLevel(c)
 	h.admitByFleet(c)
 	if n := w.scenario.Copies.Retries; n > 0 {
@@ -57,12 +57,12 @@
 			c.event.MaxAttempts = 1 + n
 		}
 	}
-	h.later(c.event.Deadline+backstop-w.now(), func() { h.answerOverdue(c) })
+	h.later(c.event.Deadline+backstop-w.now(), func() { h.respondOverdue(c) })
 	h.handle(&c.event)
 	h.compactCallOrder()
 }
 
-// compactCallOrder removes ended calls from the order, once they are most of it.
+// compactCallOrder removes ended calls from the order once they are more than half of it.
 func (h *sidecar) compactCallOrder() {
 	if len(h.callOrder) > 64 && len(h.callOrder) > 2*len(h.calls) {
 		h.callOrder = slices.DeleteFunc(h.callOrder, func(c *call) bool { return h.calls[c.event.Request] != c })
@@ -77,8 +77,8 @@
 	c.ended = true
 	h.recordLevelResult(c, answer)
 	h.recordFleetResult(c, answer)
-	h.sim.record(&rules.Fact{Kind: rules.RequestAnswered, Copy: h.copyID(), Request: c.id, Answer: answer})
-	h.sim.deliverAnswer(c, answer, after)
+	h.sim.record(&rules.Fact{Kind: rules.RequestAnswered, Copy: h.replicaID(), Request: c.id, Answer: answer})
+	h.sim.deliverResponse(c, answer, after)
 	h.forget(c)
 }
 
@@ -89,14 +89,14 @@
 	}
 }
 
-// clientLeft handles a client that has left.
-func (h *sidecar) clientLeft(c *call) {
+// handleDisconnect handles a client that has closed its connection.
+func (h *sidecar) handleDisconnect(c *call) {
 	if c.ended {
 		return
 	}
 	c.ended = true
 	h.recordLevelResult(c, rules.Failed)
-	h.sim.record(&rules.Fact{Kind: rules.ClientLeft, Copy: h.copyID(), Request: c.id})
+	h.sim.record(&rules.Fact{Kind: rules.ClientLeft, Copy: h.replicaID(), Request: c.id})
 	h.handle(&balancer.Event{Kind: balancer.EvRequestAbandoned, Request: c.event.Request})
 	h.abortAttempts(c)
 	h.forget(c)
@@ -111,8 +111,9 @@
 	}
 }
 
-// answerOverdue answers a call that the module has left unanswered. It is a rejection only if no attempt can have been executed.
-func (h *sidecar) answerOverdue(c *call) {
+// respondOverdue responds to a call without a decision of the module. The response is a rejection only if no attempt can have been
+// executed, and a failure otherwise.
+func (h *sidecar) respondOverdue(c *call) {
 	if c.ended {
 		return
 	}
--- a/internal/emulate/chart/chart.go
+++ b/internal/emulate/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws results of the emulator. It is a package of its own as what draws is large.
+// Package chart plots results of the emulator. It is separate from package emulate because the plotting libraries are large.
 package chart
 
 import (
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
-	// The forms in which it can be written.
+	// Register the output formats.
 	_ "gonum.org/v1/plot/vg/vgimg"
 	_ "gonum.org/v1/plot/vg/vgsvg"
 
@@ -25,17 +25,17 @@
 	height = 8 * vg.Centimeter
 )
 
-// band is the part of the seeds' values, about their median, that is shaded.
+// band is the ratio of the values of the seeds, around their median, that the shaded area contains.
 const band = 0.8
 
-// Course draws how variants fare over time, as SVG or PNG: the worth that is earned of what is asked for, and the tries refused, each
-// second, as the median over the seeds with a band that holds eight in ten of them.
+// Course plots the results of variants over time, as SVG or PNG: for each second the share of the offered priority weight that was
+// earned and the number of refused tries, as the median over the seeds with a band that contains 80% of them.
 func Course(w io.Writer, form string, results []*emulate.Result) error {
 	if len(results) == 0 {
-		return fmt.Errorf("there is nothing to draw")
+		return fmt.Errorf("there are no results to plot")
 	}
 	if form != "svg" && form != "png" {
-		return fmt.Errorf("%q cannot be drawn: svg and png can", form)
+		return fmt.Errorf("format %q is not supported: svg and png are", form)
 	}
 	var names []string
 	by := map[string][]*emulate.Result{}
@@ -82,7 +82,7 @@
 	return err
 }
 
-// earnedShare returns the share of the worth of a second that was earned; false for a second without requests.
+// earnedShare returns the share of the priority weight of a second that was earned; false for a second without requests.
 func earnedShare(s *emulate.Second) (float64, bool) {
 	return s.Earned / max(s.Worth, 1e-9), s.Worth > 0
 }
--- a/internal/emulate/check.go
+++ b/internal/emulate/check.go
@@ -10,28 +10,28 @@
 	"milletmast/internal/operator"
 )
 
-// check checks what both play.
+// check checks the settings that the emulator and drills share.
 func (s *Scenario) check(report func(field, text string)) {
 	k := rangeChecker{report}
-	within, timed := k.checkRange, k.checkDuration
-	timed("for", s.For, 100*time.Millisecond, 24*time.Hour)
+	checkRange, checkDuration := k.checkRange, k.checkDuration
+	checkDuration("for", s.For, 100*time.Millisecond, 24*time.Hour)
 	if s.Warmup >= s.For {
-		report("warmup", fmt.Sprintf("%v leaves nothing of the %v that is played", s.Warmup, s.For))
+		report("warmup", fmt.Sprintf("%v is not shorter than the run of %v (for)", s.Warmup, s.For))
 	}
 	s.checkPool("pool", &s.Pool, s.Copies.Count, report)
-	within("copies.count", float64(s.Copies.Count), 1, maxCopies)
-	within("copies.open", float64(s.Copies.Open), 1, 1e6)
-	within("copies.skew", s.Copies.Skew, 0, 3)
-	within("copies.retries", float64(s.Copies.Retries), 0, budget.MaxRetries)
-	timed("copies.keep", s.Copies.Keep, 0, time.Hour)
-	timed("copies.start", s.Copies.Start, 0, time.Duration(s.For))
+	checkRange("copies.count", float64(s.Copies.Count), 1, maxReplicas)
+	checkRange("copies.open", float64(s.Copies.Open), 1, 1e6)
+	checkRange("copies.skew", s.Copies.Skew, 0, 3)
+	checkRange("copies.retries", float64(s.Copies.Retries), 0, budget.MaxRetries)
+	checkDuration("copies.keep", s.Copies.Keep, 0, time.Hour)
+	checkDuration("copies.start", s.Copies.Start, 0, time.Duration(s.For))
 	s.checkServers("servers", &s.Servers, k)
-	timed("network.delay", s.Network.Delay, 0, time.Second)
-	timed("network.jitter", s.Network.Jitter, 0, time.Second)
-	timed("network.across", s.Network.Across, 0, time.Second)
-	timed("discovery.lag", s.Discovery.Lag, 0, time.Minute)
-	timed("discovery.jitter", s.Discovery.Jitter, 0, time.Minute)
-	timed("discovery.detect", s.Discovery.Detect, 0, time.Hour)
+	checkDuration("network.delay", s.Network.Delay, 0, time.Second)
+	checkDuration("network.jitter", s.Network.Jitter, 0, time.Second)
+	checkDuration("network.across", s.Network.Across, 0, time.Second)
+	checkDuration("discovery.lag", s.Discovery.Lag, 0, time.Minute)
+	checkDuration("discovery.jitter", s.Discovery.Jitter, 0, time.Minute)
+	checkDuration("discovery.detect", s.Discovery.Detect, 0, time.Hour)
 	s.checkLoad(k)
 	s.checkInner(k)
 	s.CheckFaults(report)
@@ -52,30 +52,30 @@
 	}
 	for i, c := range t.Calls {
 		if !classes[c] {
-			k.report(fmt.Sprintf("inner.calls[%d]", i), fmt.Sprintf("%q is no class of the inner pool", c))
+			k.report(fmt.Sprintf("inner.calls[%d]", i), fmt.Sprintf("class %q does not exist in the inner pool", c))
 		}
 	}
 	checkWork("inner.work", t.Pool.Classes, t.Work, k)
 }
 
 // checkPool checks the pool of a tier with a number of sidecars.
-func (s *Scenario) checkPool(path string, p *operator.Pool, copies int, report func(field, text string)) {
+func (s *Scenario) checkPool(path string, p *operator.Pool, replicas int, report func(field, text string)) {
 	if p.Name == "" {
 		p.Name = "pool"
 	}
 	if len(p.Servers) > 0 {
-		report(path+".server", "servers are told by the table servers")
+		report(path+".server", "must be absent: the table [servers] defines the servers")
 	}
 	if p.Source.Type != "static" {
-		report(path+".source", "servers are told by the table servers")
+		report(path+".source", "must be absent: the table [servers] defines the servers")
 	}
 	if p.Protocol != operator.HTTP {
-		report(path+".protocol", "only \"http\" is emulated")
+		report(path+".protocol", "only \"http\" can be emulated")
 	}
 	if p.Copies != 1 || p.Rank != 0 || p.Zone != "" {
-		report(path+".copies", "copies, their ranks and zones are told by the table copies")
+		report(path+".copies", "copies, rank and zone must be absent: the table [copies] defines the sidecars")
 	}
-	p.Copies = max(min(copies, maxCopies), 1)
+	p.Copies = max(min(replicas, maxReplicas), 1)
 	if len(p.Zones) > 0 {
 		p.Zone = p.Zones[0]
 	}
@@ -101,56 +101,56 @@
 
 // checkLoad checks the load of the fleet.
 func (s *Scenario) checkLoad(k rangeChecker) {
-	report, within, timed := k.report, k.checkRange, k.checkDuration
-	within("demand.rate", s.Demand.Rate, 0.001, 1e7)
-	within("demand.callers", float64(s.Demand.Callers), 1, 1e7)
+	report, checkRange, checkDuration := k.report, k.checkRange, k.checkDuration
+	checkRange("demand.rate", s.Demand.Rate, 0.001, 1e7)
+	checkRange("demand.callers", float64(s.Demand.Callers), 1, 1e7)
 	top, last := 1.0, Duration(-1)
 	for i, c := range s.Demand.Curve {
 		field := fmt.Sprintf("demand.curve[%d]", i)
-		within(field+".times", c.Times, 0, 1000)
+		checkRange(field+".times", c.Times, 0, 1000)
 		if c.At <= last {
-			report(field+".at", "points come in the order of their times")
+			report(field+".at", fmt.Sprintf("%v is not after the previous point: points must be in ascending order of time", c.At))
 		}
 		top, last = max(top, c.Times), c.At
 	}
 	if n := s.Demand.Rate * top * time.Duration(s.For).Seconds(); n > maxRequests {
-		report("demand.rate", fmt.Sprintf("up to %.0f requests, over the %d allowed", n, maxRequests))
+		report("demand.rate", fmt.Sprintf("up to %.0f requests in the run: at most %d are allowed", n, maxRequests))
 	}
 	parts := checkWork("work", s.Pool.Classes, s.Work, k)
 	if parts <= 0 {
-		report("work", "no class has a part of the requests")
+		report("work", "every part is 0: at least one class must have a part of the requests")
 	}
 	for i, w := range s.Work {
-		within(fmt.Sprintf("work[%d].doors", i), float64(w.Doors), 0, float64(s.Copies.Count))
+		checkRange(fmt.Sprintf("work[%d].doors", i), float64(w.Frontends), 0, float64(s.Copies.Count))
 		last := Duration(-1)
 		for n, m := range w.Moves {
 			field := fmt.Sprintf("work[%d].move[%d]", i, n)
 			if m.At <= last {
-				report(field+".at", "moves come in the order of their times")
+				report(field+".at", fmt.Sprintf("%v is not after the previous move: moves must be in ascending order of time", m.At))
 			}
 			last = m.At
-			within(field+".first", float64(m.First), 0, float64(s.Copies.Count-1))
-			within(field+".doors", float64(m.Doors), 0, float64(s.Copies.Count))
+			checkRange(field+".first", float64(m.First), 0, float64(s.Copies.Count-1))
+			checkRange(field+".doors", float64(m.Frontends), 0, float64(s.Copies.Count))
 		}
 	}
 	shares := 0.0
-	for i, h := range s.Habits {
+	for i, h := range s.Behaviors {
 		field := fmt.Sprintf("callers[%d]", i)
-		if !slices.Contains(callerHabits, h.Habit) {
-			report(field+".habit", fmt.Sprintf("%q is unknown: there are %s", h.Habit, strings.Join(callerHabits, ", ")))
+		if !slices.Contains(callerBehaviors, h.Kind) {
+			report(field+".habit", fmt.Sprintf("%q is unknown: allowed are %s", h.Kind, strings.Join(callerBehaviors, ", ")))
 		}
-		within(field+".share", h.Share, 0, 1e6)
-		within(field+".tries", float64(h.Tries), 1, 100)
-		within(field+".leave", h.Leave, 0, 1)
-		timed(field+".wait", h.Wait, 0, time.Hour)
+		checkRange(field+".share", h.Share, 0, 1e6)
+		checkRange(field+".tries", float64(h.Tries), 1, 100)
+		checkRange(field+".leave", h.Leave, 0, 1)
+		checkDuration(field+".wait", h.Wait, 0, time.Hour)
 		shares += h.Share
 	}
-	if len(s.Habits) > 0 && shares <= 0 {
-		report("callers", "no habit has a share")
+	if len(s.Behaviors) > 0 && shares <= 0 {
+		report("callers", "every share is 0: at least one entry must have a share of the callers")
 	}
 }
 
-// checkWork checks what classes ask of a server, and returns the sum of their shares.
+// checkWork checks the work of classes at a server, and returns the sum of their parts of the requests.
 func checkWork(path string, all []operator.Class, work []Work, k rangeChecker) (parts float64) {
 	classes, worked := map[string]bool{}, map[string]bool{}
 	for _, c := range all {
@@ -159,9 +159,9 @@
 	for i, w := range work {
 		field := fmt.Sprintf("%s[%d]", path, i)
 		if !classes[w.Class] {
-			k.report(field+".class", fmt.Sprintf("%q is no class of the pool", w.Class))
+			k.report(field+".class", fmt.Sprintf("class %q does not exist in the pool", w.Class))
 		} else if worked[w.Class] {
-			k.report(field+".class", fmt.Sprintf("%q comes twice", w.Class))
+			k.report(field+".class", fmt.Sprintf("class %q is given twice", w.Class))
 		}
 		worked[w.Class] = true
 		k.checkRange(field+".part", w.Part, 0, 1e6)
@@ -174,7 +174,7 @@
 	}
 	for _, c := range all {
 		if !worked[c.Name] {
-			k.report(path, fmt.Sprintf("class %q has none: what do its requests ask of a server?", c.Name))
+			k.report(path, fmt.Sprintf("class %q has no entry that states the work of its requests", c.Name))
 		}
 	}
 	return parts
@@ -183,14 +183,14 @@
 // rangeChecker reports values that are out of range.
 type rangeChecker struct{ report func(field, text string) }
 
-// checkRange reports a number that is not between two bounds, and NaN.
+// checkRange reports a number that is not between two bounds, or that is NaN.
 func (k rangeChecker) checkRange(field string, v, least, most float64) {
 	if !(v >= least && v <= most) {
 		k.report(field, fmt.Sprintf("%v is not within %v and %v", v, least, most))
 	}
 }
 
-// checkDuration reports a time that is not between two bounds.
+// checkDuration reports a duration that is not between two bounds.
 func (k rangeChecker) checkDuration(field string, v Duration, least, most time.Duration) {
 	if time.Duration(v) < least || time.Duration(v) > most {
 		k.report(field, fmt.Sprintf("%v is an impossible time: from %v to %v is possible", v, least, most))
--- a/internal/emulate/checkplayer.go
+++ b/internal/emulate/checkmode.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// checkEmulated reports what only processes can play.
+// checkEmulated reports settings that only a drill supports, which runs processes.
 func (s *Scenario) checkEmulated(report func(field, text string)) {
 	const text = "only processes can play this: milletemu drill run"
 	if s.Inner.IsPresent() {
@@ -26,14 +26,14 @@
 	}
 }
 
-// Limits of what is played over processes.
+// Limits of a drill.
 const (
 	maxProcesses = 250
-	maxDrillRate = 5000 // requests a second: above it the machine is measured, not the fleet
+	maxDrillRate = 5000 // requests a second: above it the machine limits the results
 	maxDrillTime = time.Hour
 )
 
-// checkDrill reports what processes cannot play.
+// checkDrill reports settings that a drill does not support, and values over its limits.
 func (s *Scenario) checkDrill(report func(field, text string)) {
 	const text = "only the emulator can play this: milletemu run"
 	var none SidecarSpec
@@ -52,7 +52,7 @@
 	}
 	for i, f := range s.Faults {
 		if info, err := os.Stat(f.Program); f.Program != "" && (err != nil || !info.Mode().IsRegular()) {
-			report(fmt.Sprintf("fault[%d].program", i), fmt.Sprintf("%q is no program that is there", f.Program))
+			report(fmt.Sprintf("fault[%d].program", i), fmt.Sprintf("%q is no program: there is no regular file at this path", f.Program))
 		}
 		if f.Kind == faultHold {
 			report(fmt.Sprintf("fault[%d].kind", i), fmt.Sprintf("%q: %s", f.Kind, text))
@@ -63,7 +63,7 @@
 		processes += s.Servers.Count + s.Inner.Servers.Count
 	}
 	if processes > maxProcesses {
-		report("copies.count", fmt.Sprintf("%d processes, over the %d allowed", processes, maxProcesses))
+		report("copies.count", fmt.Sprintf("%d processes are needed: at most %d are allowed", processes, maxProcesses))
 	}
 	top := 1.0
 	for _, p := range s.Demand.Curve {
@@ -71,9 +71,9 @@
 	}
 	if s.Demand.Rate*top > maxDrillRate {
 		report("demand.rate",
-			fmt.Sprintf("%.0f requests a second at the most, over the %d allowed over processes", s.Demand.Rate*top, maxDrillRate))
+			fmt.Sprintf("%.0f requests a second at the peak: at most %d are allowed over processes", s.Demand.Rate*top, maxDrillRate))
 	}
 	if time.Duration(s.For) > maxDrillTime {
-		report("for", fmt.Sprintf("%v is over the %v allowed over processes", s.For, maxDrillTime))
+		report("for", fmt.Sprintf("%v is too long: at most %v is allowed over processes", s.For, maxDrillTime))
 	}
 }
--- a/internal/emulate/clock.go
+++ b/internal/emulate/clock.go
@@ -4,28 +4,28 @@
 	"math"
 )
 
-// event is something that happens at a time.
+// event is a function that is called at a time.
 type event struct {
 	at       float64
 	sequence uint64
 	do       func()
 }
 
-// clock is virtual time in ms, with the events to come. Of events at the same time, the one that was scheduled first happens first, so
-// that the order does not depend on the heap. An event in the past happens now, after those scheduled before it.
+// clock is virtual time in ms with a heap of the scheduled events. Events at the same time run in the order in which they were
+// scheduled, so that the order does not depend on the heap. An event in the past runs now, after those scheduled before it.
 type clock struct {
 	now      float64
 	sequence uint64
 	events   []event
-	executed uint64 // events so far
+	executed uint64 // number of events so far
 }
 
-// precedes reports whether an event happens before another.
+// precedes reports whether event a runs before b.
 func precedes(a, b *event) bool { return a.at < b.at || a.at == b.at && a.sequence < b.sequence }
 
 // schedule schedules a function at a time.
 func (c *clock) schedule(at float64, do func()) {
-	if !(at > c.now) { // also no number
+	if !(at > c.now) { // also for NaN
 		at = c.now
 	}
 	c.sequence++
@@ -42,7 +42,7 @@
 	c.events = h
 }
 
-// after schedules a function after a time from now.
+// after schedules a function at ms from now.
 func (c *clock) after(ms float64, do func()) { c.schedule(c.now+ms, do) }
 
 // next returns the time of the next event; infinity for none.
--- a/internal/emulate/compare.go
+++ b/internal/emulate/compare.go
@@ -15,17 +15,17 @@
 	Overrides []string // see Load
 }
 
-// Metric is a value of a result.
+// Metric is a number that is computed from a result.
 type Metric struct {
 	Name   string
 	Unit   string
-	Better int // 1 where more is better, -1 where less is
+	Better int // 1 if a higher value is better, -1 if a lower one is
 	Of     func(*Result) float64
 }
 
 // Metrics returns the metrics of a comparison.
 func Metrics() []Metric {
-	lost := func(pick func(*ClassResult) int) func(*Result) float64 {
+	ratio := func(pick func(*ClassResult) int) func(*Result) float64 {
 		return func(r *Result) float64 {
 			n := 0
 			for i := range r.Classes {
@@ -37,9 +37,9 @@
 	return []Metric{
 		{"served worth", "share", 1, func(r *Result) float64 { return r.Share }},
 		{"worst 5 s", "share", 1, func(r *Result) float64 { return r.WorstShare(5) }},
-		{"refused", "share", -1, lost(func(c *ClassResult) int { return c.Refused })},
-		{"failed or left", "share", -1, lost(func(c *ClassResult) int { return c.Failed + c.GaveUp })},
-		{"late", "share", -1, lost(func(c *ClassResult) int { return c.Late })},
+		{"refused", "share", -1, ratio(func(c *ClassResult) int { return c.Refused })},
+		{"failed or left", "share", -1, ratio(func(c *ClassResult) int { return c.Failed + c.GaveUp })},
+		{"late", "share", -1, ratio(func(c *ClassResult) int { return c.Late })},
 		{"p95", "ms", -1, func(r *Result) float64 { return r.P95 }},
 		{"p99", "ms", -1, func(r *Result) float64 { return r.P99 }},
 		{"attempts a request", "", -1, func(r *Result) float64 { return r.PerRequest }},
@@ -59,10 +59,10 @@
 	Low     float64 `json:"low"` // of the interval that holds the mean difference with 95% confidence
 	High    float64 `json:"high"`
 	Seeds   int     `json:"seeds"`
-	Verdict string  `json:"verdict"` // better, worse or no difference that can be shown
+	Verdict string  `json:"verdict"` // better, worse or notDistinguished
 }
 
-// notDistinguished is the verdict if the interval contains 0.
+// notDistinguished is the Verdict if the interval contains 0.
 const notDistinguished = "not told apart"
 
 // Parameters of the bootstrap.
@@ -77,7 +77,7 @@
 	bySeed := map[uint64]*Result{}
 	for _, r := range base {
 		if bySeed[r.Seed] != nil {
-			return nil, fmt.Errorf("seed %d comes twice", r.Seed)
+			return nil, fmt.Errorf("seed %d occurs twice in the results to compare with", r.Seed)
 		}
 		bySeed[r.Seed] = r
 	}
@@ -88,12 +88,12 @@
 			continue
 		}
 		if a.Scenario != r.Scenario {
-			return nil, fmt.Errorf("scenarios %q and %q are not compared", a.Scenario, r.Scenario)
+			return nil, fmt.Errorf("scenarios %q and %q differ: results of different scenarios are not compared", a.Scenario, r.Scenario)
 		}
 		pairs = append(pairs, pair{a, r})
 	}
 	if len(pairs) < 2 {
-		return nil, fmt.Errorf("there are results of both for %d seeds: two are needed at least", len(pairs))
+		return nil, fmt.Errorf("both have results for %d seeds: two are needed at least", len(pairs))
 	}
 	var out []Difference
 	for _, m := range Metrics() {
@@ -105,14 +105,14 @@
 		low, high := bootstrap(d)
 		out = append(out, Difference{
 			Metric: m.Name, Unit: m.Unit, Base: stat.Mean(a, nil), Other: stat.Mean(b, nil), Mean: stat.Mean(d, nil),
-			Low: low, High: high, Seeds: len(pairs), Verdict: verdict(low, high, m.Better),
+			Low: low, High: high, Seeds: len(pairs), Verdict: classify(low, high, m.Better),
 		})
 	}
 	return out, nil
 }
 
-// verdict says whether an interval is better or worse.
-func verdict(low, high float64, better int) string {
+// classify returns whether an interval of differences means better, worse or notDistinguished.
+func classify(low, high float64, better int) string {
 	switch {
 	case low <= 0 && high >= 0:
 		return notDistinguished
@@ -122,7 +122,8 @@
 	return "worse"
 }
 
-// bootstrap returns the percentile interval of the mean (Efron and Tibshirani). Its draws are always the same.
+// bootstrap returns the percentile interval of the mean (Efron and Tibshirani). Its random numbers have a fixed seed, so that equal
+// input gives equal output.
 func bootstrap(d []float64) (low, high float64) {
 	r := rand.New(rand.NewPCG(1, uint64(len(d))))
 	means := make([]float64, resamples)
--- a/internal/emulate/compare_test.go
+++ b/internal/emulate/compare_test.go
@@ -8,20 +8,20 @@
 	"testing"
 )
 
-// figures gives one difference by its name.
-func figure(t *testing.T, list []Difference, name string) Difference {
+// findDifference returns the difference of a metric.
+func findDifference(t *testing.T, list []Difference, name string) Difference {
 	t.Helper()
 	for _, d := range list {
 		if d.Metric == name {
 			return d
 		}
 	}
-	t.Fatalf("no figure %q", name)
+	t.Fatalf("no difference of metric %q", name)
 	return Difference{}
 }
 
-// Equal results are not told apart; a difference that each pair shows is, however much the seeds differ among themselves; and one
-// that the seeds do not bear out is not.
+// Compare must not distinguish equal results, must detect a difference that every pair of seeds has even if the seeds vary much more
+// among themselves, and must not report a difference that only some seeds have.
 func TestCompare(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	var a, b, noisy []*Result
@@ -32,25 +32,25 @@
 		noisy = append(noisy, &Result{Seed: seed, Share: share + 0.1*(r.Float64()-0.5), P95: 100})
 	}
 	same, err := Compare(a, a)
-	if err != nil || figure(t, same, "served worth").Verdict != notDistinguished || figure(t, same, "p95").Mean != 0 {
+	if err != nil || findDifference(t, same, "served worth").Verdict != notDistinguished || findDifference(t, same, "p95").Mean != 0 {
 		t.Errorf("%+v, %v", same, err)
 	}
 	d, err := Compare(a, b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := figure(t, d, "served worth"); s.Verdict != "better" || s.Low < 0.01 || s.High > 0.012 || s.Seeds != 12 {
+	if s := findDifference(t, d, "served worth"); s.Verdict != "better" || s.Low < 0.01 || s.High > 0.012 || s.Seeds != 12 {
 		t.Errorf("%+v", s)
 	}
-	if s := figure(t, d, "p95"); s.Verdict != "worse" || s.Mean != 20 {
+	if s := findDifference(t, d, "p95"); s.Verdict != "worse" || s.Mean != 20 {
 		t.Errorf("%+v", s)
 	}
-	if d, err = Compare(a, noisy); err != nil || figure(t, d, "served worth").Verdict != notDistinguished {
+	if d, err = Compare(a, noisy); err != nil || findDifference(t, d, "served worth").Verdict != notDistinguished {
 		t.Errorf("%+v, %v", d, err)
 	}
 	again, _ := Compare(a, noisy)
 	if again[0] != d[0] {
-		t.Error("the same results are compared otherwise")
+		t.Error("comparing the same results twice gives different differences")
 	}
 	for _, c := range []struct {
 		a, b []*Result
@@ -65,7 +65,7 @@
 	}
 }
 
-// A variant that differs in its first decision only is compared over equal arrivals, and one that cannot serve is found worse.
+// Variants with the same seed must get the same arrivals, and a variant with too few servers must be reported as worse.
 func TestCompareVariants(t *testing.T) {
 	var jobs []Job
 	for _, sets := range [][]string{nil, {"servers.count=3"}} {
@@ -74,10 +74,10 @@
 			jobs = append(jobs, Job{sc, strings.Join(sets, " "), seed})
 		}
 	}
-	heard := 0
-	results, err := RunAll(t.Context(), jobs, 3, func(*Result) { heard++ })
-	if err != nil || heard != 8 {
-		t.Fatal(err, heard)
+	reported := 0
+	results, err := RunAll(t.Context(), jobs, 3, func(*Result) { reported++ })
+	if err != nil || reported != 8 {
+		t.Fatal(err, reported)
 	}
 	for i, r := range results {
 		if r.Seed != jobs[i].Seed || r.Variant != jobs[i].Variant {
@@ -88,13 +88,13 @@
 		}
 	}
 	d, err := Compare(results[:4], results[4:])
-	if err != nil || figure(t, d, "served worth").Verdict != "worse" {
+	if err != nil || findDifference(t, d, "served worth").Verdict != "worse" {
 		t.Errorf("%+v, %v", d, err)
 	}
 }
 
-// Who wants no more of it is heard soon, and a scenario that cannot be played ends all with its error.
-func TestPlayEnds(t *testing.T) {
+// RunAll must stop when its context ends, and must return the error of a scenario that cannot be run.
+func TestRunAllStops(t *testing.T) {
 	sc := load(t, "../../deploy/scenarios/calm.toml", "for=600s")
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
@@ -105,6 +105,6 @@
 	bad.Pool.Classes = nil
 	bad.Work = nil
 	if _, err := RunAll(t.Context(), []Job{{&bad, "", 1}, {sc, "", 2}}, 1, nil); err == nil {
-		t.Error("a pool without classes is played")
+		t.Error("a pool without classes is run")
 	}
 }
--- a/internal/emulate/defaults.go
+++ b/internal/emulate/defaults.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// SetDefaults sets what a scenario may leave out.
+// SetDefaults sets the values that a scenario may omit.
 func (s *Scenario) SetDefaults() {
 	s.For, s.Warmup = Duration(30*time.Second), Duration(5*time.Second)
 	s.Pool.SetDefaults()
@@ -16,7 +16,7 @@
 	s.Inner.SetDefaults()
 }
 
-// SetDefaults sets a second tier that is not present.
+// SetDefaults sets an absent second tier.
 func (t *Inner) SetDefaults() {
 	*t = Inner{}
 	t.Pool.SetDefaults()
@@ -42,14 +42,14 @@
 	*d = Discovery{Lag: Duration(100 * time.Millisecond), Jitter: Duration(100 * time.Millisecond), Detect: Duration(2 * time.Second)}
 }
 
-// SetDefaults sets a thousand callers. The rate has to be given.
+// SetDefaults sets a thousand callers. The rate is required.
 func (d *Demand) SetDefaults() { *d = Demand{Callers: 1000} }
 
 // SetDefaults sets exponential work.
 func (w *Work) SetDefaults() { *w = Work{Part: 1, Shape: "exponential", Deviation: 1} }
 
 // SetDefaults sets a caller that tries once.
-func (h *CallerHabit) SetDefaults() { *h = CallerHabit{Habit: habitNone, Share: 1, Tries: 1} }
+func (h *CallerBehavior) SetDefaults() { *h = CallerBehavior{Kind: behaviorNone, Share: 1, Tries: 1} }
 
 // SetDefaults sets a fault in one step.
 func (f *Fault) SetDefaults() {
--- a/internal/emulate/discovery.go
+++ b/internal/emulate/discovery.go
@@ -9,15 +9,15 @@
 	"milletmast/internal/subset"
 )
 
-// discoveryState is the present list of discovery.
+// discoveryState is the current endpoint list of discovery.
 type discoveryState struct {
 	entries map[uint32]balancer.ServerEntry
-	listed  []uint32 // those that are listed
-	changes []uint32 // servers, as they changed
+	listed  []uint32 // ids of the servers in the list
+	changes []uint32 // ids of changed servers, in the order of the changes
 	ring    subset.Ring
 }
 
-// setListed changes the state of a server in the list. Sidecars get the change after their delays.
+// setListed changes the state of a server in the list. Each sidecar receives the change after its own delay.
 func (w *simulation) setListed(s *server, st balancer.ServerState) {
 	t := &w.discovery
 	e := balancer.ServerEntry{ID: s.id, Zone: s.zone, Cell: s.cell, State: st, Weight: 1, StartedAt: max(s.started, 0)}
@@ -48,7 +48,7 @@
 	}
 }
 
-// entryOf returns the entry of a server for the module, with the overrides of operators.
+// entryOf returns the list entry of a server for the decision module, with the overrides of operators.
 func (h *sidecar) entryOf(id uint32) balancer.ServerEntry {
 	e := h.sim.discovery.entries[id]
 	e.StartedAt = h.overrides.StartTime(h.sim.serverName(id), e.StartedAt)
@@ -58,7 +58,7 @@
 	return e
 }
 
-// applyFullList gives the module the whole list, or the subset of this sidecar.
+// applyFullList gives the module the whole list, or the part of it that is in the subset of this sidecar.
 func (h *sidecar) applyFullList(kind balancer.ListKind) {
 	ids := h.sim.discovery.listed
 	if h.sizer != nil {
@@ -71,7 +71,7 @@
 	h.applyList(&ev)
 }
 
-// applyList gives the module a list, and records for the rules what the sidecar knows from now on.
+// applyList gives the module a list, and records for the rules which servers the sidecar knows from now on.
 func (h *sidecar) applyList(ev *balancer.Event) {
 	w := h.sim
 	if ev.List != balancer.ListDelta {
@@ -82,7 +82,7 @@
 		for _, id := range slices.Sorted(maps.Keys(h.known)) {
 			if !named[id] {
 				delete(h.known, id)
-				w.record(&rules.Fact{Kind: rules.ServerListed, Copy: h.copyID(), Server: id})
+				w.record(&rules.Fact{Kind: rules.ServerListed, Copy: h.replicaID(), Server: id})
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 		} else {
 			h.known[e.ID] = e
 		}
-		w.record(&rules.Fact{Kind: rules.ServerListed, Copy: h.copyID(), Server: e.ID, Serves: e.State == balancer.Ready})
+		w.record(&rules.Fact{Kind: rules.ServerListed, Copy: h.replicaID(), Server: e.ID, Serves: e.State == balancer.Ready})
 	}
 	if h.sizer != nil {
 		ev.Replicas = max(1, (h.sizer.Replicas*len(h.known)+w.discovery.ring.Len()/2)/max(w.discovery.ring.Len(), 1))
@@ -107,20 +107,20 @@
 	h.handle(ev)
 }
 
-// chooseSubset returns the subset by the present list of discovery, with servers that drain and are known.
+// chooseSubset returns the subset of the current list, and known servers that drain.
 func (h *sidecar) chooseSubset() []uint32 {
 	t := &h.sim.discovery
-	mine := t.ring.Select(h.sizer.Current(t.ring.Len()))
+	selected := t.ring.Select(h.sizer.Current(t.ring.Len()))
 	var ids []uint32
 	for _, id := range t.listed {
-		if _, knows := h.known[id]; mine[h.sim.serverName(id)] || knows && t.entries[id].State == balancer.Draining {
+		if _, known := h.known[id]; selected[h.sim.serverName(id)] || known && t.entries[id].State == balancer.Draining {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// applyChanges gives the module the changes of the list since the last ones.
+// applyChanges gives the module the changes of the list since its last update.
 func (h *sidecar) applyChanges() {
 	t := &h.sim.discovery
 	h.listPending = false
@@ -144,7 +144,7 @@
 	h.applyList(&ev)
 }
 
-// refreshSubset gives the module the difference between its subset and what it knows.
+// refreshSubset gives the module the difference between the current subset and the servers that it knows.
 func (h *sidecar) refreshSubset() {
 	ev := balancer.Event{Kind: balancer.EvServerList, List: balancer.ListDelta}
 	want := map[uint32]bool{}
@@ -164,7 +164,7 @@
 	}
 }
 
-// updateSubset has the subset grow while too few of its servers are usable, and schedules itself.
+// updateSubset grows the subset while too few of its servers are usable, and schedules its next call.
 func (h *sidecar) updateSubset() {
 	t := &h.sim.discovery
 	usable := max(h.usable-h.balancer.EjectedServers(), 0)
--- a/internal/emulate/fault.go
+++ b/internal/emulate/fault.go
@@ -6,7 +6,7 @@
 	"milletmast/balancer"
 )
 
-// startFault starts a fault.
+// startFault starts a fault, and schedules its end.
 func (w *simulation) startFault(f *Fault, r *rand.Rand) {
 	span := f.For.MS()
 	after := func(do func()) { w.clock.after(span, do) }
@@ -44,15 +44,15 @@
 	case faultZone:
 		w.loseZone(f)
 	case faultCut:
-		w.cutZone(f, 1)
-		after(func() { w.cutZone(f, -1) })
+		w.partitionZone(f, 1)
+		after(func() { w.partitionZone(f, -1) })
 	case faultRestart:
 		w.restartSidecars(w.chooseSidecars(f, r), f)
 	case faultStall:
 		for _, h := range w.chooseSidecars(f, r) {
 			h.stalled = max(h.stalled, w.now()+span)
 		}
-	case faultDeaf:
+	case faultListLate:
 		for _, h := range w.chooseSidecars(f, r) {
 			h.listBlocks++
 			after(func() {
@@ -60,14 +60,14 @@
 				h.run(h.starts, h.applyChanges)
 			})
 		}
-	case faultShort:
+	case faultListShort:
 		w.omitFromLists(f, r)
 	case faultHold:
 		w.holdServers(w.chooseServers(f, r), f)
 	}
 }
 
-// chooseServers draws the servers of a fault, in a random order.
+// chooseServers draws the servers that a fault affects, in a random order.
 func (w *simulation) chooseServers(f *Fault, r *rand.Rand) []*server {
 	var all, out []*server
 	for _, s := range w.servers {
@@ -81,7 +81,7 @@
 	return out
 }
 
-// chooseSidecars draws the sidecars of a fault, in a random order.
+// chooseSidecars draws the sidecars that a fault affects, in a random order.
 func (w *simulation) chooseSidecars(f *Fault, r *rand.Rand) []*sidecar {
 	var all, out []*sidecar
 	for _, h := range w.sidecars {
@@ -103,7 +103,7 @@
 	return ""
 }
 
-// runInSteps calls do with each number below n, an equal share of them at each of so many steps over a time.
+// runInSteps calls do with each number below n: in equal groups, one at each of steps points in time over a span in ms.
 func (w *simulation) runInSteps(n, steps int, span float64, do func(i int)) {
 	steps = max(min(steps, n), 1)
 	for i := range n {
@@ -111,12 +111,12 @@
 	}
 }
 
-// replaceServers drains servers, and adds others, cold, in their slots once they have ended.
+// replaceServers drains servers, ends them, and then adds new, cold servers in their slots.
 func (w *simulation) replaceServers(old []*server, f *Fault) {
 	w.runInSteps(len(old), f.Steps, f.For.MS(), func(i int) {
 		s := old[i]
 		if s.replaced || w.servers[s.slot] != s {
-			return // replaced by another fault meanwhile
+			return // another fault has replaced it
 		}
 		s.replaced = true
 		w.setListed(s, balancer.Draining)
@@ -128,7 +128,7 @@
 	})
 }
 
-// loseZone ends the servers and the sidecars of a zone. They start again at the end, the servers cold.
+// loseZone ends the servers and the sidecars of a zone. At the end of the fault they start again, the servers cold.
 func (w *simulation) loseZone(f *Fault) {
 	for _, s := range w.servers {
 		if w.zoneName(int(s.zone)) == f.Zone {
@@ -148,28 +148,28 @@
 	}
 }
 
-// cutZone cuts a zone off from the others, or joins it again.
-func (w *simulation) cutZone(f *Fault, by int) {
+// partitionZone adds change to the number of faults that separate a zone from the others: 1 to start one, -1 to end it.
+func (w *simulation) partitionZone(f *Fault, change int) {
 	for _, s := range w.servers {
 		if w.zoneName(int(s.zone)) == f.Zone {
-			s.cutFaults += by
+			s.cutFaults += change
 		}
 	}
 	for _, h := range w.sidecars {
 		if w.zoneName(h.zone) == f.Zone {
-			h.cutFaults += by
+			h.cutFaults += change
 		}
 	}
 }
 
 // restartSidecars ends sidecars and starts them again.
-func (w *simulation) restartSidecars(copies []*sidecar, f *Fault) {
-	w.runInSteps(len(copies), f.Steps, f.For.MS(), func(i int) {
-		h := copies[i]
+func (w *simulation) restartSidecars(sidecars []*sidecar, f *Fault) {
+	w.runInSteps(len(sidecars), f.Steps, f.For.MS(), func(i int) {
+		h := sidecars[i]
 		h.shutDown(f.Kill)
 		var again func()
 		again = func() {
-			if h.up { // it finishes what it has
+			if h.up { // it still finishes its open requests
 				w.clock.after(100, again)
 				return
 			}
@@ -179,7 +179,7 @@
 	})
 }
 
-// omitFromLists gives sidecars full lists without some servers, and at the end the true ones.
+// omitFromLists gives sidecars full lists that omit some servers, and at the end of the fault the correct lists.
 func (w *simulation) omitFromLists(f *Fault, r *rand.Rand) {
 	missing := map[uint32]bool{}
 	for _, s := range w.chooseServers(f, r) {
@@ -189,9 +189,9 @@
 		if !h.up {
 			continue
 		}
-		life := h.starts
+		incarnation := h.starts
 		h.listBlocks++
-		h.run(life, func() {
+		h.run(incarnation, func() {
 			ev := balancer.Event{Kind: balancer.EvServerList, List: balancer.ListFull}
 			ids := w.discovery.listed
 			if h.sizer != nil {
@@ -216,7 +216,7 @@
 	}
 }
 
-// holdServers has operators hold servers at every sidecar, and release them at the end.
+// holdServers holds servers out of service at every sidecar, as operators do, and releases them at the end of the fault.
 func (w *simulation) holdServers(out []*server, f *Fault) {
 	apply := func(hold bool) {
 		for _, h := range w.sidecars {
@@ -231,7 +231,7 @@
 	w.clock.after(f.For.MS(), func() { apply(false) })
 }
 
-// setHeld changes the overrides of the sidecar so that servers are held, or not any more.
+// setHeld holds or releases servers in the overrides of the sidecar.
 func (h *sidecar) setHeld(servers []*server, hold bool) error {
 	for _, s := range servers {
 		name, now := h.sim.serverName(s.id), h.sim.now()
@@ -248,7 +248,7 @@
 	return nil
 }
 
-// updateEntries gives the module the present entries of those of the servers that it knows.
+// updateEntries gives the module the current entries of those of the servers that it knows.
 func (h *sidecar) updateEntries(servers []*server) {
 	ev := balancer.Event{Kind: balancer.EvServerList, List: balancer.ListDelta}
 	for _, s := range servers {
@@ -261,7 +261,7 @@
 	}
 }
 
-// drawSome draws some of n, in a random order.
+// drawSome draws up to most of the numbers below n, in a random order.
 func drawSome(r *rand.Rand, n, most int) []int {
 	return r.Perm(n)[:min(n, most)]
 }
--- a/internal/emulate/fleet.go
+++ b/internal/emulate/fleet.go
@@ -14,19 +14,19 @@
 // memberName returns the name of the sidecar as a member of the fleet.
 func (h *sidecar) memberName() string { return fmt.Sprint("c", h.rank) }
 
-// startFleetShedding starts load shedding with the other sidecars. All of them are members: their views are played over processes
-// only.
+// startFleetShedding starts the load shedding that all sidecars share. All sidecars are members all the time; only drills have
+// differing membership views.
 func (h *sidecar) startFleetShedding() {
 	h.shedder = nil
 	w := h.sim
 	if !w.scenario.Copies.Allot {
 		return
 	}
-	worths := make([]float64, len(w.scenario.Pool.Classes))
+	weights := make([]float64, len(w.scenario.Pool.Classes))
 	for i, c := range w.scenario.Pool.Classes {
-		worths[i] = c.Worth
+		weights[i] = c.Worth
 	}
-	door, err := loadshed.NewShedder(loadshed.DefaultConfig(h.memberName(), worths))
+	shedder, err := loadshed.NewShedder(loadshed.DefaultConfig(h.memberName(), weights))
 	if err != nil {
 		w.setError(err)
 		return
@@ -35,17 +35,17 @@
 	for k := range w.scenario.Copies.Count {
 		names = append(names, fmt.Sprint("c", k))
 	}
-	door.SetMembers(names)
-	h.shedder = door
+	shedder.SetMembers(names)
+	h.shedder = shedder
 	every := float64(loadshed.Interval / time.Millisecond)
 	h.later(every*w.random.uniform(drawList, uint64(h.rank), h.starts<<33), h.exchangeSummaries)
 }
 
-// exchangeSummaries sends the summary of this sidecar to the others, and decides what is shed from now on.
+// exchangeSummaries sends the summary of this sidecar to the others, updates its own admission, and schedules its next call.
 func (h *sidecar) exchangeSummaries() {
 	w := h.sim
-	memory := h.balancer.Export()
-	s := h.shedder.Update(h.starts, func(class int) float64 { return memory.Classes[class].MeanLatency }, w.wallTime())
+	learned := h.balancer.Export()
+	s := h.shedder.Update(h.starts, func(class int) float64 { return learned.Classes[class].MeanLatency }, w.wallTime())
 	w.clock.after(summaryDelay, func() {
 		for _, o := range w.sidecars {
 			if o != h && o.up && o.shedder != nil && (o.zone == h.zone || o.cutFaults == 0 && h.cutFaults == 0) && o.stalled <= w.now() {
@@ -56,7 +56,7 @@
 	h.later(float64(loadshed.Interval/time.Millisecond), h.exchangeSummaries)
 }
 
-// admitByFleet applies the decision of all sidecars to a call.
+// admitByFleet applies the load shedding that all sidecars share to a call.
 func (h *sidecar) admitByFleet(c *call) {
 	if h.shedder == nil || c.event.Shed {
 		return
--- a/internal/emulate/levels.go
+++ b/internal/emulate/levels.go
@@ -12,14 +12,14 @@
 	"milletmast/internal/rules"
 )
 
-// levelState is the level of reduced service of a sidecar.
+// levelState is the degradation level of a sidecar and its signals.
 type levelState struct {
 	controller *degradation.Controller
 	meter      *degradation.Meter
 	waiting    *list.List
 }
 
-// updateLevels updates the level by the signals, and schedules itself.
+// updateLevels updates the level by the signals, and schedules its next call.
 func (h *sidecar) updateLevels() {
 	s, now := h.levels, h.sim.wallTime()
 	waits := time.Duration(0)
@@ -32,7 +32,7 @@
 		r[degradation.UsableRatio] = usable / float64(len(h.known))
 	}
 	if usable > 0 {
-		r[degradation.WarmRatio] = max(0, usable-h.coldness()) / usable
+		r[degradation.WarmRatio] = max(0, usable-h.warmupShortfall()) / usable
 	}
 	if s.controller.Update(now, r, s.meter.Demand(now)) {
 		h.sim.result.levelChanges++
@@ -40,11 +40,11 @@
 	h.later(levelInterval, h.updateLevels)
 }
 
-// coldness returns the missing capacity of cold servers, in servers, as the sidecar knows it.
-func (h *sidecar) coldness() float64 {
+// warmupShortfall returns the capacity that cold servers do not have yet, in servers, as the sidecar estimates it.
+func (h *sidecar) warmupShortfall() float64 {
 	sum, p := 0.0, &h.sim.scenario.Pool
 	ramp := p.Ramp.MS()
-	for _, id := range slices.Sorted(maps.Keys(h.known)) { // sums depend on their order in the last place
+	for _, id := range slices.Sorted(maps.Keys(h.known)) { // sorted, as the rounding of the sum depends on the order
 		if e := h.known[id]; e.State == balancer.Ready && ramp > 0 && e.StartedAt != 0 && h.sim.now()-e.StartedAt < ramp {
 			sum += (1 - p.ColdFrom) * (1 - max(h.sim.now()-e.StartedAt, 0)/ramp)
 		}
--- a/internal/emulate/load.go
+++ b/internal/emulate/load.go
@@ -13,7 +13,7 @@
 // Limits of a scenario.
 const (
 	maxScenario = 1 << 20
-	maxCopies   = 10_000
+	maxReplicas = 10_000
 	maxServers  = 20_000
 	maxRequests = 50_000_000 // of a run: its rate times its duration
 	maxFaults   = 1000
@@ -24,34 +24,34 @@
 	return loadFor(path, (*Scenario).checkEmulated, overrides)
 }
 
-// LoadDrill reads a scenario that is to be played over processes.
+// LoadDrill reads a scenario for a drill, which runs processes.
 func LoadDrill(path string, overrides ...string) (*Scenario, error) {
 	return loadFor(path, (*Scenario).checkDrill, overrides)
 }
 
-// loadFor reads a scenario with the checks of those who play it.
-func loadFor(path string, more func(*Scenario, func(field, text string)), overrides []string) (*Scenario, error) {
+// loadFor reads a scenario. Further checks are those of the emulator or of drills.
+func loadFor(path string, furtherChecks func(*Scenario, func(field, text string)), overrides []string) (*Scenario, error) {
 	text, err := operator.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return parse(path, text, more, overrides)
+	return parse(path, text, furtherChecks, overrides)
 }
 
-// Parse checks the text of a scenario for the emulator. All faults are reported, with file, line and field.
+// Parse parses the text of a scenario for the emulator. The error lists all mistakes, with file, line and field.
 func Parse(path string, text []byte, overrides ...string) (*Scenario, error) {
 	return parse(path, text, (*Scenario).checkEmulated, overrides)
 }
 
-// ParseDrill checks the text of a scenario that is to be played over processes.
+// ParseDrill parses the text of a scenario for a drill, which runs processes.
 func ParseDrill(path string, text []byte, overrides ...string) (*Scenario, error) {
 	return parse(path, text, (*Scenario).checkDrill, overrides)
 }
 
 // parse decodes and checks a scenario.
-func parse(path string, text []byte, more func(*Scenario, func(field, text string)), overrides []string) (*Scenario, error) {
+func parse(path string, text []byte, furtherChecks func(*Scenario, func(field, text string)), overrides []string) (*Scenario, error) {
 	if len(text) > maxScenario {
-		return nil, fmt.Errorf("%s: the file is over %d KiB", path, maxScenario>>10)
+		return nil, fmt.Errorf("%s: the file is larger than the allowed %d KiB", path, maxScenario>>10)
 	}
 	s := &Scenario{}
 	err := operator.DecodeText(path, text, s, func(tree map[string]any) error {
@@ -63,7 +63,7 @@
 		return nil
 	}, func(report func(field, text string)) {
 		s.check(report)
-		more(s, report)
+		furtherChecks(s, report)
 	})
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 }
 
 // applyOverride sets a field of the tree of a scenario: "demand.rate=900", "fault.0.for=3s", "pool.class.browse.aim=100ms" (an element
-// of a list is named by its place, or by its name or class). The value is TOML, or a text without quotes.
+// of a list is selected by its index, name or class). The value is TOML, or a string without quotes.
 func applyOverride(tree map[string]any, text string) error {
 	path, value, ok := strings.Cut(text, "=")
 	if !ok {
--- a/internal/emulate/model_test.go
+++ b/internal/emulate/model_test.go
@@ -9,8 +9,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// feed plays a Poisson process of work straight into a server, and gives the mean time that requests wait for a core.
-func feed(seed uint64, spec *ServerSpec, rate float64, f workShape, mean float64, n int) float64 {
+// measureWait sends a Poisson process of work directly to a server, and returns the mean time for which requests wait for a core.
+func measureWait(seed uint64, spec *ServerSpec, rate float64, f workShape, mean float64, n int) float64 {
 	c := &clock{}
 	s := &server{spec: spec, clock: c, speed: 1, speedFactor: 1, started: -1, onOverload: func() {}}
 	r := randomStreams(seed).stream("feed")
@@ -19,10 +19,10 @@
 		at += r.ExpFloat64() * 1000 / rate
 		work := mean * f(r.Float64())
 		c.schedule(at, func() {
-			came := c.now
+			arrivedAt := c.now
 			s.accept(&job{work: work, onEnd: func(jobOutcome) {
 				if i > n/10 {
-					waited += c.now - came - work
+					waited += c.now - arrivedAt - work
 					counted++
 				}
 			}})
@@ -34,7 +34,7 @@
 	return waited / float64(counted)
 }
 
-// erlangC is the part of the requests that wait for one of c cores at a load of a cores.
+// erlangC returns the share of the requests that wait for one of c cores at an offered load of a cores.
 func erlangC(c int, a float64) float64 {
 	b := 1.0
 	for k := 1; k <= c; k++ {
@@ -44,8 +44,8 @@
 	return b / (1 - rho + rho*b)
 }
 
-// The model of a server waits as theory has it: M/M/1, M/M/c and M/G/1 (Pollaczek and Khinchine), within the 99.9% interval of
-// independent runs.
+// The mean wait in the model of a server must agree with queueing theory: M/M/1, M/M/c and M/G/1 (Pollaczek and Khinchine), within the
+// 99.9% interval of independent runs.
 func TestServerAgainstTheory(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -71,65 +71,65 @@
 			const runs = 16
 			var means []float64
 			for i := range uint64(runs) {
-				means = append(means, feed(i+1, &ServerSpec{Cores: c.cores, Queue: 1 << 30}, c.rate, f, 10, 30_000))
+				means = append(means, measureWait(i+1, &ServerSpec{Cores: c.cores, Queue: 1 << 30}, c.rate, f, 10, 30_000))
 			}
 			mean, deviation := stat.MeanStdDev(means, nil)
 			half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: runs - 1}.Quantile(0.9995) * deviation / math.Sqrt(runs)
 			if math.Abs(mean-c.want) > half || half > 0.2*c.want {
-				t.Errorf("waits %.3f ms ± %.3f, theory has %.3f", mean, half, c.want)
+				t.Errorf("mean wait of %.3f ms ± %.3f, want %.3f", mean, half, c.want)
 			}
 		})
 	}
 }
 
-// A queue that is full answers so, and what its callers have left is not begun.
+// A request that finds the queue full must be rejected, and a queued one whose client has left must not be started.
 func TestServerQueue(t *testing.T) {
 	c := &clock{}
 	s := &server{spec: &ServerSpec{Cores: 1, Queue: 2}, clock: c, speed: 1, speedFactor: 1, started: -1, onOverload: func() {}}
-	var told []jobOutcome
+	var outcomes []jobOutcome
 	var at []float64
 	jobs := make([]*job, 4)
 	for i := range jobs {
-		jobs[i] = &job{work: 10, onEnd: func(o jobOutcome) { told, at = append(told, o), append(at, c.now) }}
+		jobs[i] = &job{work: 10, onEnd: func(o jobOutcome) { outcomes, at = append(outcomes, o), append(at, c.now) }}
 		s.accept(jobs[i])
 	}
 	jobs[1].abandoned = true
 	for c.next() < math.Inf(1) {
 		c.step()
 	}
-	if !slices.Equal(told, []jobOutcome{jobFull, jobDone, jobDone}) || at[2] != 20 {
-		t.Errorf("told %v at %v", told, at)
+	if !slices.Equal(outcomes, []jobOutcome{jobFull, jobDone, jobDone}) || at[2] != 20 {
+		t.Errorf("outcomes %v at %v", outcomes, at)
 	}
 	if s.load() != 0 {
-		t.Errorf("%d are held", s.load())
+		t.Errorf("%d requests are left", s.load())
 	}
 }
 
-// A server that ends loses what waits and what runs, once, and what ran then does not come back when it serves again.
+// A server that crashes must report each waiting and running job as lost exactly once, also after it has restarted.
 func TestServerEnds(t *testing.T) {
 	c := &clock{}
 	s := &server{spec: &ServerSpec{Cores: 2, Queue: 9, ColdFrom: 0.5, Ramp: Duration(1e9)}, clock: c, speed: 1, speedFactor: 1, started: -1, onOverload: func() {}}
-	told := map[int][]jobOutcome{}
+	outcomes := map[int][]jobOutcome{}
 	for i := range 5 {
-		s.accept(&job{work: 10, onEnd: func(o jobOutcome) { told[i] = append(told[i], o) }})
+		s.accept(&job{work: 10, onEnd: func(o jobOutcome) { outcomes[i] = append(outcomes[i], o) }})
 	}
 	c.schedule(5, s.crash)
 	c.schedule(6, s.restart)
-	c.schedule(7, func() { s.accept(&job{work: 10, onEnd: func(o jobOutcome) { told[5] = append(told[5], o) }}) })
+	c.schedule(7, func() { s.accept(&job{work: 10, onEnd: func(o jobOutcome) { outcomes[5] = append(outcomes[5], o) }}) })
 	for c.next() < math.Inf(1) {
 		c.step()
 	}
 	for i := range 5 {
-		if !slices.Equal(told[i], []jobOutcome{jobLost}) {
-			t.Errorf("request %d: %v", i, told[i])
+		if !slices.Equal(outcomes[i], []jobOutcome{jobLost}) {
+			t.Errorf("request %d: %v", i, outcomes[i])
 		}
 	}
-	if !slices.Equal(told[5], []jobOutcome{jobDone}) || c.now < 7+10/0.51 {
-		t.Errorf("after the restart: %v at %v", told[5], c.now)
+	if !slices.Equal(outcomes[5], []jobOutcome{jobDone}) || c.now < 7+10/0.51 {
+		t.Errorf("after the restart: %v at %v", outcomes[5], c.now)
 	}
 }
 
-// What is due at one instant happens in the order in which it was asked for, and what is asked for in the past now.
+// Events at the same time must run in the order in which they were scheduled, and events in the past must run at once.
 func TestClockOrder(t *testing.T) {
 	c := &clock{}
 	const n = 5000
@@ -154,11 +154,11 @@
 		want = append(want, i)
 	}
 	if want = append(want, n); !slices.Equal(order, want) {
-		t.Errorf("%d things in another order: %v ...", len(order), order[:10])
+		t.Errorf("%d events in the wrong order: %v ...", len(order), order[:10])
 	}
 }
 
-// The shapes of work have the mean 1.
+// Each distribution of work must have the mean 1.
 func TestShapes(t *testing.T) {
 	for _, name := range []string{"fixed", "exponential", "lognormal", "uniform"} {
 		f, _ := newWorkShape(name, 1.2)
--- a/internal/emulate/random.go
+++ b/internal/emulate/random.go
@@ -9,8 +9,8 @@
 	"milletmast/internal/namehash"
 )
 
-// randomStreams are streams of random numbers by name, from one seed. What is drawn from one does not depend on the others, so that
-// two variants of a scenario get the same arrivals, work and faults as far as they ask for the same (common random numbers).
+// randomStreams are named streams of random numbers from one seed. Drawing from one does not affect the others, so that variants of a
+// scenario have the same arrivals, work and faults as far as they make the same draws (common random numbers).
 type randomStreams uint64
 
 func newStreams(seed uint64) randomStreams { return randomStreams(namehash.Mix(seed + 1)) }
@@ -28,7 +28,7 @@
 	return float64(z>>11) / (1 << 53)
 }
 
-// The names of numbers of one request or one attempt.
+// Hashes of the names of random numbers that are drawn for one request, attempt or sidecar.
 var (
 	drawWork      = namehash.Hash("work")
 	drawDelay     = namehash.Hash("delay")
--- a/internal/emulate/result.go
+++ b/internal/emulate/result.go
@@ -17,21 +17,21 @@
 	Classes  []ClassResult `json:"classes"`
 	Asked    int           `json:"asked"`
 	Tries    int           `json:"tries"`
-	Worth    float64       `json:"worth"`  // of the requests, whatever comes of them
-	Earned   float64       `json:"earned"` // answered in time, and of late answers the part that their class gives
-	Share    float64       `json:"share"`  // earned of worth
-	P50      float64       `json:"p50_ms"` // of answers, each from its try's beginning
+	Worth    float64       `json:"worth"`  // priority weight of all requests
+	Earned   float64       `json:"earned"` // priority weight of responses in time, and of late responses the share that their class gives
+	Share    float64       `json:"share"`  // Earned divided by Worth
+	P50      float64       `json:"p50_ms"` // of responses, each from the start of its try
 	P95      float64       `json:"p95_ms"`
 	P99      float64       `json:"p99_ms"`
 
-	// Of the whole run:
+	// The fields below are over the whole run, with the warm-up.
 	Attempts       int           `json:"attempts"`
 	PerRequest     float64       `json:"attempts_per_request"`
 	Connections    int           `json:"connections"` // opened
-	Lists          int           `json:"lists"`       // given to sidecars
-	Backstops      int           `json:"backstops"`   // calls that the module left unanswered
+	Lists          int           `json:"lists"`       // list updates given to sidecars
+	Backstops      int           `json:"backstops"`   // calls that ended without a decision of the module
 	LevelChanges   int           `json:"level_changes"`
-	Overloads      int           `json:"falls"` // cold servers pushed over
+	Overloads      int           `json:"falls"` // cold servers that failed from overload
 	Violations     []string      `json:"breaks"`
 	ViolationCount int           `json:"break_count"`
 	Margins        rules.Margins `json:"margins"`
@@ -46,7 +46,7 @@
 	last                                                  float64
 	open                                                  int
 	totalTime                                             float64
-	aims, worths, lates                                   []float64
+	latencyTargets, weights, lateShares                   []float64 // by class
 }
 
 // ClassResult counts the requests of a class by the end of their last try.
@@ -57,7 +57,7 @@
 	Late    int     `json:"late"`
 	Refused int     `json:"refused"`
 	Failed  int     `json:"failed"`
-	GaveUp  int     `json:"gave_up"` // its caller left before an answer
+	GaveUp  int     `json:"gave_up"` // its caller left before a response
 	Worth   float64 `json:"worth"`
 	Earned  float64 `json:"earned"`
 }
@@ -86,7 +86,7 @@
 	At     float64
 	Class  int
 	Number int
-	Counts bool // it came after the warmup
+	Counts bool // its request arrived after the warm-up
 }
 
 // maxLatency is the longest latency that is recorded, in µs.
@@ -99,12 +99,12 @@
 	}
 	for _, c := range sc.Pool.Classes {
 		r.Classes = append(r.Classes, ClassResult{Name: c.Name})
-		r.aims, r.worths, r.lates = append(r.aims, c.Aim.MS()), append(r.worths, c.Worth), append(r.lates, c.Late)
+		r.latencyTargets, r.weights, r.lateShares = append(r.latencyTargets, c.Aim.MS()), append(r.weights, c.Worth), append(r.lateShares, c.Late)
 	}
 	return r
 }
 
-// second returns the second of a time.
+// second returns the counts of the second that contains a time.
 func (r *Result) second(at float64) *Second {
 	n := max(int((at-r.start)/1000), 0)
 	for len(r.Seconds) <= n {
@@ -126,7 +126,7 @@
 	s := r.second(q.At)
 	s.Tries++
 	if q.Number == 1 {
-		s.Worth += r.worths[q.Class]
+		s.Worth += r.weights[q.Class]
 	}
 	if !q.Counts {
 		return
@@ -135,11 +135,11 @@
 	if q.Number == 1 {
 		c := &r.Classes[q.Class]
 		c.Asked++
-		c.Worth += r.worths[q.Class]
+		c.Worth += r.weights[q.Class]
 	}
 }
 
-// RecordEnd counts a try that ends. Last says that its caller does not try again.
+// RecordEnd counts a try that ends. Last means that its caller does not retry.
 func (r *Result) RecordEnd(q Try, answer rules.Answer, now float64, last bool) {
 	r.addOpenTime(now, -1)
 	took := now - q.At
@@ -147,8 +147,8 @@
 	s := r.second(now)
 	earned := 0.0
 	if answer == rules.Served {
-		if earned = r.worths[q.Class]; took > r.aims[q.Class] {
-			earned *= r.lates[q.Class]
+		if earned = r.weights[q.Class]; took > r.latencyTargets[q.Class] {
+			earned *= r.lateShares[q.Class]
 		}
 	}
 	switch {
@@ -156,7 +156,7 @@
 		s.Refused++
 	case answer != rules.Served:
 		s.Failed++
-	case took <= r.aims[q.Class]:
+	case took <= r.latencyTargets[q.Class]:
 		s.InTime++
 	}
 	s.Earned += earned
@@ -164,7 +164,7 @@
 		return
 	}
 	if answer == rules.Served {
-		_ = r.latencies.RecordValue(max(int64(took*1000), 1)) // fails over maxLatency: such a one is not counted
+		_ = r.latencies.RecordValue(max(int64(took*1000), 1)) // fails over maxLatency: such a latency is not counted
 	}
 	if !last {
 		return
@@ -178,7 +178,7 @@
 		c.Failed++
 	case answer == 0:
 		c.GaveUp++
-	case took <= r.aims[q.Class]:
+	case took <= r.latencyTargets[q.Class]:
 		c.InTime++
 	default:
 		c.Late++
@@ -186,7 +186,7 @@
 }
 
 // Summarize computes the totals at the end of a run.
-func (r *Result) Summarize(now float64, taken uint64, checker *rules.Checker) {
+func (r *Result) Summarize(now float64, accepted uint64, checker *rules.Checker) {
 	for i := range r.Classes {
 		c := &r.Classes[i]
 		r.Asked += c.Asked
@@ -198,7 +198,7 @@
 	if r.latencies.TotalCount() > 0 {
 		r.P50, r.P95, r.P99 = at(50), at(95), at(99)
 	}
-	r.PerRequest = float64(r.Attempts) / math.Max(float64(taken), 1)
+	r.PerRequest = float64(r.Attempts) / math.Max(float64(accepted), 1)
 	for _, b := range checker.Violations {
 		b.At -= r.start
 		r.Violations = append(r.Violations, b.String())
@@ -217,18 +217,18 @@
 	r.Events, r.Hash = w.clock.executed, fmt.Sprintf("%016x", w.hash.Sum64())
 }
 
-// WorstShare returns the least share of the worth that was earned over so many seconds in a row. Worth is earned when the response
-// comes, so that a share can exceed 1 when retries succeed.
+// WorstShare returns the lowest share of the priority weight that was earned over any window of some seconds. The weight counts as
+// offered at the first try and as earned at the response, so that a share can exceed 1 when retries succeed.
 func (r *Result) WorstShare(seconds int) float64 {
 	worst := math.Inf(1)
 	for i := 0; i+seconds <= len(r.Seconds); i++ {
-		asked, earned := 0.0, 0.0
+		offered, earned := 0.0, 0.0
 		for _, s := range r.Seconds[i : i+seconds] {
-			asked += s.Worth
+			offered += s.Worth
 			earned += s.Earned
 		}
-		if asked > 0 {
-			worst = min(worst, earned/asked)
+		if offered > 0 {
+			worst = min(worst, earned/offered)
 		}
 	}
 	if math.IsInf(worst, 1) {
--- a/internal/emulate/run.go
+++ b/internal/emulate/run.go
@@ -7,14 +7,14 @@
 	"sync"
 )
 
-// Run plays a scenario. The same scenario and seed give the same result on every machine.
+// Run runs a scenario. The same scenario and seed give the same result on every machine.
 func Run(sc *Scenario, seed uint64) (*Result, error) { return RunUntil(context.Background(), sc, seed) }
 
-// RunUntil is Run until ctx ends.
+// RunUntil is Run, but it stops with the error of ctx when ctx ends.
 func RunUntil(ctx context.Context, sc *Scenario, seed uint64) (*Result, error) {
 	w := newSimulation(sc, seed)
 	w.isStopped = func() bool { return ctx.Err() != nil }
-	w.play()
+	w.run()
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
@@ -24,23 +24,23 @@
 	return w.result, nil
 }
 
-// Job is a run to be played.
+// Job is one run of a scenario.
 type Job struct {
 	Scenario *Scenario
 	Variant  string
 	Seed     uint64
 }
 
-// RunAll plays runs, several at once, and returns their results in the order of the jobs. OnResult is called with each result, by one
+// RunAll runs jobs, several at once, and returns their results in the order of the jobs. OnResult is called with each result, by one
 // goroutine at a time; it may be nil. It stops at the first error or when ctx ends.
-func RunAll(ctx context.Context, jobs []Job, atOnce int, heard func(*Result)) ([]*Result, error) {
+func RunAll(ctx context.Context, jobs []Job, concurrency int, onResult func(*Result)) ([]*Result, error) {
 	results, errs := make([]*Result, len(jobs)), make([]error, len(jobs))
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	next := make(chan int)
 	var mu sync.Mutex
 	var workers sync.WaitGroup
-	for range max(min(atOnce, len(jobs)), 1) {
+	for range max(min(concurrency, len(jobs)), 1) {
 		workers.Go(func() {
 			for i := range next {
 				r, err := RunUntil(ctx, jobs[i].Scenario, jobs[i].Seed)
@@ -51,9 +51,9 @@
 				}
 				r.Variant = jobs[i].Variant
 				results[i] = r
-				if heard != nil {
+				if onResult != nil {
 					mu.Lock()
-					heard(r)
+					onResult(r)
 					mu.Unlock()
 				}
 			}
--- a/internal/emulate/scenario_test.go
+++ b/internal/emulate/scenario_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const least = `for = "10s"
+const minimalScenario = `for = "10s"
 [[pool.class]]
 name = "read"
 aim = "100ms"
@@ -20,9 +20,9 @@
 mean = "10ms"
 `
 
-// What a scenario cannot mean is told with its line and field; a file is taken whole or not at all.
+// A mistake in a scenario must be reported with its line and field, and the whole file must be rejected.
 func TestBadScenarios(t *testing.T) {
-	if _, err := Parse("s.toml", []byte(least)); err != nil {
+	if _, err := Parse("s.toml", []byte(minimalScenario)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ from, to, want string }{
@@ -30,13 +30,13 @@
 		{`rate = 10`, `rate = "ten"`, `s.toml:8: demand.rate: must be a number, not a text`},
 		{`rate = 10`, `rate = -1`, `s.toml:8: demand.rate: -1 is not within 0.001 and 1e+07`},
 		{`rate = 10`, `rate = nan`, `s.toml:8: demand.rate`},
-		{`rate = 10`, `rate = 9e6`, `s.toml:8: demand.rate: up to 90000000 requests, over the 50000000 allowed`},
-		{`rate = 10`, "rate = 10\ncurve = [{at=\"2s\", times=1.0}, {at=\"1s\", times=2.0}]", `s.toml:9: demand.curve[1].at: points come in the order of their times`},
+		{`rate = 10`, `rate = 9e6`, `s.toml:8: demand.rate: up to 90000000 requests in the run: at most 50000000 are allowed`},
+		{`rate = 10`, "rate = 10\ncurve = [{at=\"2s\", times=1.0}, {at=\"1s\", times=2.0}]", `s.toml:9: demand.curve[1].at: 1s is not after the previous point: points must be in ascending order of time`},
 		{`mean = "10ms"`, `mean = "10"`, `s.toml:11: work[0].mean: "10" is no time`},
 		{`mean = "10ms"`, "mean = \"10ms\"\nshape = \"normal\"", `s.toml:12: work[0].shape: "normal" is unknown`},
-		{`class = "read"`, `class = "write"`, `s.toml:10: work[0].class: "write" is no class of the pool`},
-		{`class = "read"`, `class = "write"`, `class "read" has none`},
-		{`for = "10s"`, `for = "1s"`, `warmup: 5s leaves nothing of the 1s that is played`},
+		{`class = "read"`, `class = "write"`, `s.toml:10: work[0].class: class "write" does not exist in the pool`},
+		{`class = "read"`, `class = "write"`, `class "read" has no entry`},
+		{`for = "10s"`, `for = "1s"`, `warmup: 5s is not shorter than the run of 1s`},
 		{`for = "10s"`, `for = "10s"` + "\nwarmup = 5", `s.toml:2: warmup`},
 		{`aim = "100ms"`, `aim = "2s"`, `s.toml:4: pool.class[0].aim: 2s is longer than the give_up of 1s`},
 		{`[demand]`, "[copies]\ncount = 0\n[demand]", `s.toml:8: copies.count: 0 is not within 1 and 10000`},
@@ -44,28 +44,28 @@
 		{`[demand]`, "[[callers]]\nhabit = \"never\"\n[demand]", `s.toml:8: callers[0].habit: "never" is unknown`},
 		{`[demand]`, "[[fault]]\nkind = \"flood\"\n[demand]", `s.toml:8: fault[0].kind: "flood" is unknown`},
 		{`[demand]`, "[[fault]]\nkind = \"zone\"\n[demand]", `fault[0].zone: is missing`},
-		{`[demand]`, "[[fault]]\nkind = \"slow\"\n[demand]", `whom does it befall?`},
+		{`[demand]`, "[[fault]]\nkind = \"slow\"\n[demand]", `fault[0].share: is missing: share, count or zone must state what the fault affects`},
 		{`[demand]`, "[[fault]]\nkind = \"slow\"\nshare = 0.1\ncount = 2\n[demand]", `s.toml:10: fault[0].count: a fault has a share or a count, not both`},
 		{`[demand]`, "[[fault]]\nkind = \"slow\"\nzone = \"q\"\n[demand]", `s.toml:9: fault[0].zone: "q" is none of the pool's zones`},
 		{`[demand]`, "[pool]\ncopies = 3\n[demand]", `pool`},
-		{`[demand]`, "[[pool.server]]\naddress = \"127.0.0.1:1\"\n[demand]", `pool.server: servers are told by the table servers`},
+		{`[demand]`, "[[pool.server]]\naddress = \"127.0.0.1:1\"\n[demand]", `pool.server: must be absent: the table [servers] defines the servers`},
 		{`[demand]`, "[demand", `s.toml:7:`},
 	} {
-		text := strings.Replace(least, c.from, c.to, 1)
+		text := strings.Replace(minimalScenario, c.from, c.to, 1)
 		_, err := Parse("s.toml", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q for %q: %v, want %q", c.to, c.from, err, c.want)
 		}
 	}
-	long := fmt.Sprintf("%s#%s\n", least, strings.Repeat("x", maxScenario))
+	long := fmt.Sprintf("%s#%s\n", minimalScenario, strings.Repeat("x", maxScenario))
 	if _, err := Parse("s.toml", []byte(long)); err == nil {
-		t.Error("a file without a bound is taken")
+		t.Error("a file over the size limit is accepted")
 	}
 }
 
-// A figure can be set beside the file, and what is wrong with that is told.
+// Overrides must replace values of the file, and a mistake in an override must be reported.
 func TestOverrides(t *testing.T) {
-	s, err := Parse("s.toml", []byte(least), "copies.count=7", "pool.class.read.aim=50ms", "work.0.mean = \"3ms\"", "pool.zones=[\"a\",\"b\"]", "demand.curve=[{at=\"1s\",times=2.0}]")
+	s, err := Parse("s.toml", []byte(minimalScenario), "copies.count=7", "pool.class.read.aim=50ms", "work.0.mean = \"3ms\"", "pool.zones=[\"a\",\"b\"]", "demand.curve=[{at=\"1s\",times=2.0}]")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,15 +81,15 @@
 		{"for.x.y=3", "is no table"},
 		{"copies.count=0", "copies.count: 0 is not within"},
 	} {
-		if _, err := Parse("s.toml", []byte(least), c.set); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := Parse("s.toml", []byte(minimalScenario), c.set); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v, want %q", c.set, err, c.want)
 		}
 	}
 }
 
-// Whatever a file says, it is refused with an error or can be asked what it holds, and nothing panics.
+// Parse must not panic, and must reject any text or override that violates the limits of a scenario.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(least), "copies.count=3")
+	f.Add([]byte(minimalScenario), "copies.count=3")
 	text, err := os.ReadFile("../../deploy/scenarios/calm.toml")
 	if err != nil {
 		f.Fatal(err)
@@ -100,12 +100,12 @@
 		if err != nil {
 			return
 		}
-		if s.Copies.Count < 1 || s.Copies.Count > maxCopies || s.Servers.Count > maxServers || !(s.Demand.Rate > 0) || len(s.Work) != len(s.Pool.Classes) {
-			t.Errorf("taken: %+v", s)
+		if s.Copies.Count < 1 || s.Copies.Count > maxReplicas || s.Servers.Count > maxServers || !(s.Demand.Rate > 0) || len(s.Work) != len(s.Pool.Classes) {
+			t.Errorf("accepted: %+v", s)
 		}
 		for _, fault := range s.Faults {
 			if fault.Share < 0 || fault.Share > 1 || fault.At < 0 {
-				t.Errorf("taken: %+v", fault)
+				t.Errorf("accepted: %+v", fault)
 			}
 		}
 	})
--- a/internal/emulate/server.go
+++ b/internal/emulate/server.go
@@ -6,34 +6,34 @@
 // The states of a server.
 const (
 	serving serverState = iota
-	silent              // it takes connections and requests and says nothing
-	down                // nobody answers at its address
+	silent              // it accepts connections and requests and never responds
+	down                // nothing listens at its address
 )
 
-// server is cores behind one queue in the order of arrival. A request takes its work divided by the speed at its start. The speed of a
-// cold server rises linearly from cold_from to its own over the ramp. A request whose client has left is not started, but one that is
-// executed goes on.
+// server models cores behind one first-in first-out queue. Executing a request takes its work divided by the speed at its start. The
+// speed of a cold server rises linearly from cold_from to its full speed over the ramp. A request whose client has disconnected is
+// not started, but one that is being executed is finished.
 type server struct {
 	id           uint32
 	zone         uint8
 	cell         uint16
-	slot         int // among those that the scenario names; its successor has the same
+	slot         int // index among the servers of the scenario; a replacement has the same one
 	state        serverState
-	cutFaults    int     // faults that cut it off from other zones
-	started      float64 // cold from then on; negative for long ago
-	speed        float64 // its own
-	speedFactor  float64 // against that
-	failureShare float64 // part of what comes that it answers with an error
+	cutFaults    int     // number of active faults that separate it from other zones
+	started      float64 // start of its ramp, in ms; negative for a warm server
+	speed        float64 // full speed
+	speedFactor  float64 // factor of speed by faults
+	failureShare float64 // share of requests to which it responds with an error
 	overloaded   bool
-	replaced     bool // replaced: it does not come back
+	replaced     bool // another server takes its slot: it does not restart
 
 	busy     int
-	running  []*job // those on a core
+	running  []*job // jobs on a core
 	queue    []*job
 	head     int
 	conns    int
-	crashes  uint64     // counts crashes: jobs of before are lost
-	arrivals slidingSum // work that reached it while cold
+	crashes  uint64     // number of crashes: jobs from before the last one are lost
+	arrivals slidingSum // recent work that arrived while it was cold
 
 	spec       *ServerSpec
 	clock      *clock
@@ -43,10 +43,10 @@
 // job is one request at a server.
 type job struct {
 	work        float64                  // ms on one core at full speed
-	failureDraw float64                  // in [0, 1), by which a failing server fails it
-	abandoned   bool                     // nobody waits for it
+	failureDraw float64                  // uniform in [0, 1): a failing server fails the job if it is below failureShare
+	abandoned   bool                     // its client has disconnected
 	onEnd       func(outcome jobOutcome) // called once, then nil
-	index       int                      // among those on a core
+	index       int                      // in server.running
 }
 
 // jobOutcome is how a job ended.
@@ -56,11 +56,11 @@
 const (
 	jobDone  jobOutcome = iota
 	jobFull             // no place in the queue: it did not run
-	jobError            // it was answered at once with an error, and may have run
+	jobError            // it ended at once with an error, and may have run
 	jobLost             // the server ended while it waited or ran
 )
 
-// warmth returns the share of its own speed that a server has now.
+// warmth returns the share of its full speed that a server has now.
 func (s *server) warmth() float64 {
 	ramp := s.spec.Ramp.MS()
 	if s.started < 0 || ramp <= 0 {
@@ -91,7 +91,7 @@
 		return
 	}
 	if s.state == silent {
-		return // it says nothing, ever; it can have run
+		return // it never responds; the request may have run
 	}
 	switch {
 	case j.failureDraw < s.failureShare:
@@ -113,7 +113,8 @@
 	}
 }
 
-// recordArrival records work that has arrived at a cold server. Too much of it for too long, and the server fails and stays down.
+// recordArrival records work that has arrived at a cold server. If it exceeds the limit of the scenario, the server fails and stays
+// down.
 func (s *server) recordArrival(work float64) {
 	if s.spec.FallAfter <= 0 || s.state == down {
 		return
@@ -132,9 +133,9 @@
 	s.busy++
 	j.index = len(s.running)
 	s.running = append(s.running, j)
-	ends := s.crashes
+	crashesBefore := s.crashes
 	s.clock.after(j.work/(s.speed*s.speedFactor*s.warmth()), func() {
-		if s.crashes != ends {
+		if s.crashes != crashesBefore {
 			return
 		}
 		s.busy--
@@ -150,7 +151,7 @@
 	})
 }
 
-// next starts the next jobs in the queue whose clients have not left.
+// next starts queued jobs while cores are free, and skips those whose clients have disconnected.
 func (s *server) next() {
 	for s.head < len(s.queue) && s.busy < s.spec.Cores {
 		j := s.queue[s.head]
@@ -186,7 +187,7 @@
 // load returns the number of requests that wait or are executed.
 func (s *server) load() int { return s.busy + len(s.queue) - s.head }
 
-// slidingSum is a sum over a sliding time.
+// slidingSum is a sum over a sliding time window.
 type slidingSum struct {
 	times, values []float64
 	first         int
@@ -194,9 +195,9 @@
 }
 
 // add adds a value, and drops those older than the span.
-func (w *slidingSum) add(now, what, span float64) {
-	w.times, w.values = append(w.times, now), append(w.values, what)
-	w.sum += what
+func (w *slidingSum) add(now, value, span float64) {
+	w.times, w.values = append(w.times, now), append(w.values, value)
+	w.sum += value
 	for w.times[w.first] < now-span {
 		w.sum -= w.values[w.first]
 		w.first++
--- a/internal/emulate/serverlife.go
+++ b/internal/emulate/serverlifecycle.go
@@ -5,29 +5,29 @@
 	"milletmast/internal/rules"
 )
 
-// addServer adds a server in a slot, cold from a time on, or warm if that is negative.
-func (w *simulation) addServer(place int, started float64) {
+// addServer adds a server in a slot. It is cold from a time on, or warm if that is negative.
+func (w *simulation) addServer(slot int, started float64) {
 	v := &w.scenario.Servers
 	s := &server{
-		id: uint32(len(w.serversByID) + 1), zone: uint8(place % max(len(w.scenario.Pool.Zones), 1)), cell: uint16(place % v.Cells), slot: place,
+		id: uint32(len(w.serversByID) + 1), zone: uint8(slot % max(len(w.scenario.Pool.Zones), 1)), cell: uint16(slot % v.Cells), slot: slot,
 		started: started, speed: 1, speedFactor: 1, spec: v, clock: &w.clock,
 	}
 	if n := len(v.Speeds); n > 0 {
-		s.speed = v.Speeds[place%n]
+		s.speed = v.Speeds[slot%n]
 	}
 	s.onOverload = func() { w.serverEnded(s, true) }
 	w.serversByID[s.id] = s
-	if place == len(w.servers) {
+	if slot == len(w.servers) {
 		w.servers = append(w.servers, s)
 	} else {
-		w.servers[place] = s
+		w.servers[slot] = s
 	}
 	w.record(&rules.Fact{Kind: rules.ServerStarted, Server: s.id, Zone: s.zone, Cell: s.cell, Cold: s.isCold()})
 	w.setListed(s, balancer.Ready)
 	w.scheduleWarm(s)
 }
 
-// scheduleWarm schedules the note for the rules that a server is warm.
+// scheduleWarm schedules the end of the ramp of a cold server, when the rules treat it as warm.
 func (w *simulation) scheduleWarm(s *server) {
 	if !s.isCold() {
 		return
@@ -40,11 +40,11 @@
 	})
 }
 
-// serverEnded handles the end of a server: its connections break, and, with detect, discovery detects it after a time.
+// serverEnded handles the end of a server: its connections break. With detect, discovery removes it after its detection time.
 func (w *simulation) serverEnded(s *server, detect bool) {
 	for _, h := range w.sidecars {
 		if l := h.conns[s.id]; l != nil {
-			l.forgetAll()
+			l.dropAll()
 			delete(h.conns, s.id)
 		}
 	}
@@ -54,9 +54,9 @@
 	if !detect {
 		return
 	}
-	ends := s.crashes
+	crashesBefore := s.crashes
 	w.clock.after(w.scenario.Discovery.Detect.MS(), func() {
-		if s.crashes == ends && s.state == down {
+		if s.crashes == crashesBefore && s.state == down {
 			w.setListed(s, balancer.Removed)
 		}
 	})
--- a/internal/emulate/sidecar.go
+++ b/internal/emulate/sidecar.go
@@ -16,52 +16,53 @@
 
 // Constants of a sidecar. Times are in ms.
 const (
-	clientMargin   = 50.0  // ms before its client gives up at which a request is to be answered, at most
-	maxMarginShare = 0.1   // and at most this share of its time
-	backstop       = 10.0  // ms after that until the sidecar itself answers what its module has left unanswered
-	idleFraction   = 0.8   // of the servers' idle limit at which a sidecar closes a connection
+	clientMargin   = 50.0  // ms between the deadline of a request and its client's timeout, at most
+	maxMarginShare = 0.1   // upper bound of that margin as a share of the timeout
+	backstop       = 10.0  // ms after the deadline at which the sidecar responds itself if its module has not decided
+	idleFraction   = 0.8   // share of the servers' idle timeout after which a sidecar closes a connection
 	levelInterval  = 50.0  // ms
 	subsetInterval = 1000. // ms
-	drainMargin    = 350.0 // ms before its end at which a sidecar gives up its open requests
+	drainMargin    = 350.0 // ms before its end at which a sidecar ends its open requests
 )
 
-// module is the decision module, or what a test puts around it.
+// module is the decision module, or a wrapper of a test around it.
 type module interface {
 	Handle(now float64, ev *balancer.Event, actions []balancer.Action) []balancer.Action
 	EjectedServers() int
 	Export() balancer.LearnedState
 }
 
-// sidecar is one sidecar: the real decision module, and a model of what surrounds it.
+// sidecar is one sidecar: the real decision module, and a model of the parts around it.
 type sidecar struct {
 	sim        *simulation
 	rank       int
 	zone       int
 	up         bool
 	draining   bool
-	stalled    float64 // it does nothing until this time, in ms
-	cutFaults  int     // faults that cut its zone off
-	listBlocks int     // faults that keep changes of the list from it
-	starts     uint64  // counts its starts: events of an earlier one are dropped
+	stalled    float64 // it executes nothing until this time, in ms
+	cutFaults  int     // number of active faults that separate its zone from others
+	listBlocks int     // number of active faults that withhold list changes from it
+	starts     uint64  // number of starts and kills, its incarnation: events of an earlier one are dropped
 
 	balancer     module
 	actions      []balancer.Action
 	calls        map[uint32]*call
-	callOrder    []*call // in the order taken; ended ones are dropped in bulk
+	callOrder    []*call // in the order of arrival; ended ones are removed in bulk
 	lastID       uint32
 	conns        map[uint32]*serverConns
-	known        map[uint32]balancer.ServerEntry // as the module knows them
-	listPosition int                             // changes of the list that it has got; -1 before its first list
-	listPending  bool                            // further ones are on their way
+	known        map[uint32]balancer.ServerEntry // list entries that the module has
+	listPosition int                             // number of list changes that it has received; -1 before its first list
+	listPending  bool                            // further changes are scheduled
 	usable       int
 	overrides    override.Set
-	sizer        *subset.Sizer         // nil where it sends to all
-	levels       *levelState           // nil for none
-	learned      balancer.LearnedState // kept for its next start
-	shedder      *loadshed.Shedder     // nil where sidecars do not share load reports
+	sizer        *subset.Sizer         // nil if it uses all servers
+	levels       *levelState           // nil without levels
+	learned      balancer.LearnedState // saved for its next start
+	shedder      *loadshed.Shedder     // nil if sidecars do not share load summaries
 }
 
-// start starts the sidecar with the present list of discovery, or without a list.
+// start starts the sidecar. The first start has the current list of discovery at once, unless the scenario says otherwise; later ones
+// receive it after the delay of discovery.
 func (h *sidecar) start() {
 	w := h.sim
 	h.starts++
@@ -80,8 +81,8 @@
 	h.balancer = b
 	if every := w.scenario.Copies.Keep.MS(); every > 0 {
 		if h.starts > 1 {
-			memory, _ := warmstart.Decay(h.learned, w.now())
-			b.Import(memory)
+			learned, _ := warmstart.Decay(h.learned, w.now())
+			b.Import(learned)
 		}
 		h.later(every*w.random.uniform(drawList, uint64(h.rank), h.starts<<32), h.saveLearned)
 	}
@@ -107,35 +108,35 @@
 	}
 	h.startFleetShedding()
 	h.listPending, h.listPosition = false, -1
-	first := func() {
+	receiveList := func() {
 		h.listPosition = len(w.discovery.changes)
 		h.applyFullList(balancer.ListFull)
 	}
-	if w.scenario.Copies.Cold || h.starts > 1 { // the list takes discovery's lag
-		h.later(w.listDelay(h), first)
+	if w.scenario.Copies.Cold || h.starts > 1 { // the list arrives after the delay of discovery
+		h.later(w.listDelay(h), receiveList)
 	} else {
-		first()
+		receiveList()
 	}
 }
 
-// saveLearned saves what the module has learned, and schedules itself.
+// saveLearned saves the learned state of the module, and schedules its next call.
 func (h *sidecar) saveLearned() {
 	h.learned = h.balancer.Export()
 	h.later(h.sim.scenario.Copies.Keep.MS(), h.saveLearned)
 }
 
-// later has the sidecar do something after a time, unless it has ended by then. While it is stalled, it waits.
+// later calls do after ms, unless the sidecar has ended by then. If it is stalled then, do is called at the end of the stall.
 func (h *sidecar) later(ms float64, do func()) {
-	life := h.starts
-	h.sim.clock.after(ms, func() { h.run(life, do) })
+	incarnation := h.starts
+	h.sim.clock.after(ms, func() { h.run(incarnation, do) })
 }
 
-// run has the sidecar do something in one of its lives, now or when its stall is over.
-func (h *sidecar) run(life uint64, do func()) {
+// run calls do, now or at the end of a stall, if the sidecar still runs in the given incarnation.
+func (h *sidecar) run(incarnation uint64, do func()) {
 	switch {
-	case h.starts != life || !h.up:
+	case h.starts != incarnation || !h.up:
 	case h.stalled > h.sim.now():
-		h.sim.clock.schedule(h.stalled, func() { h.run(life, do) })
+		h.sim.clock.schedule(h.stalled, func() { h.run(incarnation, do) })
 	default:
 		do()
 	}
@@ -183,10 +184,10 @@
 	}
 }
 
-// copyID returns the number of the sidecar to the rules.
-func (h *sidecar) copyID() uint32 { return uint32(h.rank) + 1 }
+// replicaID returns the id of the sidecar in facts of the rules.
+func (h *sidecar) replicaID() uint32 { return uint32(h.rank) + 1 }
 
-// shutDown ends the sidecar gracefully, with the requests that it has accepted, or at once.
+// shutDown ends the sidecar: at once with kill, otherwise after it has finished the requests that it has accepted.
 func (h *sidecar) shutDown(kill bool) {
 	w := h.sim
 	if !h.up || h.draining {
@@ -203,7 +204,7 @@
 	}
 	h.later(longest-drainMargin, func() {
 		for _, c := range slices.Clone(h.callOrder) {
-			h.answerOverdue(c)
+			h.respondOverdue(c)
 		}
 	})
 	h.later(longest, h.kill)
@@ -212,12 +213,12 @@
 	}
 }
 
-// kill ends the sidecar at once. Its connections close, and its clients see theirs break.
+// kill ends the sidecar at once. Its connections close, and its open requests fail.
 func (h *sidecar) kill() {
 	w := h.sim
 	h.up, h.draining = false, false
 	h.starts++
-	var callers []*call
+	var failedCalls []*call
 	for _, c := range h.callOrder {
 		for _, a := range c.attempts {
 			if a.open {
@@ -229,14 +230,14 @@
 		}
 		if !c.ended {
 			c.ended = true
-			callers = append(callers, c)
+			failedCalls = append(failedCalls, c)
 		}
 	}
-	for _, l := range h.conns { // the order is nothing to them
-		l.forgetAll()
+	for _, l := range h.conns { // in any order: the results do not depend on it
+		l.dropAll()
 	}
-	w.record(&rules.Fact{Kind: rules.ReplicaKilled, Copy: h.copyID()})
-	for _, c := range callers {
-		w.deliverAnswer(c, rules.Failed, 0)
+	w.record(&rules.Fact{Kind: rules.ReplicaKilled, Copy: h.replicaID()})
+	for _, c := range failedCalls {
+		w.deliverResponse(c, rules.Failed, 0)
 	}
 }
--- a/internal/emulate/simulation.go
+++ b/internal/emulate/simulation.go
@@ -14,11 +14,11 @@
 
 // Constants of a run.
 const (
-	epoch             = 1e6     // ms: the time at the start, as the module takes a time of 0 as unknown
-	maxOverrun        = 120_000 // ms after the end of demand at which a run ends, whatever is still open
-	informedShare     = 2. / 3  // of the work that overloads a cold server: the part from sidecars that knew of its start
+	epoch             = 1e6     // ms: virtual time at the start, not 0 as the module treats a time of 0 as unknown
+	maxOverrun        = 120_000 // ms after the end of demand at which a run ends, also with open requests
+	informedShare     = 2. / 3  // least share of the work that overloads a cold server that comes from sidecars which knew of its start
 	stopCheckInterval = 1 << 14 // events between two calls of isStopped
-	answerSlack       = 20.0    // ms for a final answer after its client's time
+	answerSlack       = 20.0    // ms after its client's timeout by which a final response may be late
 )
 
 // simulation is one run.
@@ -27,15 +27,15 @@
 	clock       clock
 	random      randomStreams
 	discovery   discoveryState
-	servers     []*server          // by slot, as they are now
-	serversByID map[uint32]*server // all that have ever been
+	servers     []*server          // current servers by slot
+	serversByID map[uint32]*server // all servers so far
 	sidecars    []*sidecar
 	traffic     *Traffic
 	checker     *rules.Checker
 	hash        *xxhash.Digest
-	wrapModule  func(*sidecar, module) module // of a test with modules that misbehave; nil for none
+	wrapModule  func(*sidecar, module) module // set by tests that observe or replace actions of modules; nil for none
 	onFact      func(*rules.Fact)             // called with every fact; nil for none
-	isStopped   func() bool                   // reports that the run is to be given up; nil for never
+	isStopped   func() bool                   // reports that the run has to stop; nil for never
 
 	requestCount uint64 // tries that reached a sidecar
 	pendingTries int    // open tries and those that are scheduled
@@ -81,7 +81,7 @@
 // serverName returns the name of a server in subsets and overrides.
 func (w *simulation) serverName(id uint32) string { return fmt.Sprint("s", id) }
 
-// nextRequest numbers a request that reaches a sidecar.
+// nextRequest returns the id of the next request that reaches a sidecar.
 func (w *simulation) nextRequest() uint64 {
 	w.requestCount++
 	return w.requestCount
@@ -125,7 +125,7 @@
 	return ms
 }
 
-// listDelay returns the time for a change of the list to reach a sidecar, in ms.
+// listDelay returns the time until a change of the list reaches a sidecar, in ms.
 func (w *simulation) listDelay(h *sidecar) float64 {
 	u := w.random.uniform(drawList, uint64(h.rank), uint64(len(w.discovery.changes)))
 	return w.scenario.Discovery.Lag.MS() - w.scenario.Discovery.Jitter.MS()*math.Log1p(-u)
@@ -136,8 +136,8 @@
 	return int(s.zone) == h.zone || h.cutFaults == 0 && s.cutFaults == 0
 }
 
-// play plays the run to its end.
-func (w *simulation) play() {
+// run runs the simulation to its end.
+func (w *simulation) run() {
 	for _, h := range w.sidecars {
 		if at := w.scenario.Copies.Start.MS() * float64(h.rank) / float64(len(w.sidecars)); at > 0 {
 			w.clock.after(at, h.start)
--- a/internal/emulate/world_test.go
+++ b/internal/emulate/simulation_test.go
@@ -12,8 +12,8 @@
 	"milletmast/internal/rules"
 )
 
-// kept are the scenarios that the repository keeps.
-func kept(t *testing.T) []string {
+// scenarioPaths returns the paths of the scenarios in deploy/scenarios.
+func scenarioPaths(t *testing.T) []string {
 	t.Helper()
 	paths, err := filepath.Glob("../../deploy/scenarios/*.toml")
 	if err != nil || len(paths) < 7 {
@@ -31,7 +31,7 @@
 	return sc
 }
 
-func play(t *testing.T, sc *Scenario, seed uint64) *Result {
+func runScenario(t *testing.T, sc *Scenario, seed uint64) *Result {
 	t.Helper()
 	r, err := Run(sc, seed)
 	if err != nil {
@@ -40,21 +40,21 @@
 	return r
 }
 
-// Every kept scenario keeps the rules, counts each request once and obeys Little's law.
+// Every scenario of deploy/scenarios must run without a broken rule, count each request once and obey Little's law.
 func TestScenariosKeepTheRules(t *testing.T) {
-	for _, path := range kept(t) {
+	for _, path := range scenarioPaths(t) {
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			t.Parallel()
-			r := play(t, load(t, path, "for=22s", "demand.rate=1000"), 1)
+			r := runScenario(t, load(t, path, "for=22s", "demand.rate=1000"), 1)
 			if r.ViolationCount > 0 || r.Overloads > 0 {
-				t.Errorf("%d cold servers fell, breaks: %v", r.Overloads, r.Violations)
+				t.Errorf("%d cold servers failed from overload, violations: %v", r.Overloads, r.Violations)
 			}
 			sum := 0
 			for _, c := range r.Classes {
 				sum += c.InTime + c.Late + c.Refused + c.Failed + c.GaveUp
 			}
 			if r.Asked == 0 || sum != r.Asked {
-				t.Errorf("%d requests, of %d it is told how they ended", r.Asked, sum)
+				t.Errorf("%d requests, %d of them with an outcome", r.Asked, sum)
 			}
 			if off := r.Little.Inside/r.Little.RateBy - 1; off > 1e-9 || off < -1e-9 {
 				t.Errorf("Little's law: %v inside, %v by rate and time", r.Little.Inside, r.Little.RateBy)
@@ -66,12 +66,13 @@
 	}
 }
 
-// The same scenario and seed give the same facts, however many processors there are and whatever else runs; another seed others.
+// The same scenario and seed must give the same facts, with any number of processors and with other runs at the same time; another
+// seed must give others.
 func TestSameSeedSameFacts(t *testing.T) {
-	for _, path := range kept(t) {
+	for _, path := range scenarioPaths(t) {
 		sc := load(t, path, "for=11s", "warmup=1s", "demand.rate=600")
 		before := runtime.GOMAXPROCS(1)
-		one := play(t, sc, 7)
+		one := runScenario(t, sc, 7)
 		runtime.GOMAXPROCS(before)
 		again := make(chan *Result)
 		for range 2 {
@@ -85,52 +86,53 @@
 				t.Errorf("%s: %s, %d events and share %v, then %s, %d and %v", sc.Name, one.Hash, one.Events, one.Share, r.Hash, r.Events, r.Share)
 			}
 		}
-		if other := play(t, sc, 8); other.Hash == one.Hash {
-			t.Errorf("%s: two seeds, one run", sc.Name)
+		if other := runScenario(t, sc, 8); other.Hash == one.Hash {
+			t.Errorf("%s: two seeds give the same facts", sc.Name)
 		}
 	}
 }
 
-// One copy of twelve that gets all of the traffic reaches what the others leave unused within five seconds, also when it is another one
-// all of a sudden, and gives it back as they come: its part is a first value and no bound.
-func TestOneDoorReachesTheCapacity(t *testing.T) {
+// A single replica out of twelve that receives all of the traffic must be able to use the capacity of all servers within five seconds,
+// also when the traffic moves to another replica, and must release it when the others receive traffic: its share of the capacity is an
+// initial value and no limit.
+func TestOneFrontendReachesTheCapacity(t *testing.T) {
 	sc := load(t, "../../deploy/drills/moving-door.toml")
 	for seed := range uint64(3) {
-		r := play(t, sc, seed+1)
+		r := runScenario(t, sc, seed+1)
 		if r.ViolationCount > 0 {
 			t.Errorf("seed %d: %v", seed+1, r.Violations)
 		}
-		for _, from := range []int{5, 17, 24} { // each move and five seconds; all copies need no time
+		for _, from := range []int{5, 17, 24} { // five seconds after each move; with all replicas at once
 			asked, earned := 0.0, 0.0
 			for _, s := range r.Seconds[from : from+6] {
 				asked += s.Worth
 				earned += s.Earned
 			}
 			if earned < 0.97*asked {
-				t.Errorf("seed %d: from %d s on %.3f of the worth is served", seed+1, from, earned/asked)
+				t.Errorf("seed %d: from %d s on %.3f of the priority weight is earned", seed+1, from, earned/asked)
 			}
 		}
 	}
 }
 
-// Two variants see the same requests with the same work, however differently they decide.
+// Two variants must receive the same requests with the same work, although their sidecars decide differently.
 func TestVariantsSeeTheSameRequests(t *testing.T) {
-	type seen struct {
+	type arrival struct {
 		at   float64
 		work float64
 	}
-	requests := func(overrides ...string) map[uint64]seen {
+	requests := func(overrides ...string) map[uint64]arrival {
 		sc := load(t, "../../deploy/scenarios/slow.toml", append(overrides, "for=11s", "demand.rate=1000")...)
 		w := newSimulation(sc, 3)
-		out := map[uint64]seen{}
+		out := map[uint64]arrival{}
 		w.wrapModule = func(h *sidecar, d module) module {
-			return wrapped{d, func(ev *balancer.Event) {
+			return wrappedModule{d, func(ev *balancer.Event) {
 				if c := h.calls[ev.Request]; ev.Kind == balancer.EvRequest && c.try.number == 1 {
-					out[c.try.Number] = seen{c.try.at, c.try.Work}
+					out[c.try.Number] = arrival{c.try.at, c.try.Work}
 				}
 			}, nil}
 		}
-		w.play()
+		w.run()
 		return out
 	}
 	a, b := requests(), requests("copies.count=7", "pool.attempts=1", "servers.queue=3")
@@ -144,26 +146,26 @@
 	}
 }
 
-// wrapped is a module that hears, or does, something else.
-type wrapped struct {
+// wrappedModule is a module whose events are observed or whose actions are replaced.
+type wrappedModule struct {
 	module
-	hears func(*balancer.Event)
-	does  func(ev *balancer.Event, actions []balancer.Action) []balancer.Action
+	onEvent func(*balancer.Event)
+	replace func(ev *balancer.Event, actions []balancer.Action) []balancer.Action
 }
 
-func (m wrapped) Handle(now float64, ev *balancer.Event, actions []balancer.Action) []balancer.Action {
-	if m.hears != nil {
-		m.hears(ev)
+func (m wrappedModule) Handle(now float64, ev *balancer.Event, actions []balancer.Action) []balancer.Action {
+	if m.onEvent != nil {
+		m.onEvent(ev)
 	}
 	actions = m.module.Handle(now, ev, actions)
-	if m.does != nil {
-		actions = m.does(ev, actions)
+	if m.replace != nil {
+		actions = m.replace(ev, actions)
 	}
 	return actions
 }
 
-// A module that breaks a rule is found out, whichever rule it is.
-func TestPlantedBreaksAreFound(t *testing.T) {
+// The checker must report a module that breaks a rule, for each of the rules.
+func TestViolationsAreDetected(t *testing.T) {
 	send := func(q, server uint32, until float64) balancer.Action {
 		return balancer.Action{Kind: balancer.ActSend, Request: q, Server: server, Deadline: until}
 	}
@@ -171,10 +173,10 @@
 		name     string
 		scenario string
 		rule     int
-		says     string
-		does     func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action
+		text     string
+		replace  func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action
 	}{
-		{"two at once", "calm", 4, "beside one that is out", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
+		{"two attempts at once", "calm", 4, "beside one that is out", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
 			return func(_ *balancer.Event, list []balancer.Action) []balancer.Action {
 				for _, a := range list {
 					if a.Kind == balancer.ActSend && a.Request%50 == 0 {
@@ -184,10 +186,10 @@
 				return list
 			}
 		}},
-		{"an unsafe one again", "short", 4, "unsafe request", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
+		{"retry of an unsafe request", "short", 4, "unsafe request", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
 			return func(ev *balancer.Event, list []balancer.Action) []balancer.Action {
 				c := h.calls[ev.Request]
-				if ev.Kind == balancer.EvRequest && c.try.Class == 1 { // its answer would be late: called off, and again
+				if ev.Kind == balancer.EvRequest && c.try.Class == 1 { // canceled, and then retried
 					return append(list, balancer.Action{Kind: balancer.ActCancel, Request: ev.Request})
 				}
 				if ev.Kind == balancer.EvAttemptEnded && ev.Outcome == balancer.Canceled && c != nil {
@@ -196,7 +198,7 @@
 				return list
 			}
 		}},
-		{"refused though it may run", "calm", 4, "may have run", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
+		{"rejected although it may run", "calm", 4, "may have run", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
 			return func(_ *balancer.Event, list []balancer.Action) []balancer.Action {
 				for _, a := range list {
 					if c := h.calls[a.Request]; a.Kind == balancer.ActSend && c != nil && c.try.Class == 1 {
@@ -206,7 +208,7 @@
 				return list
 			}
 		}},
-		{"after the answer", "calm", 1, "after the final answer", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
+		{"attempt after the response", "calm", 1, "after the final answer", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
 			return func(_ *balancer.Event, list []balancer.Action) []balancer.Action {
 				for _, a := range list {
 					if c := h.calls[a.Request]; a.Kind == balancer.ActSend && c != nil && c.try.Class == 0 {
@@ -216,23 +218,23 @@
 				return list
 			}
 		}},
-		{"to one that drains", "replace", 2, "takes nothing new", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
-			left := uint32(0)
+		{"request to a draining server", "replace", 2, "takes nothing new", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
+			draining := uint32(0)
 			return func(ev *balancer.Event, list []balancer.Action) []balancer.Action {
 				for _, e := range ev.Servers {
 					if e.State == balancer.Draining {
-						left = e.ID
+						draining = e.ID
 					}
 				}
 				for i := range list {
-					if list[i].Kind == balancer.ActSend && left != 0 {
-						list[i].Server = left
+					if list[i].Kind == balancer.ActSend && draining != 0 {
+						list[i].Server = draining
 					}
 				}
 				return list
 			}
 		}},
-		{"all to a cold one", "replace", 3, "the cold server", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
+		{"all requests to a cold server", "replace", 3, "the cold server", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
 			cold := uint32(0)
 			return func(ev *balancer.Event, list []balancer.Action) []balancer.Action {
 				for _, e := range ev.Servers {
@@ -248,31 +250,31 @@
 				return list
 			}
 		}},
-		{"too many", "calm", 4, "attempt 4 of 3", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
+		{"too many attempts", "calm", 4, "attempt 4 of 3", func(h *sidecar) func(*balancer.Event, []balancer.Action) []balancer.Action {
 			return func(ev *balancer.Event, list []balancer.Action) []balancer.Action {
 				c := h.calls[ev.Request]
 				if c == nil || c.try.Class != 0 || c.ended || len(c.attempts) > 4 {
 					return list
 				}
-				called := balancer.Action{Kind: balancer.ActCancel, Request: ev.Request, Attempt: uint16(len(c.attempts))}
+				cancel := balancer.Action{Kind: balancer.ActCancel, Request: ev.Request, Attempt: uint16(len(c.attempts))}
 				if ev.Kind == balancer.EvAttemptEnded {
-					return []balancer.Action{send(ev.Request, 1, h.sim.now()+500), called}
+					return []balancer.Action{send(ev.Request, 1, h.sim.now()+500), cancel}
 				}
-				return append(list, called)
+				return append(list, cancel)
 			}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			w := newSimulation(load(t, "../../deploy/scenarios/"+c.scenario+".toml", "for=20s"), 5)
-			w.wrapModule = func(h *sidecar, d module) module { return wrapped{d, nil, c.does(h)} }
-			w.play()
+			w.wrapModule = func(h *sidecar, d module) module { return wrappedModule{d, nil, c.replace(h)} }
+			w.run()
 			found := false
 			for _, b := range w.checker.Violations {
-				found = found || b.Rule == c.rule && strings.Contains(b.Text, c.says)
+				found = found || b.Rule == c.rule && strings.Contains(b.Text, c.text)
 			}
 			if !found {
-				t.Errorf("%d breaks, none of rule %d that says %q: %v", w.checker.ViolationCount, c.rule, c.says, w.result.Violations[:min(3, len(w.result.Violations))])
+				t.Errorf("%d violations, none of rule %d that contains %q: %v", w.checker.ViolationCount, c.rule, c.text, w.result.Violations[:min(3, len(w.result.Violations))])
 			}
 			if len(w.result.Violations) > 0 && !strings.Contains(w.result.Violations[0], "request ") {
 				t.Errorf("%q names no request", w.result.Violations[0])
@@ -281,11 +283,12 @@
 	}
 }
 
-// A module that never asks to be woken leaves calls unanswered: the host answers them in time, and no rule breaks.
-func TestModuleThatIsNeverWoken(t *testing.T) {
+// A module without timers, rejections and failures leaves calls without a decision: the sidecar must respond to them in time, without
+// breaking a rule.
+func TestModuleWithoutTimers(t *testing.T) {
 	w := newSimulation(load(t, "../../deploy/scenarios/calm.toml", "for=12s", "demand.rate=2500"), 5)
 	w.wrapModule = func(h *sidecar, d module) module {
-		return wrapped{d, nil, func(_ *balancer.Event, list []balancer.Action) (kept []balancer.Action) {
+		return wrappedModule{d, nil, func(_ *balancer.Event, list []balancer.Action) (kept []balancer.Action) {
 			for _, a := range list {
 				if a.Kind != balancer.ActTimer && a.Kind != balancer.ActReject && a.Kind != balancer.ActFail {
 					kept = append(kept, a)
@@ -294,16 +297,16 @@
 			return kept
 		}}
 	}
-	w.play()
+	w.run()
 	if w.result.Backstops == 0 || w.result.ViolationCount > 0 {
-		t.Errorf("%d answered by the hosts, breaks: %v", w.result.Backstops, w.result.Violations)
+		t.Errorf("%d responses without a decision, violations: %v", w.result.Backstops, w.result.Violations)
 	}
 	if w.pendingTries != 0 {
-		t.Errorf("%d requests have no end", w.pendingTries)
+		t.Errorf("%d tries have not ended", w.pendingTries)
 	}
 }
 
-// A server that starts anew while it is still cold begins its ramp again, and copies take it so.
+// A server that restarts while it is still cold must begin its ramp again, and sidecars must treat it so.
 func TestColdRampTwice(t *testing.T) {
 	sc := load(t, "../../deploy/scenarios/calm.toml", "for=14s", "servers.ramp=6s", "pool.ramp=6s", "discovery.detect=100ms",
 		`fault=[{kind="crash", at="2s", for="1s", count=4}, {kind="crash", at="5s", for="1s", share=1.0}]`)
@@ -312,7 +315,7 @@
 	w.clock.schedule(epoch+5900, func() {
 		for _, s := range w.servers {
 			if s.state != down {
-				t.Errorf("server %d is not away", s.id)
+				t.Errorf("server %d is not down", s.id)
 			}
 		}
 	})
@@ -330,34 +333,34 @@
 			}
 		})
 	}
-	w.play()
+	w.run()
 	if len(at) != 16 || at[0] < 0.4 || at[15] > 0.35 {
-		t.Errorf("warmths %v", at)
+		t.Errorf("shares of the full speed %v", at)
 	}
 	if w.result.ViolationCount > 0 {
 		t.Error(w.result.Violations)
 	}
 }
 
-// With subsets, servers that cannot be dealt out evenly to zones are all sent to.
+// With subsets, every server must be in the subset of a sidecar, also if the servers are not distributed evenly over the zones.
 func TestSubsetsReachAllServers(t *testing.T) {
 	sc := load(t, "../../deploy/scenarios/calm.toml", "for=12s", "servers.count=31", "copies.count=20", "pool.subset=5", "demand.rate=600")
 	w := newSimulation(sc, 1)
 	known := map[uint32]int{}
 	w.wrapModule = func(h *sidecar, d module) module {
-		return wrapped{d, func(ev *balancer.Event) {
+		return wrappedModule{d, func(ev *balancer.Event) {
 			for _, e := range ev.Servers {
 				known[e.ID]++
 			}
 		}, nil}
 	}
-	w.play()
+	w.run()
 	if len(known) != 31 || w.result.Share < 0.95 {
 		t.Errorf("%d of 31 servers are known, share %v", len(known), w.result.Share)
 	}
 	for _, h := range w.sidecars {
 		if len(h.known) >= 31 || len(h.known) < 5 {
-			t.Errorf("copy %d knows %d servers", h.rank, len(h.known))
+			t.Errorf("replica %d knows %d servers", h.rank, len(h.known))
 		}
 	}
 	if w.result.ViolationCount > 0 {
@@ -365,7 +368,7 @@
 	}
 }
 
-// With a budget a request has no more attempts than that allows, whatever the pool's own limit.
+// With a retry budget a request must not have more attempts than it allows, also if the pool's own limit is higher.
 func TestBudgetBoundsAttempts(t *testing.T) {
 	for retries, most := range map[int]int{0: 4, 1: 2, 2: 3} {
 		sc := load(t, "../../deploy/scenarios/failing.toml", "for=14s", "demand.rate=500", "pool.attempts=4", fmt.Sprintf("copies.retries=%d", retries),
@@ -378,15 +381,16 @@
 				seen = max(seen, sent[f.Request])
 			}
 		}
-		w.play()
+		w.run()
 		if seen != most || w.result.ViolationCount > 0 {
-			t.Errorf("%d retries: up to %d attempts, want %d; breaks %v", retries, seen, most, w.result.Violations)
+			t.Errorf("%d retries: up to %d attempts, want %d; violations %v", retries, seen, most, w.result.Violations)
 		}
 	}
 }
 
-// Copies that keep what they have learned serve more after restarts, and break no rule where that is wrong: all servers replaced meanwhile.
-func TestKeptMemory(t *testing.T) {
+// Sidecars that save their learned state must serve more after restarts, and must break no rule if it is outdated because all servers
+// were replaced meanwhile.
+func TestLearnedStateAfterRestart(t *testing.T) {
 	jobs := func(more ...string) (list []Job) {
 		sc := load(t, "../../deploy/scenarios/storm.toml", append(more, "for=20s", "demand.rate=900", "copies.count=15")...)
 		for seed := range uint64(4) {
@@ -404,16 +408,16 @@
 		for _, r := range results {
 			shares[i] += r.Share / 4
 			if r.ViolationCount > 0 || r.Overloads > 0 {
-				t.Errorf("%v: %d fell, %v", more, r.Overloads, r.Violations)
+				t.Errorf("%v: %d cold servers failed from overload, %v", more, r.Overloads, r.Violations)
 			}
 		}
 	}
 	if shares[1] <= shares[0] || shares[3] < shares[2]-0.01 {
-		t.Errorf("served worth cold %.4f, warm %.4f; with all servers replaced cold %.4f, warm %.4f", shares[0], shares[1], shares[2], shares[3])
+		t.Errorf("earned share cold %.4f, warm %.4f; with all servers replaced cold %.4f, warm %.4f", shares[0], shares[1], shares[2], shares[3])
 	}
 }
 
-// Levels, holds, stalls, cuts and late lists: the rest of what a scenario can ask for keeps the rules too.
+// Faults that no scenario of deploy/scenarios has must not lead to a broken rule either, also with a degradation level.
 func TestOtherFaultsKeepTheRules(t *testing.T) {
 	for i, fault := range []string{
 		`{kind="silent", at="5s", for="3s", share=0.25}`,
@@ -430,7 +434,7 @@
 			sc := load(t, "../../deploy/scenarios/calm.toml", "for=14s", "fault=["+fault+"]",
 				`pool.level=[{name="lean", enter=[{signal="wait", over=0.05}], shed=[{class="browse"}]}]`, "callers.0.leave=0.02")
 			for seed := range uint64(2) {
-				r := play(t, sc, seed)
+				r := runScenario(t, sc, seed)
 				if r.ViolationCount > 0 {
 					t.Errorf("seed %d: %v", seed, r.Violations[:min(len(r.Violations), 3)])
 				}
@@ -442,14 +446,14 @@
 	}
 }
 
-// Copies that tell each other what they are asked serve at twice the capacity what one that sees everything would, wherever what is worth
-// most enters; and two plays of it are the same.
-func TestCopiesLetTheSameThrough(t *testing.T) {
+// Sidecars that exchange load summaries must earn at twice the capacity about as much as a single one with all of the load would, also
+// if the requests with the highest priority weight enter at only some of them; two runs with one seed must be equal.
+func TestFleetSheddingSharesLoad(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/drills/apart.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	play := func(allot string) *Result {
+	runWith := func(allot string) *Result {
 		sc, err := Parse("apart.toml", []byte(strings.Replace(string(text), "allot = true", "allot = "+allot, 1)))
 		if err != nil {
 			t.Fatal(err)
@@ -460,11 +464,11 @@
 		}
 		return r
 	}
-	alone, together, again := play("false"), play("true"), play("true")
+	alone, together, again := runWith("false"), runWith("true"), runWith("true")
 	if together.Share < 0.84 || together.Share < alone.Share+0.25 || together.ViolationCount > 0 {
-		t.Errorf("served %.3f of the worth, %.3f alone; %d breaks", together.Share, alone.Share, together.ViolationCount)
+		t.Errorf("earned %.3f of the priority weight, %.3f without summaries; %d violations", together.Share, alone.Share, together.ViolationCount)
 	}
 	if together.Hash != again.Hash {
-		t.Errorf("two plays of one seed: %s and %s", together.Hash, again.Hash)
+		t.Errorf("two runs of one seed: %s and %s", together.Hash, again.Hash)
 	}
 }
--- a/internal/emulate/traffic.go
+++ b/internal/emulate/traffic.go
@@ -11,9 +11,9 @@
 
 // Caller is one of the callers.
 type Caller struct {
-	Who   uint64 // hash of its name, as the levels know it
-	Habit *CallerHabit
-	Home  int // rank of its sidecar
+	Who      uint64 // hash of its name, by which levels choose callers to shed
+	Behavior *CallerBehavior
+	Home     int // rank of its home sidecar
 }
 
 // Arrival is one request of a caller.
@@ -22,11 +22,11 @@
 	At     float64 // ms from the start, of the first try
 	Class  int
 	Caller *Caller
-	Home   int     // rank of the sidecar by which it enters
+	Home   int     // rank of the sidecar at which it enters
 	Work   float64 // ms on one core of a server of speed 1
 }
 
-// Traffic generates the requests of a scenario: the same ones for the same seed, in virtual time and over processes.
+// Traffic generates the requests of a scenario: the same ones for the same seed, in the emulator and in drills.
 type Traffic struct {
 	scenario         *Scenario
 	random           randomStreams
@@ -35,9 +35,9 @@
 	count            uint64
 	callers          []Caller
 	shapes           []workShape
-	cumulativeShares []float64 // sums of the classes' parts of the requests
+	cumulativeShares []float64 // for each class the sum of the parts up to it
 	meanWork         []float64 // ms
-	entries          [][]Move  // by class, the first from the start on
+	entries          [][]Move  // sidecars at which requests enter, by class; the first entry applies from the start
 }
 
 // NewTraffic returns the traffic of a scenario and a seed.
@@ -56,7 +56,7 @@
 		t.shapes = append(t.shapes, f)
 		t.cumulativeShares = append(t.cumulativeShares, sum)
 		t.meanWork = append(t.meanWork, k.Mean.MS())
-		t.entries = append(t.entries, append([]Move{{Doors: k.Doors}}, k.Moves...))
+		t.entries = append(t.entries, append([]Move{{Frontends: k.Frontends}}, k.Moves...))
 	}
 	for _, p := range sc.Demand.Curve {
 		t.maxRate = max(t.maxRate, p.Times)
@@ -65,37 +65,37 @@
 	return t
 }
 
-// drawCallers draws the callers, each with a habit and a sidecar.
+// drawCallers draws the callers, each with a behavior and a sidecar.
 func (t *Traffic) drawCallers() {
 	r := t.random.stream("callers")
-	habits := t.scenario.Habits
-	if len(habits) == 0 {
-		one := CallerHabit{}
-		one.SetDefaults()
-		habits = []CallerHabit{one}
+	behaviors := t.scenario.Behaviors
+	if len(behaviors) == 0 {
+		defaults := CallerBehavior{}
+		defaults.SetDefaults()
+		behaviors = []CallerBehavior{defaults}
 	}
-	homes, total := make([]float64, t.scenario.Copies.Count), 0.0 // the sum of the sidecars' shares of the callers up to each
+	homes, total := make([]float64, t.scenario.Copies.Count), 0.0 // for each sidecar the sum of the shares of callers up to it
 	for i := range homes {
 		total += math.Pow(float64(i+1), -t.scenario.Copies.Skew)
 		homes[i] = total
 	}
 	sum := 0.0
-	for i := range habits {
-		sum += habits[i].Share
+	for i := range behaviors {
+		sum += behaviors[i].Share
 	}
 	t.callers = make([]Caller, t.scenario.Demand.Callers)
 	for i := range t.callers {
 		u := r.Float64() * sum
 		n := 0
-		for u >= habits[n].Share && n < len(habits)-1 {
-			u -= habits[n].Share
+		for u >= behaviors[n].Share && n < len(behaviors)-1 {
+			u -= behaviors[n].Share
 			n++
 		}
-		place, home := r.Float64()*total, 0
-		for home < len(homes)-1 && homes[home] <= place {
+		draw, home := r.Float64()*total, 0
+		for home < len(homes)-1 && homes[home] <= draw {
 			home++
 		}
-		t.callers[i] = Caller{Who: degradation.HashCaller(fmt.Sprint("c", i)), Habit: &habits[n], Home: home}
+		t.callers[i] = Caller{Who: degradation.HashCaller(fmt.Sprint("c", i)), Behavior: &behaviors[n], Home: home}
 	}
 }
 
@@ -104,7 +104,7 @@
 	d := &t.scenario.Demand
 	for {
 		t.at += t.arrivals.ExpFloat64() * 1000 / (d.Rate * t.maxRate)
-		accept, class, who := t.arrivals.Float64(), t.arrivals.Float64(), t.arrivals.IntN(len(t.callers))
+		accept, class, caller := t.arrivals.Float64(), t.arrivals.Float64(), t.arrivals.IntN(len(t.callers))
 		if t.at >= t.scenario.For.MS() {
 			return Arrival{}, false
 		}
@@ -112,7 +112,7 @@
 			continue
 		}
 		t.count++
-		a := Arrival{Number: t.count, At: t.at, Class: t.classAt(class), Caller: &t.callers[who]}
+		a := Arrival{Number: t.count, At: t.at, Class: t.classAt(class), Caller: &t.callers[caller]}
 		a.Work = t.meanWork[a.Class] * t.shapes[a.Class](t.random.uniform(drawWork, a.Number, 0))
 		a.Home = t.entryFor(a.Caller, a.Class)
 		return a, true
@@ -127,13 +127,13 @@
 			now = m
 		}
 	}
-	if now.Doors == 0 {
+	if now.Frontends == 0 {
 		return c.Home
 	}
-	return (now.First + c.Home%now.Doors) % t.scenario.Copies.Count
+	return (now.First + c.Home%now.Frontends) % t.scenario.Copies.Count
 }
 
-// classAt returns the class of a uniform number.
+// classAt returns the class for a uniform number in [0, 1).
 func (t *Traffic) classAt(u float64) int {
 	u *= t.cumulativeShares[len(t.cumulativeShares)-1]
 	for i, sum := range t.cumulativeShares {
@@ -144,9 +144,9 @@
 	return len(t.cumulativeShares) - 1
 }
 
-// LeavesEarly reports whether a client leaves a try before its response, and after how many ms.
+// LeavesEarly reports whether a client abandons a try before its response, and after how many ms.
 func (t *Traffic) LeavesEarly(a *Arrival, try int) (float64, bool) {
-	leave := a.Caller.Habit.Leave
+	leave := a.Caller.Behavior.Leave
 	if leave <= 0 || t.random.uniform(drawLeave, a.Number, uint64(try)) >= leave {
 		return 0, false
 	}
@@ -154,22 +154,22 @@
 	return u * t.scenario.Pool.Classes[a.Class].GiveUp.MS(), true
 }
 
-// RetryAfter reports whether a caller tries again after a try that ended with an answer (0 for none), and after how many ms. RetryAfter
-// of a rejection is in ms.
+// RetryAfter reports whether a caller retries after a try that ended with an answer (0 for none), and after how many ms. After is the
+// Retry-After of a rejection, in ms.
 func (t *Traffic) RetryAfter(a *Arrival, try int, answer rules.Answer, after float64) (wait float64, again bool) {
-	habit := a.Caller.Habit
-	if answer == rules.Served || try >= habit.Tries || habit.Habit == habitNone {
+	behavior := a.Caller.Behavior
+	if answer == rules.Served || try >= behavior.Tries || behavior.Kind == behaviorNone {
 		return 0, false
 	}
-	if answer != rules.Refused && t.scenario.Pool.Classes[a.Class].Effect != "safe" && !habit.Unsafe {
+	if answer != rules.Refused && t.scenario.Pool.Classes[a.Class].Effect != "safe" && !behavior.Unsafe {
 		return 0, false // it may have run
 	}
 	u := t.random.uniform(drawRetry, a.Number, uint64(try))
-	wait = habit.Wait.MS()
-	switch habit.Habit {
-	case habitBackoff:
+	wait = behavior.Wait.MS()
+	switch behavior.Kind {
+	case behaviorBackoff:
 		wait *= u * math.Pow(2, float64(try-1))
-	case habitHonour:
+	case behaviorRetryAfter:
 		if answer == rules.Refused {
 			wait = after * (1 + u/2)
 		}
--- a/internal/plan/bound.go
+++ b/internal/plan/bound.go
@@ -9,13 +9,13 @@
 	"milletmast/internal/emulate"
 )
 
-// Bound is a lower bound on the servers of any fleet, whatever its sidecars decide.
+// Bound is a lower bound on the number of servers of any fleet, for any decisions of its sidecars.
 type Bound struct {
-	Servers int    `json:"servers"` // at least
+	Servers int    `json:"servers"` // least number of servers
 	Why     string `json:"why"`
-	// Erlang is how many servers a single queue over all cores would need if it refused nothing and the target's ratio of its requests
-	// had to wait no longer than their aim allows (M/M/c, Erlang C). It is no bound: a fleet may refuse, and its work need not be
-	// exponentially distributed.
+	// Erlang is how many servers a single queue over all cores would need if it rejected nothing and the target's ratio of its requests
+	// had to wait no longer than their latency target allows (M/M/c, Erlang C). It is no bound: a fleet may reject requests, and its
+	// work need not be exponentially distributed.
 	Erlang int `json:"erlang"`
 }
 
@@ -51,7 +51,7 @@
 	return bound
 }
 
-// lostCapacity returns the ratio of all capacity over the measured time that a fault takes away.
+// lostCapacity returns the ratio of the capacity over the measured time that is lost with a fault.
 func lostCapacity(scenario *emulate.Scenario, fault *emulate.Fault) float64 {
 	return lostServers(scenario, fault) * measuredOverlap(scenario, fault) / measuredTime(scenario)
 }
@@ -68,8 +68,8 @@
 	return max(to-from, 0)
 }
 
-// lostServers returns the ratio of the servers that are away in a fault. A fault that only slows servers, or separates sidecars from
-// them, gives no bound for all fleets: 0.
+// lostServers returns the ratio of the servers that are down in a fault. It returns 0 for a fault that only slows servers or separates
+// sidecars from them, as that gives no bound for all fleets.
 func lostServers(scenario *emulate.Scenario, fault *emulate.Fault) float64 {
 	zones := float64(max(len(scenario.Pool.Zones), 1))
 	switch fault.Kind {
@@ -99,35 +99,35 @@
 	return scenario.Demand.Rate * sum / steps
 }
 
-// leastWork returns the work in milliseconds per second without which a share of the worth cannot be earned. It takes the classes with
-// the highest worth per work first (the fractional knapsack problem).
+// leastWork returns the least work in milliseconds per second by which a share of the priority weight can be earned. It takes the
+// classes with the highest weight per work first (the fractional knapsack problem).
 func leastWork(scenario *emulate.Scenario, rate, share float64) float64 {
-	type demand struct{ worth, work float64 } // per second
+	type demand struct{ weight, work float64 } // per second
 	var demands []demand
-	parts, worth := totalParts(scenario), 0.0
+	parts, weight := totalParts(scenario), 0.0
 	for _, w := range scenario.Work {
 		for _, class := range scenario.Pool.Classes {
 			if class.Name == w.Class {
 				classRate := rate * w.Part / parts
 				demands = append(demands, demand{classRate * class.Worth, classRate * w.Mean.MS()})
-				worth += classRate * class.Worth
+				weight += classRate * class.Worth
 			}
 		}
 	}
-	slices.SortFunc(demands, func(a, b demand) int { return cmp.Compare(b.worth*a.work, a.worth*b.work) })
-	needed, work := share*worth, 0.0
+	slices.SortFunc(demands, func(a, b demand) int { return cmp.Compare(b.weight*a.work, a.weight*b.work) })
+	needed, work := share*weight, 0.0
 	for _, d := range demands {
-		if d.worth <= 0 || needed <= 0 {
+		if d.weight <= 0 || needed <= 0 {
 			continue
 		}
-		taken := min(1, needed/d.worth)
+		taken := min(1, needed/d.weight)
 		work += taken * d.work
-		needed -= taken * d.worth
+		needed -= taken * d.weight
 	}
 	return work
 }
 
-// totalParts returns the sum of the parts of all kinds of work, of which each has its share of the requests.
+// totalParts returns the sum of the parts of all classes: the share of a class of the requests is its part divided by the sum.
 func totalParts(scenario *emulate.Scenario) float64 {
 	sum := 0.0
 	for _, w := range scenario.Work {
--- a/internal/plan/erlang.go
+++ b/internal/plan/erlang.go
@@ -6,8 +6,8 @@
 	"milletmast/internal/emulate"
 )
 
-// ErlangC returns the probability that a request waits in a queue with some servers and an offered load in servers (M/M/c); 1 if the load
-// is as high as the number of servers.
+// ErlangC returns the probability that a request has to wait in an M/M/c queue, for a number of servers and an offered load in servers.
+// It is 1 if the load is at least the number of servers.
 func ErlangC(servers int, load float64) float64 {
 	if load >= float64(servers) {
 		return 1
@@ -20,11 +20,11 @@
 	return blocking / (1 - utilization*(1-blocking))
 }
 
-// erlangServers returns the fewest servers whose cores, as a single queue, let a share of the requests wait no longer than their aim
-// allows. It returns 0 if no number up to maxServers does.
+// erlangServers returns the fewest servers whose cores, as a single queue, let a share of the requests wait no longer than their
+// latency target allows. It returns 0 if no number up to maxServers does.
 func erlangServers(scenario *emulate.Scenario, rate, share float64) int {
 	const tolerance = 1e-12
-	parts, meanWork, slack := totalParts(scenario), 0.0, math.Inf(1) // ms; slack is the longest wait within the aim of every class
+	parts, meanWork, slack := totalParts(scenario), 0.0, math.Inf(1) // ms; slack is the longest wait within the latency target of every class
 	for _, w := range scenario.Work {
 		work := w.Mean.MS() / meanSpeed(scenario)
 		meanWork += w.Part / parts * work
@@ -43,7 +43,7 @@
 		if load >= float64(cores) {
 			continue
 		}
-		// The wait of requests that wait is exponentially distributed, with the remaining capacity as its rate.
+		// The wait of those requests that have to wait is exponentially distributed, with the unused capacity as its rate.
 		late := ErlangC(cores, load) * math.Exp(-(float64(cores)-load)*slack/meanWork)
 		if late <= 1-share+tolerance {
 			return n
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan finds the size of a fleet that holds its targets: how many servers and sidecars, which subset and which queue of a
-// server, also while parts of the fleet are lost. It searches with runs of the emulator (package emulate), and reports beside its answer
-// a bound that no fleet can go below.
+// Package plan finds the smallest fleet that meets its targets, also while parts of it are lost: the number of servers and sidecars,
+// the size of subsets and the queue of a server. It searches with runs of the emulator (package emulate), and also reports a lower
+// bound for any fleet.
 package plan
 
 import (
@@ -16,7 +16,7 @@
 // noLoss is the name of the scenario without a loss.
 const noLoss = "no loss"
 
-// Size is one combination of what a search can choose.
+// Size is one combination of the values that a search chooses.
 type Size struct {
 	Servers int `json:"servers"`
 	Copies  int `json:"copies"`
@@ -63,12 +63,12 @@
 	return p, nil
 }
 
-// loadScenario reads the scenario with the plan's overrides, and then others.
+// loadScenario reads the scenario with the plan's overrides and, after them, further ones.
 func (p *Plan) loadScenario(overrides ...string) (*emulate.Scenario, error) {
 	return emulate.Load(p.Scenario, slices.Concat(p.Overrides, overrides)...)
 }
 
-// targetedScenario is a scenario and what has to hold in it.
+// targetedScenario is a scenario and the target that has to hold in it.
 type targetedScenario struct {
 	scenario *emulate.Scenario
 	target   Target
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -13,7 +13,7 @@
 	"milletmast/internal/operator"
 )
 
-// Erlang C against its published values.
+// ErlangC must agree with published values.
 func TestErlangC(t *testing.T) {
 	for _, c := range []struct {
 		c       int
@@ -28,7 +28,7 @@
 	}
 }
 
-func scenario(t *testing.T, sets ...string) *emulate.Scenario {
+func loadScenario(t *testing.T, sets ...string) *emulate.Scenario {
 	t.Helper()
 	sc, err := emulate.Load("../../deploy/scenarios/calm.toml", append([]string{"demand.curve=[]", "demand.rate=1000"}, sets...)...)
 	if err != nil {
@@ -37,9 +37,9 @@
 	return sc
 }
 
-// The worth that is asked for least work comes first, and what is lost with a zone raises the bound.
+// The bound must count the classes with the highest priority weight per work first, and must rise with the loss of a zone.
 func TestBound(t *testing.T) {
-	sc := scenario(t) // 700 browse of 30 ms and worth 1, 100 save of 60 ms and 12, 200 add of 40 ms and 2: worth 2300
+	sc := loadScenario(t) // 700 browse of 30 ms and weight 1, 100 save of 60 ms and 12, 200 add of 40 ms and 2: weight 2300
 	for _, c := range []struct{ share, want float64 }{{1, 35_000}, {0, 0}, {1200. / 2300, 6000}, {1600. / 2300, 14_000}, {1950. / 2300, 24_500}} {
 		if got := leastWork(sc, 1000, c.share); math.Abs(got-c.want) > 1e-6 {
 			t.Errorf("share %.3f: %v ms a second, want %v", c.share, got, c.want)
@@ -53,21 +53,21 @@
 	if b := p.bound(); b.Servers != 14 || !strings.Contains(b.Why, "a zone") { // two thirds of them can work
 		t.Errorf("%+v", b)
 	}
-	if n := serversFor(scenario(t, "servers.speeds=[1.0, 0.5]"), 35_000, 0); n != 12 {
+	if n := serversFor(loadScenario(t, "servers.speeds=[1.0, 0.5]"), 35_000, 0); n != 12 {
 		t.Errorf("%d servers of mean speed 0.75", n)
 	}
 }
 
-// fake is an evaluation without an emulator.
-func fake(holds func(Size) bool) (*searcher, *int) {
-	asked := 0
+// newFakeSearcher returns a searcher that evaluates sizes by a function instead of the emulator, and the number of its evaluations.
+func newFakeSearcher(holds func(Size) bool) (*searcher, *int) {
+	evaluations := 0
 	return newSearcher(func(_ context.Context, s Size) (*Check, error) {
-		asked++
+		evaluations++
 		return &Check{Size: s, Holds: holds(s), Scenario: "x"}, nil
-	}, 200), &asked
+	}, 200), &evaluations
 }
 
-// The search finds the fewest, asks for no size twice, and passes over an island below which fewer hold again.
+// The search must find the smallest size with a limited number of evaluations, also if a larger size fails.
 func TestSearch(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -78,32 +78,32 @@
 		most   int
 	}{
 		{"servers", Search{Servers: []int{1, 1000}}, 1, func(s Size) bool { return s.Servers >= 137 }, Size{137, 9, 0, 64}, 22},
-		{"from a bound above", Search{Servers: []int{1, 1000}}, 500, func(s Size) bool { return s.Servers >= 137 }, Size{137, 9, 0, 64}, 22},
+		{"guess above the answer", Search{Servers: []int{1, 1000}}, 500, func(s Size) bool { return s.Servers >= 137 }, Size{137, 9, 0, 64}, 22},
 		{"all hold", Search{Servers: []int{3, 10}}, 7, func(Size) bool { return true }, Size{3, 9, 0, 64}, 8},
-		{"an island", Search{Servers: []int{1, 100}}, 1, func(s Size) bool { return s.Servers >= 40 && s.Servers != 41 }, Size{40, 9, 0, 64}, 20},
+		{"a size above the answer fails", Search{Servers: []int{1, 100}}, 1, func(s Size) bool { return s.Servers >= 40 && s.Servers != 41 }, Size{40, 9, 0, 64}, 20},
 		{"copies", Search{Servers: []int{1, 50}, Copies: []int{2, 9}}, 1, func(s Size) bool { return s.Servers >= 8 && s.Copies >= 4 }, Size{8, 4, 0, 64}, 25},
 		{"subset and queue", Search{Servers: []int{1, 50}, Subset: []int{0, 12, 3, 6}, Queue: []int{64, 4, 16}}, 1,
 			func(s Size) bool { return s.Servers >= 8 && (s.Subset == 0 || s.Subset >= 6) && s.Queue >= 16 }, Size{8, 9, 6, 16}, 25},
 		{"fewer servers with fewer copies", Search{Servers: []int{1, 50}, Copies: []int{1, 9}}, 1, func(s Size) bool { return s.Servers >= 10+s.Copies }, Size{11, 1, 0, 64}, 40},
 	} {
-		s, asked := fake(c.holds)
+		s, evaluations := newFakeSearcher(c.holds)
 		got, _, err := s.search(t.Context(), &c.search, Size{0, 9, 0, 64}, c.guess)
-		if err != nil || got != c.want || *asked > c.most {
-			t.Errorf("%s: %v after %d, %v; want %v", c.name, got, *asked, err, c.want)
+		if err != nil || got != c.want || *evaluations > c.most {
+			t.Errorf("%s: %v after %d, %v; want %v", c.name, got, *evaluations, err, c.want)
 		}
 	}
-	s, _ := fake(func(Size) bool { return false })
+	s, _ := newFakeSearcher(func(Size) bool { return false })
 	if _, c, err := s.search(t.Context(), &Search{Servers: []int{1, 90}}, Size{0, 9, 0, 64}, 1); !errors.Is(err, ErrInfeasible) || c == nil || c.Size.Servers != 90 {
 		t.Errorf("%v, %v", c, err)
 	}
-	s, _ = fake(func(s Size) bool { return s.Servers > 900 })
+	s, _ = newFakeSearcher(func(s Size) bool { return s.Servers > 900 })
 	s.remaining = 5
 	if _, _, err := s.search(t.Context(), &Search{Servers: []int{1, 1000}}, Size{}, 1); !errors.Is(err, ErrBudget) {
 		t.Error(err)
 	}
 }
 
-// A plan holds on seeds that it has not seen, and with one server less it does not.
+// The answer of a plan must hold on seeds that the search did not use, and one server less must not hold.
 func TestPlanHolds(t *testing.T) {
 	p, err := Load("../../deploy/plans/zone.toml")
 	if err != nil {
@@ -125,7 +125,8 @@
 	}
 }
 
-// What no fleet can do is told with what binds, before anything is played or after.
+// A target that no size meets must give ErrInfeasible with the limiting figure: if the bound alone exceeds the range, before anything is
+// run, and otherwise after the search.
 func TestInfeasible(t *testing.T) {
 	p, err := Load("../../deploy/plans/zone.toml")
 	if err != nil {
@@ -133,7 +134,7 @@
 	}
 	p.Seeds, p.Losses = []int{1}, nil
 	p.Search = Search{Servers: []int{1, 2}}
-	p.base = scenario(t)
+	p.base = loadScenario(t)
 	if _, err := p.Solve(t.Context(), 4, nil); !errors.Is(err, ErrInfeasible) || !strings.Contains(err.Error(), "9 servers are needed at least, and 2 are allowed") {
 		t.Error(err)
 	}
@@ -144,9 +145,9 @@
 	}
 }
 
-const small = "scenario = \"calm.toml\"\n[target]\nshare = 0.9\n[search]\nservers = [1, 9]\n"
+const minimalPlan = "scenario = \"calm.toml\"\n[target]\nshare = 0.9\n[search]\nservers = [1, 9]\n"
 
-// A plan that cannot be meant is told with its line and field.
+// A mistake in a plan must be reported with its line and field.
 func TestBadPlans(t *testing.T) {
 	dir := t.TempDir()
 	text, err := os.ReadFile("../../deploy/scenarios/calm.toml")
@@ -157,27 +158,27 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(dir, "p.toml")
-	try := func(text string) error {
+	loadText := func(text string) error {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := Load(path)
 		return err
 	}
-	if err := try(small); err != nil {
+	if err := loadText(minimalPlan); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ from, to, want string }{
 		{`scenario = "calm.toml"`, ``, "scenario: is missing"},
 		{`calm.toml`, `none.toml`, "no such file"},
 		{`share = 0.9`, `share = 1.9`, "p.toml:3: target.share: 1.9 is not within 0 and 1"},
-		{`share = 0.9`, ``, "target: asks for nothing"},
+		{`share = 0.9`, ``, "target: has no requirement"},
 		{`share = 0.9`, `p95 = "2h"`, "p.toml:3: target.p95"},
 		{`[1, 9]`, `[9, 1]`, "p.toml:5: search.servers: [9 1] is no range"},
 		{`[1, 9]`, `[1]`, "no range"},
 		{`[1, 9]`, "[1, 9]\ncopies = [0, 3]", "p.toml:6: search.copies"},
 		{`[1, 9]`, "[1, 9]\nsubset = [-1]", "p.toml:6: search.subset"},
-		{`[target]`, "seeds = []\n[target]", "seeds: 0 of them"},
+		{`[target]`, "seeds = []\n[target]", "seeds: 0 seeds are given"},
 		{`[target]`, "fresh = [2]\n[target]", "p.toml:2: fresh: 2 is one of the seeds"},
 		{`[target]`, "evaluations = 0\n[target]", "p.toml:2: evaluations"},
 		{`[target]`, "set = [\"copies.count\"]\n[target]", "sets nothing"},
@@ -185,15 +186,15 @@
 		{`[1, 9]`, "[1, 9]\n[[survive]]\nname = \"no loss\"\n[[survive.fault]]\nkind = \"zone\"", "p.toml:7: survive[0].name"},
 		{`[1, 9]`, "[1, 9]\n[[survive]]\nname = \"x\"\n[[survive.fault]]\nkind = \"zone\"", "fault[0].zone: is missing"},
 	} {
-		if err := try(strings.Replace(small, c.from, c.to, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if err := loadText(strings.Replace(minimalPlan, c.from, c.to, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q for %q: %v, want %q", c.to, c.from, err, c.want)
 		}
 	}
 }
 
-// Whatever a plan says, it is refused with an error or its ranges can be searched.
+// Decoding must reject any plan whose ranges cannot be searched.
 func FuzzFile(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(minimalPlan))
 	text, err := os.ReadFile("../../deploy/plans/zone.toml")
 	if err != nil {
 		f.Fatal(err)
@@ -205,7 +206,7 @@
 			return
 		}
 		if s := p.Search.Servers; len(s) != 2 || s[0] < 1 || s[1] < s[0] || p.MaxEvaluations < 1 || len(p.Seeds) == 0 {
-			t.Errorf("taken: %+v", p)
+			t.Errorf("accepted: %+v", p)
 		}
 	})
 }
--- a/internal/plan/search.go
+++ b/internal/plan/search.go
@@ -10,23 +10,23 @@
 // Check is the result of running one size.
 type Check struct {
 	Size     Size    `json:"size"`
-	Holds    bool    `json:"holds"`
+	Holds    bool    `json:"holds"`    // all targets are met
 	Scenario string  `json:"scenario"` // the one with the least margin
 	Figure   string  `json:"figure"`   // the one with the least margin
 	Value    float64 `json:"value"`
 	Target   float64 `json:"target"`
-	Margin   float64 `json:"margin"` // distance from the target as a ratio of it; negative where it fails
+	Margin   float64 `json:"margin"` // distance from the target as a ratio of it; negative if it is missed
 	Seed     uint64  `json:"seed"`
 }
 
 // String returns the result on one line.
 func (c *Check) String() string {
-	verdict := "holds"
+	result := "holds"
 	if !c.Holds {
-		verdict = "fails"
+		result = "fails"
 	}
 	return fmt.Sprintf("%v %s: %s, seed %d: %s %.4f, target %.4f (margin %+.3f)",
-		c.Size, verdict, c.Scenario, c.Seed, c.Figure, c.Value, c.Target, c.Margin)
+		c.Size, result, c.Scenario, c.Seed, c.Figure, c.Value, c.Target, c.Margin)
 }
 
 // checkFunc runs one size with all seeds.
@@ -38,7 +38,7 @@
 	ErrBudget     = errors.New("the evaluations are used up")
 )
 
-// neighbours is how many sizes right below an answer are known to fail.
+// neighbours is how many sizes right below an answer are checked to fail.
 const neighbours = 2
 
 // searcher runs each size at most once.
@@ -78,8 +78,8 @@
 }
 
 // smallest returns the smallest value of the dimension that holds. It searches upward from a guess by steps that double until one holds,
-// and then by bisection. That more never harms is not proved, so the neighbours below the answer are checked too, and one that holds
-// becomes the answer. With ErrInfeasible it returns the result of the largest size.
+// and then by bisection. It is not proved that a larger value holds if a smaller one does, so the neighbours below the answer are
+// checked too, and one that holds becomes the answer. With ErrInfeasible it returns the result of the largest size.
 func (s *searcher) smallest(ctx context.Context, d dimension, guess int) (int, *Check, error) {
 	failing, holding, last, err := s.firstHolding(ctx, d, guess)
 	if err != nil {
@@ -138,7 +138,7 @@
 }
 
 // search returns the size with the fewest servers, with them the fewest copies, then the smallest subset and the shortest queue of
-// those to try. The order is that of the price: a server costs most, a place in a queue least.
+// those to try. The order is by cost: a server costs most, a place in a queue least.
 func (s *searcher) search(ctx context.Context, ranges *Search, start Size, minServers int) (Size, *Check, error) {
 	best := start
 	servers := dimension{ranges.Servers[0], ranges.Servers[1], func(n int) Size { size := best; size.Servers = n; return size }}
@@ -182,7 +182,8 @@
 	return best, result, nil
 }
 
-// fewerServers removes servers from best as long as it holds: it had the fewest with the copies, subset and queue of the start.
+// fewerServers removes servers from best as long as it holds: its number was the smallest for the copies, subset and queue of the
+// start, and may be lower for those that were found.
 func (s *searcher) fewerServers(ctx context.Context, best Size, result *Check, least int) (Size, *Check, error) {
 	for best.Servers > least {
 		candidate := best
--- a/internal/plan/solve.go
+++ b/internal/plan/solve.go
@@ -23,7 +23,7 @@
 }
 
 // Solve searches for the smallest size. It runs concurrency runs at once and calls onCheck, which may be nil, after each size. An error
-// that wraps ErrInfeasible names what no size holds.
+// that wraps ErrInfeasible names the figure that misses its target.
 func (p *Plan) Solve(ctx context.Context, concurrency int, onCheck func(*Check)) (*Answer, error) {
 	bound := p.bound()
 	if most := p.Search.Servers[1]; bound.Servers > most {
