--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -17,11 +17,11 @@
 
 // Options configures a demo.
 type Options struct {
-	Duration      time.Duration // of the load; 0 for until the context ends
-	Address       string        // on which the sidecar listens
+	Duration      time.Duration // duration of the load; 0 if only the end of the context ends it
+	Address       string        // address on which the sidecar listens
 	Rate          int           // requests per second, 1 to maxRate
 	TableInterval time.Duration // between two tables, over 0
-	Out           io.Writer     // for tables and the summary
+	Out           io.Writer     // receives the tables and the summary
 	ReplaceTables bool          // whether each table replaces the one before, as on a terminal
 }
 
@@ -33,7 +33,8 @@
 // validate returns an error if no demo can run with the options.
 func (o *Options) validate() error {
 	if o.Rate < 1 || o.Rate > maxRate || o.TableInterval <= 0 {
-		return fmt.Errorf("a rate of %d and a table every %v are not possible: from 1 to %d requests a second", o.Rate, o.TableInterval, maxRate)
+		return fmt.Errorf("a rate of %d and a table every %v: allowed are 1 to %d requests a second and an interval over 0",
+			o.Rate, o.TableInterval, maxRate)
 	}
 	return nil
 }
@@ -65,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	stopInstance := instance.RunInBackground() // not until ctx ends: it still answers the last requests of the load
+	stopInstance := instance.RunInBackground() // not bound to ctx: it still serves the last requests of the load after ctx has ended
 	address := instance.Addresses()[listenerName]
 	fmt.Fprintf(o.Out, "a sidecar listens at %[1]s; try\n\n"+
 		"    curl -i http://%[1]s/items/7\n    curl -i -d a=b http://%[1]s/plans\n\n", address)
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// discardLog discards what is logged from now on until the returned function is called.
+// discardLog discards log messages until the returned function is called.
 func discardLog() (restore func()) {
 	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	maxConns       = 64           // of the load
+	maxConns       = 64           // connections of the load
 	maxOpen        = 4 * maxConns // requests without a response
 	requestTimeout = 5 * time.Second
-	plansEvery     = 4 // every so many requests one saves a plan, the others browse
+	plansEvery     = 4 // one of this many requests saves a plan, the others browse
 )
 
 // routeResults counts the responses to the load's requests of one route.
 type routeResults struct {
 	mu                      sync.Mutex
 	served, refused, failed int
-	longest, total          time.Duration // of the served ones
+	longest, total          time.Duration // latency of served requests
 }
 
 // resultsByRoute holds the results of each route by its name.
@@ -46,8 +46,8 @@
 	}
 }
 
-// sendRequests sends rate requests per second until ctx ends, and returns after the last response. A request is left out while
-// maxOpen others are open.
+// sendRequests sends rate requests per second until ctx ends, and returns after the last response. While maxOpen requests are open, no
+// further one is sent.
 func sendRequests(ctx context.Context, address string, rate int, results resultsByRoute) {
 	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: maxConns, MaxIdleConnsPerHost: maxConns}, Timeout: requestTimeout}
 	defer client.CloseIdleConnections()
--- a/internal/demo/server.go
+++ b/internal/demo/server.go
@@ -25,21 +25,21 @@
 )
 
 const (
-	workTime     = 5 * time.Millisecond // mean of a request
+	workTime     = 5 * time.Millisecond // mean time that a request takes
 	slowWorkTime = 60 * time.Millisecond
-	downTime     = time.Second // of a server that restarts
+	downTime     = time.Second // time for which a restarting server is down
 	upTime       = 3 * time.Second
 )
 
-// server is one stand-in of the demo.
+// server is a stand-in server of the demo.
 type server struct {
 	*fakeserver.Server
 	pool           string
 	behavior       behavior
-	requestsBefore int // that had reached it at the last table
+	requestsBefore int // number of requests at the time of the last table
 }
 
-// startServers starts the stand-ins of both pools. With an error it returns those that were started.
+// startServers starts the stand-in servers of both pools. With an error it returns those that were started.
 func startServers() ([]*server, error) {
 	var servers []*server
 	for _, spec := range []struct {
@@ -51,7 +51,7 @@
 	} {
 		fake, err := fakeserver.NewServer(spec.name)
 		if err != nil {
-			return servers, fmt.Errorf("start stand-in %s: %w", spec.name, err)
+			return servers, fmt.Errorf("start stand-in server %s: %w", spec.name, err)
 		}
 		mean := workTime
 		if spec.behavior == slow {
--- a/internal/demo/table.go
+++ b/internal/demo/table.go
@@ -9,7 +9,7 @@
 	"milletmast/internal/sidecar"
 )
 
-// formatTable returns a table of the pools and of the servers, and counts the requests of the next table from now on.
+// formatTable returns a table of the pools and of the servers. Request rates are since the last table.
 func formatTable(status sidecar.Status, servers []*server, interval time.Duration) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-8s %8s %6s %12s %9s %9s %9s\n", "pool", "usable", "open", "connections", "served", "refused", "failed")
@@ -27,7 +27,7 @@
 	return b.String() + "\n"
 }
 
-// printSummary prints what became of the load's requests.
+// printSummary prints the outcomes of the load's requests.
 func printSummary(out io.Writer, took time.Duration, results resultsByRoute) {
 	fmt.Fprintf(out, "ended after %.1f s\n", took.Seconds())
 	for _, route := range []string{browsePool, plansPool} {
--- a/internal/fakeserver/app.go
+++ b/internal/fakeserver/app.go
@@ -12,13 +12,13 @@
 // AppOptions configure what an App does for each request.
 type AppOptions struct {
 	Next         string      // address of the next tier
-	Calls        int         // made at once
+	Calls        int         // number of concurrent calls to the next tier
 	PassHeaders  []string    // copied from the request to its calls
-	FinalHeaders []string    // copied from the response of a failed call to its own
-	LoseResponse func() bool // whether the connection is closed without a response; nil for never
+	FinalHeaders []string    // copied from the response of a failed call to the App's response
+	LoseResponse func() bool // reports whether to close the connection without a response; nil for never
 }
 
-// App is a server between two tiers: it serves a request by calls to the next tier, and fails it if one of them fails.
+// App is a server between two tiers: it serves a request by calls to the next tier, and responds with an error if one of them fails.
 type App struct {
 	options AppOptions
 	ln      net.Listener
@@ -90,9 +90,9 @@
 	}
 }
 
-var errCallFailed = errors.New("fake server: a call was not served")
+var errCallFailed = errors.New("fake server: a call to the next tier got a status other than 200")
 
-// call makes one call and returns the headers of its response. It is a POST, as net/http retries a GET by itself.
+// call makes one call and returns the headers of its response. It is a POST, because net/http itself retries a GET.
 func (a *App) call(ctx context.Context, r *http.Request) (http.Header, error) {
 	out, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.options.Next+r.URL.Path, nil)
 	if err != nil {
--- a/internal/fakeserver/frameconn.go
+++ b/internal/fakeserver/frameconn.go
@@ -12,8 +12,8 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// FrameConn is one side of an HTTP/2 connection (RFC 9113) that speaks frame by frame as a test tells it, also what no valid peer
-// would send.
+// FrameConn is one side of an HTTP/2 connection (RFC 9113) on which a test sends and reads single frames, also frames that a valid peer
+// would not send.
 type FrameConn struct {
 	net.Conn
 	*http2.Framer
@@ -22,7 +22,7 @@
 	decoder   *hpack.Decoder
 }
 
-// Frame is a frame that was read. Unlike one of the http2 package it stays valid after the next read.
+// Frame is a frame that was read. Unlike a frame of package http2 it stays valid after the next read.
 type Frame struct {
 	Type       http2.FrameType
 	Stream     uint32
@@ -36,7 +36,7 @@
 	Values     map[http2.SettingID]uint32
 }
 
-// NewFrameConn returns a side on a connection. Each frame is written at once.
+// NewFrameConn returns a FrameConn on a connection. Frames are written without buffering.
 func NewFrameConn(c net.Conn) *FrameConn {
 	f := &FrameConn{Conn: c, Framer: http2.NewFramer(c, c)}
 	f.AllowIllegalWrites = true
@@ -46,7 +46,7 @@
 	return f
 }
 
-// DialFrameConn connects to a server of HTTP/2 and sends the preface and settings.
+// DialFrameConn connects to an HTTP/2 server and sends the client preface and settings.
 func DialFrameConn(addr string, settings ...http2.Setting) (*FrameConn, error) {
 	c, err := net.DialTimeout("tcp", addr, 5*time.Second)
 	if err != nil {
@@ -59,19 +59,19 @@
 	return f, f.WriteSettings(settings...)
 }
 
-// ServerHandshake reads the preface of a client, and sends the settings of a server.
+// ServerHandshake reads the client preface, and sends the settings of a server.
 func (f *FrameConn) ServerHandshake(settings ...http2.Setting) error {
 	preface := make([]byte, len(http2.ClientPreface))
 	if _, err := io.ReadFull(f.Conn, preface); err != nil {
 		return err
 	}
 	if string(preface) != http2.ClientPreface {
-		return errors.New("fake server: no preface of HTTP/2")
+		return errors.New("fake server: the connection does not start with the HTTP/2 client preface")
 	}
 	return f.WriteSettings(settings...)
 }
 
-// SendHeaders sends a header list, given as names and values in turn.
+// SendHeaders sends a header list. Pairs are alternating names and values.
 func (f *FrameConn) SendHeaders(stream uint32, end bool, pairs ...string) error {
 	return f.WriteHeaders(http2.HeadersFrameParam{
 		StreamID: stream, BlockFragment: f.EncodeHeaders(pairs...), EndHeaders: true, EndStream: end,
@@ -82,7 +82,7 @@
 func (f *FrameConn) EncodeHeaders(pairs ...string) []byte {
 	f.headerBuf.Reset()
 	for i := 0; i+1 < len(pairs); i += 2 {
-		_ = f.encoder.WriteField(hpack.HeaderField{Name: pairs[i], Value: pairs[i+1]}) // to memory: it does not fail
+		_ = f.encoder.WriteField(hpack.HeaderField{Name: pairs[i], Value: pairs[i+1]}) // writing to memory does not fail
 	}
 	return bytes.Clone(f.headerBuf.Bytes())
 }
@@ -95,13 +95,13 @@
 	}, pairs...)...)
 }
 
-// GRPCMessage frames a message of gRPC.
+// GRPCMessage returns a gRPC message with its length prefix.
 func GRPCMessage(text string) []byte {
 	n := len(text)
 	return append([]byte{0, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, text...)
 }
 
-// ReadNext reads a frame, with the frames that continue it.
+// ReadNext reads a frame. The frames that continue a header block are included.
 func (f *FrameConn) ReadNext() (Frame, error) {
 	raw, err := f.ReadFrame()
 	if err != nil {
@@ -147,12 +147,12 @@
 	return out, err
 }
 
-// ReadUntil reads up to a frame that fits, and returns all frames up to that one. It fails after a time.
-func (f *FrameConn) ReadUntil(within time.Duration, fits func(Frame) bool) ([]Frame, error) {
-	if err := f.SetReadDeadline(time.Now().Add(within)); err != nil {
+// ReadUntil reads up to a frame that matches, and returns all frames up to that one. It fails after the timeout.
+func (f *FrameConn) ReadUntil(timeout time.Duration, matches func(Frame) bool) ([]Frame, error) {
+	if err := f.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.SetReadDeadline(time.Time{}) }() // a closed connection shows in the next read
+	defer func() { _ = f.SetReadDeadline(time.Time{}) }() // fails on a closed connection, as does the next read
 	var all []Frame
 	for {
 		next, err := f.ReadNext()
@@ -164,7 +164,7 @@
 				return all, err
 			}
 		}
-		if all = append(all, next); fits(next) {
+		if all = append(all, next); matches(next) {
 			return all, nil
 		}
 	}
--- a/internal/fakeserver/http1.go
+++ b/internal/fakeserver/http1.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// chunkSize is the size of the chunks of a chunked response, in bytes. It divides no usual buffer size.
+// chunkSize is the size of the chunks of a chunked response, in bytes. It is a prime, so that chunks and buffers are not aligned.
 const chunkSize = 7919
 
 // serve serves a connection of either protocol.
@@ -70,8 +70,8 @@
 	return s.respond(ctx, c, req, &rec)
 }
 
-// work takes the time of a request, on one of the cores if their number is limited. A request whose deadline has passed when it
-// gets a core is dropped.
+// work waits for the time that a request takes, on one of the cores if their number is limited. A request whose deadline has passed when
+// it gets a core is dropped.
 func work(ctx context.Context, cores chan struct{}, req *http.Request, receivedAt time.Time, duration time.Duration) {
 	if cores == nil {
 		wait(ctx, duration)
@@ -88,7 +88,7 @@
 	}
 }
 
-// bufferedConn is a connection from which something has been read already.
+// bufferedConn is a connection of which bytes have already been read into a buffer.
 type bufferedConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -96,9 +96,9 @@
 
 func (b *bufferedConn) Read(p []byte) (int, error) { return b.reader.Read(p) }
 
-// respond responds by the fault of a request, and returns false if the connection has to end. The body of a usual response names the
-// server, method, URI, id, and size and hash of the request's body. The query can ask for another status, for a body of n bytes,
-// and for a chunked one: ?status=404&bytes=100000&chunked=1.
+// respond responds according to the fault of a request, and returns false if the connection has to end. The body of a response without
+// a fault contains the server, method, URI, id, and size and hash of the request's body. The query can set the status, a body of n
+// bytes, and a chunked body: ?status=404&bytes=100000&chunked=1.
 func (s *Server) respond(ctx context.Context, c net.Conn, req *http.Request, rec *Record) bool {
 	var err error
 	switch rec.Fault {
@@ -107,7 +107,7 @@
 		return false
 	case NoResponse:
 		if c.SetReadDeadline(time.Now().Add(time.Minute)) == nil {
-			_, _ = c.Read(make([]byte, 1)) // until the client gives up
+			_, _ = c.Read(make([]byte, 1)) // until the client closes the connection
 		}
 		return false
 	case GarbageResponse:
@@ -123,10 +123,10 @@
 	return err == nil
 }
 
-// errHalfResponse is a response that was cut off.
-var errHalfResponse = errors.New("fakeserver: the response was cut off")
+// errHalfResponse is returned after a response that was ended in its body.
+var errHalfResponse = errors.New("fake server: the response was ended in its body, as the fault requires")
 
-// http1Response is a usual response, or the half of one.
+// http1Response is a complete response, or half of one.
 type http1Response struct {
 	head    bytes.Buffer
 	body    []byte
@@ -135,7 +135,7 @@
 	isHalf  bool
 }
 
-// newResponse returns the response that a request asks for.
+// newResponse returns the response that the query of a request selects.
 func (s *Server) newResponse(req *http.Request, rec *Record) *http1Response {
 	query := req.URL.Query()
 	status, err := strconv.Atoi(query.Get("status"))
--- a/internal/fakeserver/http2.go
+++ b/internal/fakeserver/http2.go
@@ -16,14 +16,14 @@
 	"golang.org/x/net/http2"
 )
 
-// A Server speaks gRPC over HTTP/2 to clients that start with the preface of that protocol, with the same work, faults and records.
-// Requests are unary calls. The response is one message that names the server.
+// This file serves gRPC over HTTP/2 on connections that start with the HTTP/2 client preface, with the same work, faults and records as
+// HTTP/1.1. Requests are unary calls. The response is one message that contains the name of the server.
 
 const (
 	maxCallBodyBytes = 16 << 20
 	windowSize       = 1 << 20 // bytes
-	messagePrefix    = 5       // bytes before a message of gRPC
-	halfMessageBytes = 9       // of a response that breaks off
+	messagePrefix    = 5       // length of the prefix of a gRPC message, in bytes
+	halfMessageBytes = 9       // bytes of the message in a response that ends early
 )
 
 // http2Conn is a connection of HTTP/2.
@@ -32,7 +32,7 @@
 	frames *FrameConn
 	ctx    context.Context // of its calls
 
-	mu      sync.Mutex // of writes
+	mu      sync.Mutex // held during writes
 	calls   map[uint32]*grpcCall
 	running sync.WaitGroup
 }
@@ -98,7 +98,7 @@
 			)
 		}
 		if call == nil || call.body.Len()+len(f.Data) > maxCallBodyBytes {
-			return fmt.Errorf("fake server: stream %d has no call, or one that is too long", f.Stream)
+			return fmt.Errorf("fake server: stream %d has no call, or its request is over %d bytes", f.Stream, maxCallBodyBytes)
 		}
 		call.body.Write(f.Data)
 		t.serveIfComplete(f, call)
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// newCall returns the call of a header list.
+// newCall returns the call of a header frame.
 func (t *http2Conn) newCall(f Frame) *grpcCall {
 	call := &grpcCall{request: &http.Request{Method: http.MethodPost, URL: &url.URL{}, Header: http.Header{}}}
 	call.ctx, call.cancel = context.WithCancel(t.ctx)
@@ -129,7 +129,8 @@
 	}
 }
 
-// write writes frames together, up to the first that fails. The error shows when the connection is read.
+// write calls functions that write frames, up to the first that fails. Frames of other calls do not come between them. The error is
+// ignored because the next read of the connection fails too.
 func (t *http2Conn) write(frames ...func() error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,7 +141,7 @@
 	}
 }
 
-// serveCall serves one call by the fault of its request.
+// serveCall serves one call according to the fault of its request.
 func (t *http2Conn) serveCall(id uint32, call *grpcCall) {
 	defer call.cancel()
 	s := t.server
@@ -182,7 +183,7 @@
 	}
 }
 
-// respond responds by the fault of a call.
+// respond responds according to the fault of a call.
 func (t *http2Conn) respond(id uint32, call *grpcCall, rec *Record) {
 	header := []string{":status", "200", "content-type", "application/grpc", "x-server", t.server.Name}
 	sendHeaders := func(end bool, pairs ...string) func() error {
--- a/internal/fakeserver/misbehaving.go
+++ b/internal/fakeserver/misbehaving.go
@@ -14,11 +14,10 @@
 	"milletmast/internal/rules"
 )
 
-// MisbehavingServer is a server of the mesh that misbehaves as it is told, on real connections. It records each execution in
-// Answers.
+// MisbehavingServer is a server of the mesh that misbehaves as Choose says, on real connections. It records each execution in Answers.
 type MisbehavingServer struct {
-	Choose   func(n int) Misbehavior // of the n-th request; nil for none, as have requests of /health
-	Instance string                  // the only X-Target-Instance that it serves; "" for any
+	Choose   func(n int) Misbehavior // returns the misbehavior for the n-th request; nil for none. Requests of /health have none
+	Instance string                  // the only value of X-Target-Instance that it serves; "" for any
 	Answers  *rules.Answers
 
 	ln         net.Listener
@@ -81,7 +80,7 @@
 	return s.requests
 }
 
-// nextRequest numbers a request from 1.
+// nextRequest returns the number of the next request, from 1.
 func (s *MisbehavingServer) nextRequest() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,9 +91,9 @@
 // misbehavingConn is one connection of a MisbehavingServer.
 type misbehavingConn struct {
 	net.Conn
-	server    *MisbehavingServer
-	instead   []byte // what is sent in place of the next response
-	sentExtra bool   // an extra message was sent, and may still be on its way
+	server      *MisbehavingServer
+	replacement []byte // sent in place of the next response; nil for none
+	sentExtra   bool   // an extra message was sent, and may still be in transit
 }
 
 func (s *MisbehavingServer) serveConn(raw net.Conn) {
@@ -104,8 +103,8 @@
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		c.send(c.instead)
-		c.instead = nil
+		c.send(c.replacement)
+		c.replacement = nil
 		q, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -117,14 +116,14 @@
 // send writes bytes whose loss does not matter: the client may have closed the connection.
 func (c *misbehavingConn) send(text []byte) { _, _ = c.Write(text) }
 
-// isSent writes bytes, and reports whether that succeeded.
-func (c *misbehavingConn) isSent(text []byte) bool {
+// trySend writes bytes, and reports whether that succeeded.
+func (c *misbehavingConn) trySend(text []byte) bool {
 	_, err := c.Write(text)
 	return err == nil
 }
 
-// isRead reads the rest of the body of a request, and reports whether it arrived.
-func isRead(q *http.Request) bool {
+// readBody reads the rest of the body of a request, and reports whether all of it arrived.
+func readBody(q *http.Request) bool {
 	_, err := io.Copy(io.Discard, q.Body)
 	return err == nil
 }
@@ -136,7 +135,7 @@
 	if c.server.Choose != nil && q.URL.Path != "/health" {
 		m = c.server.Choose(n)
 	}
-	if c.sentExtra { // together with an incomplete response it could make a valid one, which nobody could tell
+	if c.sentExtra { // with an incomplete response it could form a valid one, which no client could detect
 		m.MissingBytes, m.CutInResponse, m.Malformed = 0, -1, false
 	}
 	c.sentExtra = c.sentExtra || m.Extra != NoExtra
@@ -149,7 +148,7 @@
 	case q.URL.Path == "/health":
 		c.send(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nX-Responding-Instance: %s\r\nContent-Length: 0\r\n\r\n", instance))
 		return true
-	case m.CutInRequest > 0: // it has read all, and fails while it executes the request
+	case m.CutInRequest > 0: // the whole body was read: it fails while it executes the request
 		c.server.Answers.RecordExecution(id, rules.Response{})
 		c.close(m.CloseMode)
 		return false
@@ -171,14 +170,14 @@
 			return false
 		}
 	}
-	return m.EarlyResponse || isRead(q)
+	return m.EarlyResponse || readBody(q)
 }
 
 // respond sends the response to the n-th request. It returns false if the connection has ended.
 func (c *misbehavingConn) respond(q *http.Request, id string, n int, m *Misbehavior) (keep bool) {
 	text := c.server.encodeResponse(id, n, m)
 	for range m.Interims {
-		if !c.isSent([]byte("HTTP/1.1 103 Early Hints\r\nX-Attempt-Id: " + id + "\r\n\r\n")) {
+		if !c.trySend([]byte("HTTP/1.1 103 Early Hints\r\nX-Attempt-Id: " + id + "\r\n\r\n")) {
 			return false
 		}
 	}
@@ -191,21 +190,21 @@
 	if m.ExtraTime == WithResponse {
 		text = append(bytes.Clone(text), extra...)
 	}
-	if !c.isSent(text) || m.CloseAfter {
+	if !c.trySend(text) || m.CloseAfter {
 		return false
 	}
 	if m.Malformed || m.MissingBytes > 0 {
 		c.close(m.CloseMode)
 		return false
 	}
-	if m.EarlyResponse && !isRead(q) {
+	if m.EarlyResponse && !readBody(q) {
 		return false
 	}
 	switch m.ExtraTime {
 	case AfterResponse:
 		time.AfterFunc(time.Duration(n%extraDelays)*extraDelay, func() { c.send(extra) })
 	case InsteadOfNext:
-		c.instead = extra
+		c.replacement = extra
 	}
 	return true
 }
@@ -216,7 +215,7 @@
 	extraDelays = 8
 )
 
-// rejectionStatuses are the statuses of rejections, in turn.
+// rejectionStatuses are the statuses of rejections, which are used in turn.
 var rejectionStatuses = [...]int{
 	http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusMisdirectedRequest, http.StatusBadRequest,
 }
@@ -228,7 +227,7 @@
 	body := fmt.Sprintf("%s was run %d", id, n) + strings.Repeat(".", n%40)
 	if m.Rejects {
 		status, seal = rejectionStatuses[n%len(rejectionStatuses)], ""
-	} else if status == http.StatusMisdirectedRequest { // which promises that it was not executed
+	} else if status == http.StatusMisdirectedRequest { // this status would mean that the request was not executed
 		status = http.StatusConflict
 	}
 	if m.OmitSeal {
@@ -264,7 +263,7 @@
 	return b.Bytes()
 }
 
-// idHeaders returns the headers of a response with the id of its request.
+// idHeaders returns the headers of a response with the ids that a mode selects.
 func idHeaders(id string, mode int) string {
 	own, other := "X-Attempt-Id: "+id+"\r\n", "X-Attempt-Id: older-"+id+"\r\n"
 	switch mode {
@@ -320,14 +319,14 @@
 	return nil
 }
 
-// close ends the connection in the middle of a message.
+// close ends the connection in the middle of a message, as mode says.
 func (c *misbehavingConn) close(mode CloseMode) {
 	tcp := c.Conn.(*net.TCPConn)
 	switch mode {
 	case CloseByReset:
 		_ = tcp.SetLinger(0) // fails on a closed connection only
 	case CloseWriteSide:
-		_ = tcp.CloseWrite() // likewise
+		_ = tcp.CloseWrite() // fails on a closed connection only
 		_, _ = io.Copy(io.Discard, c)
 	case StopReading:
 		_, _ = io.Copy(io.Discard, c) // until the client closes
--- a/internal/fakeserver/misbehavior.go
+++ b/internal/fakeserver/misbehavior.go
@@ -5,15 +5,15 @@
 	"net/http"
 )
 
-// CloseMode is how a connection ends in the middle of a message.
+// CloseMode is the way in which a connection ends in the middle of a message.
 type CloseMode uint8
 
-// The ways in which a connection ends.
+// The close modes.
 const (
 	CloseGracefully CloseMode = iota
 	CloseByReset
-	CloseWriteSide // the server sends nothing more, and reads on
-	StopReading    // the server sends nothing more, and reads without an effect until the client closes
+	CloseWriteSide // the server closes its sending side, and reads until the client closes
+	StopReading    // the server sends nothing more, and discards input until the client closes
 	closeModes
 )
 
@@ -45,7 +45,7 @@
 	extraTimes
 )
 
-// The ids of a response.
+// The modes of the ids in a response.
 const (
 	idOfRequest = iota
 	idOfOther
@@ -56,15 +56,15 @@
 
 // Misbehavior is what a MisbehavingServer does with one request.
 type Misbehavior struct {
-	Rejects           bool // it says that it does not execute the request, and does not
+	Rejects           bool // it rejects the request and does not execute it
 	Status            int  // of a request that is executed
 	EarlyResponse     bool // it responds before it has read the body
 	Interims          int  // interim responses before the final one
 	SpareContinue     bool // an interim response between the head and the body of the request
 	IDMode            int  // the id of the response: 0 the request's, 1 another, 2 none, 3 both
 	Chunked           bool
-	Malformed         bool // the length of a chunk, or the status line, is unreadable
-	MissingBytes      int  // the response announces so many bytes more than it has, and the server waits
+	Malformed         bool // the length of a chunk, or the status line, is invalid
+	MissingBytes      int  // number of bytes by which the announced length exceeds the sent body
 	OmitSeal          bool
 	ClaimsNotExecuted bool // a success says that the request was not executed
 	CloseAfter        bool // the response says that the connection ends, and it does
--- a/internal/fakeserver/server.go
+++ b/internal/fakeserver/server.go
@@ -1,6 +1,6 @@
-// Package fakeserver has servers for tests, measurements and the demo, on loopback addresses only: Server with settable speed and
-// faults and a record of every request that reached it, MisbehavingServer, App for a tier between two others, and FrameConn for
-// one side of an HTTP/2 connection that speaks frame by frame.
+// Package fakeserver provides servers for tests, measurements and the demo, on loopback addresses only: Server with configurable work
+// time and faults and a record of each request, MisbehavingServer for a server that violates the protocol, App for a tier between two
+// others, and FrameConn for one side of an HTTP/2 connection that sends and reads single frames.
 package fakeserver
 
 import (
@@ -26,18 +26,18 @@
 	ResetBeforeBody   Fault = "reset-before" // the connection is reset when the head has been read, before the body
 	ResetAfterRequest Fault = "reset-after"  // the request was executed, and the connection is reset
 	NoResponse        Fault = "stall"        // the request was executed, and there is no response
-	GarbageResponse   Fault = "garbage"      // the response is unreadable
+	GarbageResponse   Fault = "garbage"      // the response is not valid HTTP
 	Error500          Fault = "500"          // the response is a 500
 	NotExecuted       Fault = "not-run"      // 503 with X-Not-Run: 1; the request was not executed
-	HalfResponse      Fault = "half"         // the response breaks off in its body
+	HalfResponse      Fault = "half"         // the connection is reset in the body of the response
 )
 
 // Record is one request that reached a server.
 type Record struct {
 	Server, RequestID, Method, URI, Host, IdempotencyKey string
 	Header                                               http.Header
-	BodyBytes                                            int64  // of its body
-	BodyHash                                             uint64 // FNV-1a
+	BodyBytes                                            int64  // size of the body
+	BodyHash                                             uint64 // FNV-1a hash of the body
 	ReceivedAt                                           time.Time
 	Executed                                             bool
 	Fault                                                Fault
@@ -56,7 +56,7 @@
 	mu          sync.Mutex
 	ln          net.Listener
 	addr        string
-	workTime    func(path string) time.Duration // of one request
+	workTime    func(path string) time.Duration // time that a request takes
 	fault       func(*http.Request) Fault
 	records     []Record
 	reached     int
@@ -64,7 +64,7 @@
 	inFlight    int
 	conns       map[net.Conn]bool
 	connsOpened int
-	maxStreams  uint32        // of a connection of HTTP/2
+	maxStreams  uint32        // limit of concurrent streams of an HTTP/2 connection
 	cores       chan struct{} // a token for each request that is executed; nil for no limit
 	cancel      context.CancelFunc
 	running     sync.WaitGroup
@@ -111,7 +111,7 @@
 	s.SetWorkByPath(func(string) time.Duration { return f() })
 }
 
-// SetWorkByPath is SetWorkFunc by the path of the request.
+// SetWorkByPath sets a function that returns how long a request takes by its path. It is called by many goroutines.
 func (s *Server) SetWorkByPath(f func(path string) time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +128,7 @@
 	}
 }
 
-// Exponential returns a function that draws durations of an exponential distribution with a mean.
+// Exponential returns a function that draws durations from an exponential distribution.
 func Exponential(mean time.Duration, seed uint64) func() time.Duration {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 1))
@@ -163,8 +163,8 @@
 	return append([]Record(nil), s.records...)
 }
 
-// Counts returns how many requests have reached the server, how many of them were executed, how many are being served and how many
-// connections are open.
+// Counts returns the number of requests that have reached the server, of those that were executed, of those that are being executed, and
+// of open connections.
 func (s *Server) Counts() (reached, executed, inFlight, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
