--- a/balancer/api.go
+++ b/balancer/api.go
@@ -67,14 +67,14 @@
 
 // The outcomes. NotExecuted, ConnectFailed and NotSent prove that the server executed nothing.
 const (
-	OK Outcome = iota
-	Error
-	NotExecuted
-	Timeout
-	ConnectFailed
-	Reset
-	Canceled
-	NotSent
+	OK            Outcome = iota
+	Error                 // the server responded that it failed
+	NotExecuted           // the server responded that it did not execute the request
+	Timeout               // no response in time
+	ConnectFailed         // no connection, so that nothing was written
+	Reset                 // the connection broke, or the response was invalid
+	Canceled              // the attempt was canceled, or its response says nothing about the server
+	NotSent               // the request did not reach the server, which says nothing about the server
 )
 
 // Event is an input of a balancer.
--- a/balancer/credits.go
+++ b/balancer/credits.go
@@ -140,8 +140,8 @@
 // limit. The limit is scaled with their number both ways: the servers left get no more than before, and one
 // that is added or returns brings as much as each other, less while it warms up. Only reducing it would add
 // up: servers replaced one by one, a flapping zone or a late list would leave servers idle. Not reducing it
-// would overload those left after ejections. It does harm where an ejection is wrong, or where listed servers
-// cannot serve: their share overloads the others until the next update.
+// would overload those left after ejections. Scaling does harm where an ejection is wrong, or where listed
+// servers cannot serve: their share overloads the others until the next update.
 func (b *Balancer) updateTotals() {
 	loads, measured, ejected, serving := 0.0, 0, 0, 0.0
 	b.hasWarm = false
--- a/internal/mesh/admission/controller.go
+++ b/internal/mesh/admission/controller.go
@@ -42,8 +42,8 @@
 	Full          // the endpoint and the queue are full
 )
 
-func (v Decision) String() string {
-	return [...]string{"pass", "wait", "nolife", "otherlife", "leaving", "evacuated", "cold", "full"}[v]
+func (d Decision) String() string {
+	return [...]string{"pass", "wait", "nolife", "otherlife", "leaving", "evacuated", "cold", "full"}[d]
 }
 
 // Limits are the limits that admission control enforces.
--- a/internal/mesh/admission/queue.go
+++ b/internal/mesh/admission/queue.go
@@ -35,17 +35,17 @@
 
 // Admit decides on a request. After the decision Queue, ProcessQueue returns the outcome later.
 func (c *Controller) Admit(now time.Time, req Request) (*Ticket, Decision) {
-	if v := c.rejection(now, req.InstanceID); v != Admit {
-		return nil, v
+	if decision := c.rejection(now, req.InstanceID); decision != Admit {
+		return nil, decision
 	}
 	t := &Ticket{Request: req}
-	v := c.capacityDecision(now)
-	if v == Admit && len(c.queue) == 0 {
+	decision := c.capacityDecision(now)
+	if decision == Admit && len(c.queue) == 0 {
 		c.admit(now, t)
 		return t, Admit
 	}
-	if v == WarmingUp && !req.WaitDuringWarmup || len(c.queue) >= c.maxInFlight() || !now.Before(req.Deadline) {
-		return nil, cmp.Or(v, Full)
+	if decision == WarmingUp && !req.WaitDuringWarmup || len(c.queue) >= c.maxInFlight() || !now.Before(req.Deadline) {
+		return nil, cmp.Or(decision, Full)
 	}
 	c.lastSequence++
 	t.sequence, t.ahead = c.lastSequence, req.NonRepeatable && c.isWarmingUp(now)
@@ -59,21 +59,21 @@
 // Recheck decides again on a request that was admitted before its body was received and is sent to
 // the endpoint only now. With any decision but Admit, the request is released.
 func (c *Controller) Recheck(now time.Time, t *Ticket) Decision {
-	v := c.rejection(now, t.InstanceID)
-	if i := slices.Index(c.admissions, t.admittedAt); v == Admit && now.After(t.admittedAt) {
+	decision := c.rejection(now, t.InstanceID)
+	if i := slices.Index(c.admissions, t.admittedAt); decision == Admit && now.After(t.admittedAt) {
 		if i >= 0 {
 			c.admissions = slices.Delete(c.admissions, i, i+1)
 		}
 		if c.isWarmingUp(now) && c.nextWarmupSlot(now).After(now) {
-			v = WarmingUp
+			decision = WarmingUp
 		} else {
 			c.admissions = append(c.admissions, now)
 		}
 	}
-	if v != Admit {
+	if decision != Admit {
 		c.Release(t)
 	}
-	return v
+	return decision
 }
 
 // Release ends a request, whether it was admitted or queued.
@@ -107,20 +107,20 @@
 func (c *Controller) ProcessQueue(now time.Time) (out []QueueOutcome, at time.Time) {
 	keep := c.queue[:0:0]
 	for _, t := range c.queue {
-		if v := c.rejection(now, t.InstanceID); v != Admit {
-			out = append(out, QueueOutcome{t, v})
+		if decision := c.rejection(now, t.InstanceID); decision != Admit {
+			out = append(out, QueueOutcome{t, decision})
 			continue
 		}
-		v := c.capacityDecision(now)
-		if !now.Before(t.Deadline) || v == WarmingUp && !t.WaitDuringWarmup {
-			out = append(out, QueueOutcome{t, cmp.Or(v, Full)})
-		} else if v == Admit {
+		decision := c.capacityDecision(now)
+		if !now.Before(t.Deadline) || decision == WarmingUp && !t.WaitDuringWarmup {
+			out = append(out, QueueOutcome{t, cmp.Or(decision, Full)})
+		} else if decision == Admit {
 			c.admit(now, t)
 			out = append(out, QueueOutcome{t, Admit})
 		} else {
 			keep = append(keep, t)
 			at = minTime(at, t.Deadline)
-			if v == WarmingUp {
+			if decision == WarmingUp {
 				at = minTime(at, c.nextWarmupSlot(now))
 			}
 		}
--- a/internal/mesh/configstore/command.go
+++ b/internal/mesh/configstore/command.go
@@ -18,9 +18,9 @@
 const (
 	configKey               = "config"
 	evacuationPrefix        = "evacuation/"
-	ejectionsKey            = "removals"
-	maxEjectionsBytes       = 1 << 20 // maximum size of the encoded ejections
-	controlPlaneQueueLength = 64      // unsent updates to a control plane
+	ejectionsKey            = "removals" // as on disks and between stores, so it does not change
+	maxEjectionsBytes       = 1 << 20    // maximum size of the encoded ejections
+	controlPlaneQueueLength = 64         // unsent updates to a control plane
 	evacuationOn            = "on"
 	evacuationOff           = "off"
 )
@@ -128,7 +128,7 @@
 
 // describeOldVersion describes, for the log, the history entry of an older version of the configuration.
 func describeOldVersion(history []consensus.ChosenVersion, change *consensus.Change) string {
-	i := slices.IndexFunc(history, func(p consensus.ChosenVersion) bool { return p.Number == change.Version.Number })
+	i := slices.IndexFunc(history, func(v consensus.ChosenVersion) bool { return v.Number == change.Version.Number })
 	switch {
 	case i < 0:
 		return "not in the history"
--- a/internal/mesh/consensus/change.go
+++ b/internal/mesh/consensus/change.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// VoterConfigKey is the key of the register that holds the voter configuration.
+// VoterConfigKey is the key of the register that holds the voter configuration. Disks and messages contain
+// it, so it does not change.
 const VoterConfigKey = "set"
 
 // ChangeKind is the effect of a change on the value of a register.
--- a/internal/mesh/consensus/quorumread.go
+++ b/internal/mesh/consensus/quorumread.go
@@ -12,10 +12,10 @@
 type quorumRead struct {
 	id        uint64
 	startedAt time.Time
-	ownStates []RegisterState // when the read was sent
-	ownDigest uint64          // digest of ownStates
-	states    map[string][]RegisterState
-	required  map[string]Ballot // by key, the highest ballot that a quorum reported as accepted; nil until a quorum has responded
+	ownStates []RegisterState            // when the read was sent
+	ownDigest uint64                     // digest of ownStates
+	states    map[string][]RegisterState // by disk
+	required  map[string]Ballot          // by key, the highest ballot that a quorum reported as accepted; nil until a quorum has responded
 }
 
 // startQuorumRead sends a quorum read to all peers.
--- a/internal/mesh/consensus/round.go
+++ b/internal/mesh/consensus/round.go
@@ -34,9 +34,9 @@
 	id           uint64
 	ballot       Ballot
 	proposals    []proposal
-	votes        map[string]RegisterState
-	rejections   map[string]bool
-	highest      Register // the register with the highest accepted ballot among the votes
+	votes        map[string]RegisterState // by disk, the state in its response that granted the request
+	rejections   map[string]bool          // by disk: it has promised a higher ballot
+	highest      Register                 // the register with the highest accepted ballot among the votes
 	value        *Value
 	changed      bool      // the value differs from that of highest
 	sentAt       time.Time // when requests were last sent
--- a/internal/mesh/controlplane/api.go
+++ b/internal/mesh/controlplane/api.go
@@ -42,7 +42,7 @@
 }
 
 // runWithTicket runs an evacuation command if its caller presents a ticket. A caller without one is
-// redirected here with a new one.
+// redirected here with a new one, as the call may be an old one that was delayed (see tickets).
 func (s *Server) runWithTicket(command controlstate.Command, verb, ticket string, done func(controlapi.Result)) {
 	path := "/api/Evacuation." + verb + "/" + url.PathEscape(command.Zone)
 	s.loop.Post(func() {
--- a/internal/mesh/controlplane/ejector.go
+++ b/internal/mesh/controlplane/ejector.go
@@ -127,17 +127,17 @@
 
 // trackEjected updates ejectedSince from the present ejections.
 func (e *ejector) trackEjected(now time.Time, ejected []outlier.Ejection) {
-	out := map[string]time.Time{}
+	since := map[string]time.Time{}
 	for _, ejection := range ejected {
 		if ejection.Returned {
 			continue
 		}
 		id := ejection.InstanceID
-		if out[id] = e.ejectedSince[id]; out[id].IsZero() {
-			out[id] = now
+		if since[id] = e.ejectedSince[id]; since[id].IsZero() {
+			since[id] = now
 		}
 	}
-	e.ejectedSince = out
+	e.ejectedSince = since
 }
 
 // turn returns the number of reachable control planes that sort before this one: they propose
--- a/internal/mesh/discovery/client.go
+++ b/internal/mesh/discovery/client.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Change says what an update has changed.
+// Change says what an update has changed. Zones stands for the evacuations and the ejections.
 type Change struct{ Nodes, Config, Zones bool }
 
 // HandleControlMessage handles a message of a control plane.
--- a/internal/mesh/discovery/message.go
+++ b/internal/mesh/discovery/message.go
@@ -26,7 +26,8 @@
 	WantLastKnown bool                 // no confirmed snapshot came for long: the proxy requests the last known one, even unconfirmed
 }
 
-// ControlMessage is a message of a control plane to a proxy. Without a sequence it is a heartbeat.
+// ControlMessage is a message of a control plane to a proxy. With a sequence it is an update, which the
+// proxy acknowledges; without, it is a heartbeat, a poll or a MinIncarnation.
 type ControlMessage struct {
 	Sequence       uint64
 	Complete       bool // Nodes holds all nodes
--- a/internal/mesh/discovery/trust.go
+++ b/internal/mesh/discovery/trust.go
@@ -17,7 +17,7 @@
 	Certain                     // it uses the state of a control plane with contact, or of a proxy that is Certain
 )
 
-func (s TrustLevel) String() string { return [...]string{"waiting", "uncertain", "certain"}[s] }
+func (l TrustLevel) String() string { return [...]string{"waiting", "uncertain", "certain"}[l] }
 
 // Source is the sender of a snapshot.
 type Source uint8
@@ -110,13 +110,13 @@
 func (c *ClientState) Trust() TrustLevel { return c.trust }
 
 // Ejection returns the ejection of an instance; ok is false for none.
-func (c *ClientState) Ejection(instance string) (r outlier.Ejection, ok bool) {
-	for _, r := range c.current.ejections {
-		if r.InstanceID == instance {
-			return r, true
+func (c *ClientState) Ejection(instance string) (ejection outlier.Ejection, ok bool) {
+	for _, ejection := range c.current.ejections {
+		if ejection.InstanceID == instance {
+			return ejection, true
 		}
 	}
-	return r, false
+	return ejection, false
 }
 
 // Config returns the configuration and its version, 0 for none.
--- a/internal/mesh/meshconfig/wire.go
+++ b/internal/mesh/meshconfig/wire.go
@@ -23,6 +23,8 @@
 	Tuples     [][]easyjson.RawMessage `json:"tuples"`
 }
 
+// limits bound what clients may send; 0 stands for the default.
+//
 //easyjson:json
 type limits struct {
 	MaxHeaderBytes int64   `json:"max_header_bytes"`
@@ -37,5 +39,7 @@
 	Weight float64 `json:"weight"`
 }
 
+// split is the list of the weighted targets of a route.
+//
 //easyjson:json
 type split []weighted
--- a/internal/mesh/outlier/decide.go
+++ b/internal/mesh/outlier/decide.go
@@ -26,7 +26,7 @@
 	ejectedFor func(instance string) time.Duration,
 ) (next []Ejection, changed bool) {
 	next, changed = updateEjections(limits, instances, ejected, ejectedFor)
-	serving, out := map[string]int{}, map[string]int{} // by service: instances that accept requests, and that are ejected
+	serving, ejectedCount := map[string]int{}, map[string]int{} // by service: instances that accept requests, and that are ejected
 	for _, instance := range instances {
 		if instance.Serving {
 			serving[instance.Service]++
@@ -34,7 +34,7 @@
 	}
 	for _, e := range next {
 		if !e.Returned {
-			out[e.Service]++
+			ejectedCount[e.Service]++
 		}
 	}
 	agreed := map[string][]Tally{}
@@ -47,7 +47,7 @@
 	for _, service := range slices.Sorted(maps.Keys(agreed)) {
 		tallies := agreed[service]
 		limit := int(limits.MaxEjectedShare * float64(serving[service]))
-		if out[service]+len(tallies) > limit {
+		if ejectedCount[service]+len(tallies) > limit {
 			continue
 		}
 		slices.SortFunc(tallies, func(a, b Tally) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/mesh/proxy/controlplanes.go
+++ b/internal/mesh/proxy/controlplanes.go
@@ -106,12 +106,12 @@
 		}
 	}
 	l.preferLocal(order, now)
-	if k := l.surplus(order, limit); k != nil {
-		k.conn.Close()
+	if link := l.surplus(order, limit); link != nil {
+		link.conn.Close()
 	}
-	for _, k := range l.active {
-		if k.conn != nil && now.Sub(k.lastSent) >= l.scale(heartbeatInterval)-tickInterval/2 {
-			l.send(k, l.message(k))
+	for _, link := range l.active {
+		if link.conn != nil && now.Sub(link.lastSent) >= l.scale(heartbeatInterval)-tickInterval/2 {
+			l.send(link, l.message(link))
 		}
 	}
 }
@@ -119,8 +119,8 @@
 // limit returns how many control planes to connect to: more while none of them has contact with a
 // quorum, as one that has may be among the less preferred.
 func (l *controlPlaneLinks) limit(now time.Time) int {
-	for ip, k := range l.active {
-		if k.conn != nil && l.proxy.state.HasContact(ip) {
+	for ip, link := range l.active {
+		if link.conn != nil && l.proxy.state.HasContact(ip) {
 			l.lastContact = now
 		}
 	}
@@ -137,15 +137,15 @@
 		return nil
 	}
 	for _, ip := range slices.Backward(order) {
-		k := l.active[ip]
-		if k == nil || k.conn == nil {
+		link := l.active[ip]
+		if link == nil || link.conn == nil {
 			continue
 		}
 		if !l.proxy.state.HasContact(ip) {
-			return k
+			return link
 		}
 		if farthest == nil {
-			farthest = k
+			farthest = link
 		}
 	}
 	return farthest
@@ -159,9 +159,9 @@
 		return
 	}
 	for _, ip := range slices.Backward(order) {
-		if k := l.active[ip]; k != nil && k.conn != nil {
+		if link := l.active[ip]; link != nil && link.conn != nil {
 			l.connect(order[0])
-			k.conn.Close()
+			link.conn.Close()
 			return
 		}
 	}
@@ -172,7 +172,7 @@
 func (l *controlPlaneLinks) primary() string {
 	first := ""
 	for _, ip := range l.rankControlPlanes() {
-		if k := l.active[ip]; k != nil && k.conn != nil {
+		if link := l.active[ip]; link != nil && link.conn != nil {
 			if l.proxy.state.HasContact(ip) {
 				return ip
 			}
@@ -190,26 +190,26 @@
 	}
 	l.announcedPrimary = primary
 	for _, ip := range []string{primary, previous} {
-		if k := l.active[ip]; k != nil && k.conn != nil {
-			l.send(k, l.message(k))
+		if link := l.active[ip]; link != nil && link.conn != nil {
+			l.send(link, l.message(link))
 		}
 	}
 }
 
 // message returns a message with the fields that every message to a control plane carries.
-func (l *controlPlaneLinks) message(k *controlPlaneLink) *discovery.ProxyMessage {
+func (l *controlPlaneLinks) message(link *controlPlaneLink) *discovery.ProxyMessage {
 	_, version := l.proxy.state.Config()
 	return &discovery.ProxyMessage{
-		AckedUpdate:   k.lastUpdate,
+		AckedUpdate:   link.lastUpdate,
 		ConfigVersion: version,
-		Primary:       k.ip == l.primary(),
+		Primary:       link.ip == l.primary(),
 		WantLastKnown: l.proxy.state.WantsLastKnown(time.Now()),
 	}
 }
 
 func (l *controlPlaneLinks) connect(ip string) {
-	k := &controlPlaneLink{ip: ip}
-	l.active[ip] = k
+	link := &controlPlaneLink{ip: ip}
+	l.active[ip] = link
 	p := l.proxy
 	p.goroutines.Go(func() {
 		conn, err := transport.Dial(p.ctx, controlplane.Address(ip, l.settings), l.scale(linkIdleTimeout))
@@ -218,20 +218,20 @@
 			err = conn.Send(discoverywire.FromHandshake(&discovery.Handshake{ProxyNode: l.settings.Node}))
 		}
 		if err != nil {
-			p.loop.Post(func() { l.handleLost(k) })
+			p.loop.Post(func() { l.handleLost(link) })
 			return
 		}
 		out := transport.NewOutbox(conn, linkQueueLength)
 		p.goroutines.Go(out.Run)
 		p.loop.Post(func() {
-			k.conn, k.outbox = conn, out
+			link.conn, link.outbox = conn, out
 			if backoff := l.backoffs[ip]; backoff != nil {
 				backoff.Reset()
 			}
 			record := p.record
-			msg := l.message(k)
+			msg := l.message(link)
 			msg.Record = &record
-			l.send(k, msg)
+			l.send(link, msg)
 			l.announcePrimary()
 		})
 		for {
@@ -240,29 +240,29 @@
 				break
 			}
 			msg := encoded.ControlMessage()
-			p.loop.Post(func() { l.handleMessage(k, msg) })
+			p.loop.Post(func() { l.handleMessage(link, msg) })
 		}
 		p.loop.Post(func() {
-			k.conn = nil
-			l.handleLost(k)
+			link.conn = nil
+			l.handleLost(link)
 		})
 	})
 }
 
 // send queues a message. A control plane that does not read its messages is disconnected.
-func (l *controlPlaneLinks) send(k *controlPlaneLink, msg *discovery.ProxyMessage) {
-	if k.outbox.Send(discoverywire.FromProxyMessage(msg)) {
-		k.lastSent = time.Now()
+func (l *controlPlaneLinks) send(link *controlPlaneLink, msg *discovery.ProxyMessage) {
+	if link.outbox.Send(discoverywire.FromProxyMessage(msg)) {
+		link.lastSent = time.Now()
 	}
 }
 
 // announceRecord sends a record to all control planes.
 func (l *controlPlaneLinks) announceRecord(record registry.NodeRecord) {
-	for _, k := range l.active {
-		if k.conn != nil {
-			msg := l.message(k)
+	for _, link := range l.active {
+		if link.conn != nil {
+			msg := l.message(link)
 			msg.Record = &record
-			l.send(k, msg)
+			l.send(link, msg)
 		}
 	}
 }
@@ -270,46 +270,46 @@
 // announceConfig reports the configuration version in use to all control planes: commands wait until
 // the proxies use a new version.
 func (l *controlPlaneLinks) announceConfig() {
-	for _, k := range l.active {
-		if k.conn != nil {
-			l.send(k, l.message(k))
+	for _, link := range l.active {
+		if link.conn != nil {
+			l.send(link, l.message(link))
 		}
 	}
 }
 
 // handleMessage applies a message and acknowledges it.
-func (l *controlPlaneLinks) handleMessage(k *controlPlaneLink, msg *discovery.ControlMessage) {
+func (l *controlPlaneLinks) handleMessage(link *controlPlaneLink, msg *discovery.ControlMessage) {
 	if msg.MinIncarnation >= l.proxy.record.Incarnation {
 		l.proxy.record.Incarnation = msg.MinIncarnation + 1
 		l.proxy.announce()
 	}
 	if msg.Poll != nil {
-		l.proxy.observer.setPolled(k.ip, msg.Poll.Instances)
+		l.proxy.observer.setPolled(link.ip, msg.Poll.Instances)
 	}
 	for _, m := range msg.ControlPlanes {
 		l.zones[m.IP] = m.Zone
 	}
-	l.proxy.applyChange(l.proxy.state.HandleControlMessage(time.Now(), k.ip, msg))
+	l.proxy.applyChange(l.proxy.state.HandleControlMessage(time.Now(), link.ip, msg))
 	l.announcePrimary()
 	if msg.Sequence > 0 {
-		k.lastUpdate = msg.Sequence
-		if k.conn != nil {
-			l.send(k, l.message(k))
+		link.lastUpdate = msg.Sequence
+		if link.conn != nil {
+			l.send(link, l.message(link))
 		}
 	}
-	if l.proxy.state.LacksConfig(k.ip) {
-		l.proxy.loop.PostAfter(configRequestDelay, func() { l.requestConfig(k) })
+	if l.proxy.state.LacksConfig(link.ip) {
+		l.proxy.loop.PostAfter(configRequestDelay, func() { l.requestConfig(link) })
 	}
 }
 
 // requestConfig requests the configuration that a control plane has announced, and repeats this
 // until it is received.
-func (l *controlPlaneLinks) requestConfig(k *controlPlaneLink) {
-	if l.active[k.ip] == k && k.conn != nil && l.proxy.state.LacksConfig(k.ip) {
-		msg := l.message(k)
+func (l *controlPlaneLinks) requestConfig(link *controlPlaneLink) {
+	if l.active[link.ip] == link && link.conn != nil && l.proxy.state.LacksConfig(link.ip) {
+		msg := l.message(link)
 		msg.WantConfig = true
-		l.send(k, msg)
-		l.proxy.loop.PostAfter(configRequestRetry, func() { l.requestConfig(k) })
+		l.send(link, msg)
+		l.proxy.loop.PostAfter(configRequestRetry, func() { l.requestConfig(link) })
 	}
 }
 
@@ -319,30 +319,30 @@
 	if len(opinions) == 0 {
 		return
 	}
-	for _, k := range l.active {
-		if k.conn != nil {
-			msg := l.message(k)
+	for _, link := range l.active {
+		if link.conn != nil {
+			msg := l.message(link)
 			msg.Opinions = opinions
-			l.send(k, msg)
+			l.send(link, msg)
 			return // control planes exchange opinions with each other
 		}
 	}
 }
 
 // handleLost handles the loss of a connection: it schedules a reconnection after a backoff.
-func (l *controlPlaneLinks) handleLost(k *controlPlaneLink) {
-	if l.active[k.ip] != k {
+func (l *controlPlaneLinks) handleLost(link *controlPlaneLink) {
+	if l.active[link.ip] != link {
 		return
 	}
 	now := time.Now()
-	delete(l.active, k.ip)
-	if l.backoffs[k.ip] == nil {
-		l.backoffs[k.ip] = &transport.Backoff{Min: firstBackoff, Max: maxBackoff}
+	delete(l.active, link.ip)
+	if l.backoffs[link.ip] == nil {
+		l.backoffs[link.ip] = &transport.Backoff{Min: firstBackoff, Max: maxBackoff}
 	}
-	delay := l.backoffs[k.ip].Next()
-	l.retryAt[k.ip] = now.Add(delay)
+	delay := l.backoffs[link.ip].Next()
+	l.retryAt[link.ip] = now.Add(delay)
 	l.proxy.loop.PostAfter(delay+time.Millisecond, l.tick)
-	l.proxy.applyChange(discovery.Change{Nodes: l.proxy.state.ControlPlaneLost(now, k.ip)})
+	l.proxy.applyChange(discovery.Change{Nodes: l.proxy.state.ControlPlaneLost(now, link.ip)})
 	l.announcePrimary()
 	l.tick()
 }
--- a/internal/mesh/proxy/healthcheck.go
+++ b/internal/mesh/proxy/healthcheck.go
@@ -88,7 +88,7 @@
 }
 
 // parseWarmupLeft returns the remaining warm-up time that an endpoint reports, if it does. A number above maxWarmup in
-// seconds is taken as milliseconds.
+// seconds is taken as milliseconds, and one out of range as 0.
 func parseWarmupLeft(h http.Header) (time.Duration, bool) {
 	n, err := strconv.ParseFloat(h.Get(warmupHeader), 64)
 	if err != nil || !(n >= 0) || n > 1e9 {
--- a/internal/mesh/proxy/inbound.go
+++ b/internal/mesh/proxy/inbound.go
@@ -18,8 +18,8 @@
 	probeTimeout    = time.Second
 	probeInterval   = 300 * time.Millisecond // while the endpoint does not respond
 	poolIdleTimeout = 8 * time.Second
-	localLatency    = 5 * time.Millisecond
-	maxWarmup       = time.Minute // a larger number of seconds is read as milliseconds
+	localLatency    = 5 * time.Millisecond // by which the deadline at the endpoint is before that of the sending proxy
+	maxWarmup       = time.Minute          // a larger number of seconds is read as milliseconds
 )
 
 // inboundEndpoint is the endpoint beside this proxy, with its admission control and the connections
@@ -30,17 +30,17 @@
 
 	mu                 sync.Mutex
 	controller         *admission.Controller
-	queued             map[*admission.Ticket]chan admission.Decision
-	timer              *time.Timer
-	probePath          string // of the health check
-	heartbeatSequences map[string]uint64
-	connectFailures    int // requests in a row that could not be sent to the endpoint
+	queued             map[*admission.Ticket]chan admission.Decision // each receives the outcome of a queued request
+	timer              *time.Timer                                   // runs processQueue when a queued request is due
+	probePath          string                                        // of the health check
+	heartbeatSequences map[string]uint64                             // by instance, the sequence of its last heartbeat
+	connectFailures    int                                           // requests in a row that could not be sent to the endpoint
 	probing            bool
 	lastProbe          time.Time
-	instanceCount      float64 // number of instances seen
-	service            string
-	wasEvacuated       bool // as of the last evacuation order
-	wasEjected         bool // as of the last configuration or zone change
+	instanceCount      float64 // number of instances seen: the incarnation of the server in pool
+	service            string  // of the endpoint, as it last reported
+	wasEvacuated       bool    // as of the last evacuation order
+	wasEjected         bool    // as of the last configuration or zone change
 }
 
 func newInboundEndpoint(p *Proxy) *inboundEndpoint {
@@ -51,7 +51,7 @@
 	return ep
 }
 
-// limits returns the limits of the admission control.
+// limits returns the limits of the admission control under a configuration; nil for none yet.
 func (ep *inboundEndpoint) limits(c *meshconfig.Config) admission.Limits {
 	b := &ep.proxy.settings.Bounds
 	out := admission.Limits{Drain: b.Drain, WarmupExcess: b.WarmupExcess, WarmupSlack: b.WarmupSlack}
--- a/internal/mesh/proxy/inboundrequest.go
+++ b/internal/mesh/proxy/inboundrequest.go
@@ -49,7 +49,8 @@
 }
 
 // Open handles the head of a request of another proxy. A request with a large body is admitted
-// before its body is sent.
+// before its body is sent. Open returns the largest body to accept, in bytes, or the response that
+// rejects the request.
 func (ep *inboundEndpoint) Open(incoming *sidecar.IncomingRequest) (int64, *sidecar.Reply) {
 	limit, rejected := ep.proxy.bodies.reserve(incoming, maxBodyBytes)
 	if rejected != nil {
@@ -157,7 +158,7 @@
 	return ticket, ""
 }
 
-// forward sends an admitted request to the endpoint.
+// forward sends an admitted request to the endpoint, and releases its ticket once the exchange has ended.
 func (ep *inboundEndpoint) forward(
 	ctx context.Context,
 	req *inboundRequest,
--- a/internal/mesh/proxy/observer.go
+++ b/internal/mesh/proxy/observer.go
@@ -14,15 +14,20 @@
 // callObserver records the results of the calls of this proxy for outlier detection.
 type callObserver struct {
 	mu       sync.Mutex
-	outbound *outlier.Observer
+	outbound *outlier.Observer // calls of clients on this machine
 	inbound  *outlier.Observer // calls to the endpoint beside this proxy
 	limits   outlier.Limits
 	polled   map[string][]string // by control plane, the instances that it polls about
 }
 
 func newCallObserver() *callObserver {
-	b := outlier.DefaultLimits()
-	return &callObserver{outbound: outlier.NewObserver(b), inbound: outlier.NewObserver(b), limits: b, polled: map[string][]string{}}
+	limits := outlier.DefaultLimits()
+	return &callObserver{
+		outbound: outlier.NewObserver(limits),
+		inbound:  outlier.NewObserver(limits),
+		limits:   limits,
+		polled:   map[string][]string{},
+	}
 }
 
 // recordOutbound records the result of a call to an instance.
--- a/internal/mesh/proxy/outboundlistener.go
+++ b/internal/mesh/proxy/outboundlistener.go
@@ -13,7 +13,8 @@
 // outboundListener serves the requests of clients on this machine.
 type outboundListener struct{ proxy *Proxy }
 
-// Open handles the head of a request.
+// Open handles the head of a request. It returns the largest body to accept, in bytes, or the response that
+// rejects the request.
 func (l *outboundListener) Open(req *sidecar.IncomingRequest) (int64, *sidecar.Reply) {
 	current := l.proxy.routing.Load()
 	if current.config == nil {
@@ -55,7 +56,8 @@
 	return reply
 }
 
-// timeLeft returns the time until the deadline of a request, as of when the request was received.
+// timeLeft returns the time until the deadline of a request, as of when the request was received:
+// defaultDeadline if the request gives none.
 func timeLeft(req *sidecar.IncomingRequest) time.Duration {
 	left, given, _ := sidecar.Deadline(req.Header, deadlineHeader)
 	if !given {
--- a/internal/mesh/proxy/outboundrequest.go
+++ b/internal/mesh/proxy/outboundrequest.go
@@ -151,7 +151,7 @@
 }
 
 // plan returns the limits of the next attempt, and takes a retry off the budget if the attempt needs
-// one.
+// one: only an attempt after one that reached an endpoint is a retry.
 func (out *outboundRequest) plan(instanceID string) (plan attemptPlan) {
 	service := out.service
 	service.mu.Lock()
@@ -239,7 +239,8 @@
 	}
 }
 
-// interpret translates the outcome of an attempt for the decision module.
+// interpret translates the outcome of an attempt for the decision module, which counts NotSent and Canceled
+// neither as a success nor as a failure of the endpoint.
 func (out *outboundRequest) interpret(outcome string, reply *sidecar.Reply, instanceID string) sidecar.AttemptResult {
 	if reason, ok := strings.CutPrefix(outcome, outcomeRejectedPrefix); ok {
 		if reason == admission.Full.String() || reason == admission.WarmingUp.String() { // the endpoint is busy, not unhealthy
@@ -294,5 +295,5 @@
 	queueTime        time.Duration // for which it may be queued at the endpoint
 	waitDuringWarmup bool          // no endpoint is known to be warm
 	known            bool          // the instance is known
-	allowed          bool          // the retry budget allows it
+	allowed          bool          // no attempt has reached an endpoint yet, or the route and the retry budget allow a retry
 }
--- a/internal/mesh/proxy/proxy.go
+++ b/internal/mesh/proxy/proxy.go
@@ -72,7 +72,7 @@
 	peerListener  net.Listener
 	lastOpinions  time.Time // when opinions on instances were last sent
 	bodies        bodyBudget
-	target        atomic.Pointer[string] // service of the endpoint on this machine
+	localService  atomic.Pointer[string] // service of the endpoint on this machine
 	draining      atomic.Bool
 	lastFailure   atomic.Int64 // when a request of a client on this machine last failed, in nanoseconds since 1970
 
@@ -102,7 +102,7 @@
 		configured: make(chan struct{}), services: map[string]*upstreamService{}, avoided: map[string]time.Time{},
 	}
 	p.routing.Store(&routing{})
-	p.target.Store(&settings.Target)
+	p.localService.Store(&settings.Target)
 	p.record = registry.NodeRecord{
 		Node: settings.Node, Zone: settings.Zone, Incarnation: uint64(time.Now().UnixNano()), Sequence: 1, InboundAddr: settings.Inbound,
 		PeerAddr: settings.PeerAddr(settings.IP, process.ProxyPort),
@@ -177,12 +177,12 @@
 
 // SettingsChanged applies settings that were read again.
 func (p *Proxy) SettingsChanged(s *nodeconfig.Settings) {
-	p.target.Store(&s.Target)
+	p.localService.Store(&s.Target)
 	p.loop.Post(func() { p.controlPlanes.applySettings(s) })
 }
 
 // serviceName returns the service of the endpoint on this machine, by the settings as last read.
-func (p *Proxy) serviceName() string { return *p.target.Load() }
+func (p *Proxy) serviceName() string { return *p.localService.Load() }
 
 // tick runs the periodic tasks. It runs in the loop.
 func (p *Proxy) tick() {
--- a/internal/sidecar/service.go
+++ b/internal/sidecar/service.go
@@ -24,7 +24,7 @@
 	Class            uint16
 	Deadline         time.Time // of the final response
 	MaxAttempts      int       // 0 for the limit of the settings
-	PriorityWeight   float64   // priority weight; 0 for that of the class
+	PriorityWeight   float64   // value of this request relative to others; 0 for that of the class
 	PreferredServers []string  // names of the servers to try first, in this order
 
 	// Attempt makes one attempt. It runs in a goroutine of its own; attempts of a request do not overlap.
@@ -55,17 +55,17 @@
 	final    bool // the request must not be retried
 }
 
-func (p *forwardedRequest) send(u *upstream, a *attempt, e *endpoint, deadline time.Time) (balancer.Outcome, *response) {
+func (f *forwardedRequest) send(u *upstream, a *attempt, e *endpoint, deadline time.Time) (balancer.Outcome, *response) {
 	defer a.cancel()
 	u.mu.Lock()
 	uid := e.uid
 	u.mu.Unlock()
-	number := p.attempts
-	p.attempts++
-	result := p.request.Attempt(&ServiceAttempt{
+	number := f.attempts
+	f.attempts++
+	result := f.request.Attempt(&ServiceAttempt{
 		Ctx: a.ctx, Server: uid, Addr: e.addr, Number: number, Deadline: deadline, upstream: u, attempt: a, endpoint: e,
 	})
-	p.final = p.final || result.Final
+	f.final = f.final || result.Final
 	if result.Reply == nil {
 		return result.Outcome, nil
 	}
@@ -74,11 +74,11 @@
 	return result.Outcome, reply
 }
 
-func (p *forwardedRequest) duration(sent time.Time) time.Duration { return time.Since(sent) }
+func (f *forwardedRequest) duration(sent time.Time) time.Duration { return time.Since(sent) }
 
-func (p *forwardedRequest) isNotRepeatable() bool { return p.final }
+func (f *forwardedRequest) isNotRepeatable() bool { return f.final }
 
-func (p *forwardedRequest) isUnbounded() bool { return false }
+func (f *forwardedRequest) isUnbounded() bool { return false }
 
 // Service distributes the requests of one service. It consists of a decision module, its event loop and the connections to the
 // servers.
@@ -91,8 +91,8 @@
 type ServiceEndpoint struct {
 	Name, Addr, Zone string
 	Draining         bool
-	Backup           bool // used only for requests that no other server can take
-	Weight           float64
+	Backup           bool      // used only for requests that no other server can take
+	Weight           float64   // relative load until the server is measured; 0 for none
 	Started          time.Time // start of its process; zero for long ago
 }
 
