--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -66,7 +66,7 @@
 		if err != nil {
 			return
 		}
-		if c.String() != text || c.Retries < 0 || c.Retries > MaxRetries || c.Hops() < 1 || c.Hops() > MaxHops || !(c.PriorityWeight >= 0 && c.PriorityWeight <= MaxWorth) || c.TimeLeft < 0 {
+		if c.String() != text || c.Retries < 0 || c.Retries > MaxRetries || c.Hops() < 1 || c.Hops() > MaxHops || !(c.PriorityWeight >= 0 && c.PriorityWeight <= MaxPriorityWeight) || c.TimeLeft < 0 {
 			t.Errorf("%q is read as %+v and written as %q", text, c, c.String())
 		}
 	})
--- a/internal/budget/context.go
+++ b/internal/budget/context.go
@@ -17,12 +17,12 @@
 
 // Limits of a context.
 const (
-	MaxHops     = 16
-	MaxRetries  = 99
-	MaxWorth    = 1e6
-	maxLength   = 320
-	maxTimeLeft = 999_999_999 * time.Millisecond
-	notExecuted = "no" // value of the field again if no earlier attempt may have been executed
+	MaxHops           = 16
+	MaxRetries        = 99
+	MaxPriorityWeight = 1e6
+	maxLength         = 320
+	maxTimeLeft       = 999_999_999 * time.Millisecond
+	notExecuted       = "no" // value of the field again if no earlier attempt may have been executed
 )
 
 // Context is passed with a call from tier to tier. Its grammar is in docs/operate/tiers.md.
@@ -113,7 +113,7 @@
 // parseWorth parses a priority weight of up to three decimals, without trailing zeros.
 func (c *Context) parseWorth(v string) bool {
 	integer, decimals, hasPoint := strings.Cut(v, ".")
-	n, ok := parseNumber(integer, MaxWorth)
+	n, ok := parseNumber(integer, MaxPriorityWeight)
 	if !ok {
 		return false
 	}
@@ -123,7 +123,7 @@
 	c.PriorityWeight = float64(n)
 	if hasPoint {
 		f, err := strconv.ParseFloat(v, 64)
-		if err != nil || f > MaxWorth {
+		if err != nil || f > MaxPriorityWeight {
 			return false
 		}
 		c.PriorityWeight = f
--- a/internal/emulate/attempt.go
+++ b/internal/emulate/attempt.go
@@ -31,7 +31,7 @@
 		return
 	}
 	w.result.attempts++
-	w.record(&rules.Fact{Kind: rules.AttemptSent, Copy: h.replicaID(), Request: c.id, Attempt: uint16(a.number), Server: id})
+	w.record(&rules.Fact{Kind: rules.AttemptSent, Replica: h.replicaID(), Request: c.id, Attempt: uint16(a.number), Server: id})
 	h.later(until-w.now(), func() { a.end(balancer.Timeout) })
 	if a.server == nil {
 		h.later(0, func() { a.end(balancer.NotSent) })
@@ -83,7 +83,7 @@
 	}
 	if s.isCold() {
 		w.record(&rules.Fact{
-			Kind: rules.WorkArrived, Copy: c.sidecar.replicaID(), Request: c.id, Server: s.id, Work: work, Capacity: s.capacity(),
+			Kind: rules.WorkArrived, Replica: c.sidecar.replicaID(), Request: c.id, Server: s.id, Work: work, Capacity: s.capacity(),
 		})
 	}
 	a.job = &job{work: work, abandoned: !a.open, failureDraw: w.random.uniform(drawFailure, c.id, uint64(a.number))}
@@ -141,7 +141,7 @@
 	}
 	c.openAttempts--
 	c.mayHaveExecuted = c.mayHaveExecuted || !neverRan
-	h.sim.record(&rules.Fact{Kind: rules.AttemptEnded, Copy: h.replicaID(), Request: c.id, Attempt: uint16(a.number), MayRun: !neverRan})
+	h.sim.record(&rules.Fact{Kind: rules.AttemptEnded, Replica: h.replicaID(), Request: c.id, Attempt: uint16(a.number), MayRun: !neverRan})
 	if o == balancer.OK {
 		h.finish(c, rules.Served, 0)
 	}
--- a/internal/emulate/calls.go
+++ b/internal/emulate/calls.go
@@ -48,7 +48,9 @@
 	h.calls[h.lastID] = c
 	h.callOrder = append(h.callOrder, c)
 	q.call = c
-	w.record(&rules.Fact{Kind: rules.RequestReceived, Copy: h.replicaID(), Request: c.id, Class: uint16(q.Class), Due: c.arrivedAt + giveUp})
+	w.record(&rules.Fact{
+		Kind: rules.RequestReceived, Replica: h.replicaID(), Request: c.id, Class: uint16(q.Class), Due: c.arrivedAt + giveUp,
+	})
 	h.admitByLevel(c)
 	h.admitByFleet(c)
 	if n := w.scenario.Copies.Retries; n > 0 {
@@ -77,7 +79,7 @@
 	c.ended = true
 	h.recordLevelResult(c, answer)
 	h.recordFleetResult(c, answer)
-	h.sim.record(&rules.Fact{Kind: rules.RequestAnswered, Copy: h.replicaID(), Request: c.id, Answer: answer})
+	h.sim.record(&rules.Fact{Kind: rules.RequestAnswered, Replica: h.replicaID(), Request: c.id, Answer: answer})
 	h.sim.deliverResponse(c, answer, after)
 	h.forget(c)
 }
@@ -96,7 +98,7 @@
 	}
 	c.ended = true
 	h.recordLevelResult(c, rules.Failed)
-	h.sim.record(&rules.Fact{Kind: rules.ClientLeft, Copy: h.replicaID(), Request: c.id})
+	h.sim.record(&rules.Fact{Kind: rules.ClientLeft, Replica: h.replicaID(), Request: c.id})
 	h.handle(&balancer.Event{Kind: balancer.EvRequestAbandoned, Request: c.event.Request})
 	h.abortAttempts(c)
 	h.forget(c)
--- a/internal/emulate/discovery.go
+++ b/internal/emulate/discovery.go
@@ -82,7 +82,7 @@
 		for _, id := range slices.Sorted(maps.Keys(h.known)) {
 			if !named[id] {
 				delete(h.known, id)
-				w.record(&rules.Fact{Kind: rules.ServerListed, Copy: h.replicaID(), Server: id})
+				w.record(&rules.Fact{Kind: rules.ServerListed, Replica: h.replicaID(), Server: id})
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 		} else {
 			h.known[e.ID] = e
 		}
-		w.record(&rules.Fact{Kind: rules.ServerListed, Copy: h.replicaID(), Server: e.ID, Serves: e.State == balancer.Ready})
+		w.record(&rules.Fact{Kind: rules.ServerListed, Replica: h.replicaID(), Server: e.ID, Serves: e.State == balancer.Ready})
 	}
 	if h.sizer != nil {
 		ev.Replicas = max(1, (h.sizer.Replicas*len(h.known)+w.discovery.ring.Len()/2)/max(w.discovery.ring.Len(), 1))
--- a/internal/emulate/faults.go
+++ b/internal/emulate/faults.go
@@ -52,17 +52,17 @@
 
 // The kinds of faults that the emulator and drills support.
 const (
-	FaultSlow    = faultSlow
-	FaultFailing = faultFailing
-	FaultSilent  = faultSilent
-	FaultCrash   = faultCrash
-	FaultReplace = faultReplace
-	FaultZone    = faultZone
-	FaultCut     = faultCut
-	FaultRestart = faultRestart
-	FaultStall   = faultStall
-	FaultDeaf    = faultListLate
-	FaultShort   = faultListShort
+	FaultSlow      = faultSlow
+	FaultFailing   = faultFailing
+	FaultSilent    = faultSilent
+	FaultCrash     = faultCrash
+	FaultReplace   = faultReplace
+	FaultZone      = faultZone
+	FaultCut       = faultCut
+	FaultRestart   = faultRestart
+	FaultStall     = faultStall
+	FaultListLate  = faultListLate
+	FaultListShort = faultListShort
 )
 
 // The directions in which a link is cut.
--- a/internal/emulate/fleet.go
+++ b/internal/emulate/fleet.go
@@ -61,7 +61,7 @@
 	if h.shedder == nil || c.event.Shed {
 		return
 	}
-	c.admittedByFleet = h.shedder.Admit(int(c.event.Class), c.try.Caller.Who)
+	c.admittedByFleet = h.shedder.Admit(int(c.event.Class), c.try.Caller.Hash)
 	c.event.Shed = !c.admittedByFleet
 }
 
--- a/internal/emulate/levels.go
+++ b/internal/emulate/levels.go
@@ -60,7 +60,7 @@
 	}
 	now, class := h.sim.wallTime(), int(c.event.Class)
 	s.meter.CountArrival(now, class, h.sim.scenario.Pool.Classes[class].Worth)
-	v := s.controller.Admit(class, c.try.Caller.Who)
+	v := s.controller.Admit(class, c.try.Caller.Hash)
 	if v.Shed != nil {
 		c.shedRule, c.event.Shed = v.Shed, true
 		return
--- a/internal/emulate/sidecar.go
+++ b/internal/emulate/sidecar.go
@@ -236,7 +236,7 @@
 	for _, l := range h.conns { // in any order: the results do not depend on it
 		l.dropAll()
 	}
-	w.record(&rules.Fact{Kind: rules.ReplicaKilled, Copy: h.replicaID()})
+	w.record(&rules.Fact{Kind: rules.ReplicaKilled, Replica: h.replicaID()})
 	for _, c := range failedCalls {
 		w.deliverResponse(c, rules.Failed, 0)
 	}
--- a/internal/emulate/simulation.go
+++ b/internal/emulate/simulation.go
@@ -54,7 +54,7 @@
 	set := sc.Pool.Settings()
 	w.checker = rules.NewChecker(rules.Limits{
 		Classes: set.Classes, MaxAttempts: sc.Pool.Attempts, AnswerSlack: answerSlack, DrainGrace: sc.Pool.DrainGrace.MS(),
-		FallMultiple: sc.Servers.Fall, FallAfter: sc.Servers.FallAfter.MS(), InformedShare: informedShare,
+		ColdOverloadRatio: sc.Servers.Fall, ColdOverloadWindow: sc.Servers.FallAfter.MS(), InformedShare: informedShare,
 	})
 	for i := range sc.Servers.Count {
 		w.addServer(i, -1)
@@ -93,7 +93,7 @@
 	var b [56]byte
 	binary.LittleEndian.PutUint64(b[0:], math.Float64bits(f.At))
 	binary.LittleEndian.PutUint64(b[8:], f.Request)
-	binary.LittleEndian.PutUint32(b[16:], f.Copy)
+	binary.LittleEndian.PutUint32(b[16:], f.Replica)
 	binary.LittleEndian.PutUint32(b[20:], f.Server)
 	binary.LittleEndian.PutUint64(b[24:], math.Float64bits(f.Work))
 	binary.LittleEndian.PutUint64(b[32:], math.Float64bits(f.Due))
--- a/internal/emulate/traffic.go
+++ b/internal/emulate/traffic.go
@@ -11,7 +11,7 @@
 
 // Caller is one of the callers.
 type Caller struct {
-	Who      uint64 // hash of its name, by which levels choose callers to shed
+	Hash     uint64 // hash of its name, by which levels choose callers to shed
 	Behavior *CallerBehavior
 	Home     int // rank of its home sidecar
 }
@@ -95,7 +95,7 @@
 		for home < len(homes)-1 && homes[home] <= draw {
 			home++
 		}
-		t.callers[i] = Caller{Who: degradation.HashCaller(fmt.Sprint("c", i)), Behavior: &behaviors[n], Home: home}
+		t.callers[i] = Caller{Hash: degradation.HashCaller(fmt.Sprint("c", i)), Behavior: &behaviors[n], Home: home}
 	}
 }
 
--- a/internal/faultdrill/faults.go
+++ b/internal/faultdrill/faults.go
@@ -37,8 +37,8 @@
 	emulate.FaultRestart:   (*injection).restartSidecars,
 	emulate.FaultStall:     (*injection).suspendSidecars,
 	emulate.FaultStarve:    (*injection).starveSidecars,
-	emulate.FaultDeaf:      (*injection).blockLists,
-	emulate.FaultShort:     (*injection).omitFromLists,
+	emulate.FaultListLate:  (*injection).blockLists,
+	emulate.FaultListShort: (*injection).omitFromLists,
 }
 
 // injectFault injects a fault, and returns once it is over.
--- a/internal/faultdrill/historychecker.go
+++ b/internal/faultdrill/historychecker.go
@@ -105,13 +105,13 @@
 	delay := observationDelay + stall
 	v := &TierResult{Tier: tier, Violations: []string{}}
 	v.checker = rules.NewChecker(rules.Limits{
-		Classes:       pool.Settings().Classes,
-		MaxAttempts:   pool.Attempts,
-		AnswerSlack:   ms(clientGrace),
-		DrainGrace:    pool.DrainGrace.MS() + ms(listPollInterval+delay),
-		FallMultiple:  spec.Fall,
-		FallAfter:     spec.FallAfter.MS(),
-		InformedShare: informedShare,
+		Classes:            pool.Settings().Classes,
+		MaxAttempts:        pool.Attempts,
+		AnswerSlack:        ms(clientGrace),
+		DrainGrace:         pool.DrainGrace.MS() + ms(listPollInterval+delay),
+		ColdOverloadRatio:  spec.Fall,
+		ColdOverloadWindow: spec.FallAfter.MS(),
+		InformedShare:      informedShare,
 	})
 	h := &historyChecker{
 		delay:          delay,
@@ -149,7 +149,7 @@
 	v.ViolationCount += v.checker.ViolationCount
 	for _, b := range v.checker.Violations {
 		v.Violations = append(v.Violations, fmt.Sprintf("rule %d at %.3f s: %s, %s, %s: %s", b.Rule, (b.At-h.start)/1000,
-			h.replicas.name(uint64(b.Copy)), h.serverIDs.name(uint64(b.Server)), h.requests.name(b.Request), b.Text))
+			h.replicas.name(uint64(b.Replica)), h.serverIDs.name(uint64(b.Server)), h.requests.name(b.Request), b.Text))
 	}
 }
 
--- a/internal/faultdrill/load.go
+++ b/internal/faultdrill/load.go
@@ -200,7 +200,7 @@
 		headers += testcluster.HeaderCalls + ": " + strings.Join(calls, ",") + "\r\n"
 	}
 	return fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Caller: %d\r\nX-Deadline: %.3f\r\n%s: %.3f\r\n%s\r\n",
-		method, class.Name, id, a.Caller.Who, time.Duration(class.GiveUp).Seconds(), testcluster.HeaderWork, math.Max(a.Work, minWork), headers)
+		method, class.Name, id, a.Caller.Hash, time.Duration(class.GiveUp).Seconds(), testcluster.HeaderWork, math.Max(a.Work, minWork), headers)
 }
 
 // errClosedIdle is the error of a connection that ended before the first byte of a response.
--- a/internal/faultdrill/replay.go
+++ b/internal/faultdrill/replay.go
@@ -61,7 +61,7 @@
 		r.convertConnClosed(f)
 	case testcluster.FactConnEnded:
 		if r.lostOnIdleConn[f.Request] { // the client may have waited until then
-			r.add(f.At+int64(r.delay), rules.Fact{Kind: rules.ClientLeft, Copy: r.replicaID(f.Copy), Request: r.requests.of(f.Request)})
+			r.add(f.At+int64(r.delay), rules.Fact{Kind: rules.ClientLeft, Replica: r.replicaID(f.Copy), Request: r.requests.of(f.Request)})
 		}
 	case testcluster.FactWritten:
 		if _, ok := r.classes[f.Class]; ok {
@@ -75,16 +75,16 @@
 			return
 		}
 		r.add(f.At, rules.Fact{
-			Kind: rules.RequestAnswered, Copy: r.replicaID(f.Copy), Request: r.requests.of(f.Request), Answer: answerOf(f.Status),
+			Kind: rules.RequestAnswered, Replica: r.replicaID(f.Copy), Request: r.requests.of(f.Request), Answer: answerOf(f.Status),
 		})
 	case testcluster.FactKilled: // its last messages may be observed after this
-		r.add(f.At+int64(r.delay), rules.Fact{Kind: rules.ReplicaKilled, Copy: r.replicaID(f.Copy)})
+		r.add(f.At+int64(r.delay), rules.Fact{Kind: rules.ReplicaKilled, Replica: r.replicaID(f.Copy)})
 	case testcluster.FactListed:
 		at := f.At
 		if !f.Serves {
 			at = r.knownAt(f.Copy, f.At)
 		}
-		r.add(at, rules.Fact{Kind: rules.ServerListed, Copy: r.replicaID(f.Copy), Server: r.serverID(f.Server), Serves: f.Serves})
+		r.add(at, rules.Fact{Kind: rules.ServerListed, Replica: r.replicaID(f.Copy), Server: r.serverID(f.Server), Serves: f.Serves})
 	default:
 		r.convertServerFact(f)
 	}
@@ -104,7 +104,7 @@
 		if attempts := r.attempts[f.Request]; len(attempts) > 0 {
 			from := attempts[len(attempts)-1].replica
 			r.add(f.At, rules.Fact{
-				Kind: rules.WorkArrived, Server: r.serverID(f.Server), Copy: r.replicaID(from), Work: f.Work, Capacity: f.Capacity,
+				Kind: rules.WorkArrived, Server: r.serverID(f.Server), Replica: r.replicaID(from), Work: f.Work, Capacity: f.Capacity,
 			})
 		}
 	case testcluster.FactExecuted:
@@ -115,7 +115,7 @@
 // addReceived adds that a replica has received a request.
 func (r *replayer) addReceived(f *testcluster.Fact, due int64) {
 	r.add(f.At, rules.Fact{
-		Kind: rules.RequestReceived, Copy: r.replicaID(f.Copy), Request: r.requests.of(f.Request),
+		Kind: rules.RequestReceived, Replica: r.replicaID(f.Copy), Request: r.requests.of(f.Request),
 		Class: uint16(r.classes[f.Class]), Due: float64(due) / 1e6,
 	})
 }
@@ -145,7 +145,7 @@
 		r.violate(1, f.At, "%s: request %s has no answer %v after its deadline", f.Copy, f.Request, clientGrace)
 	}
 	at := r.knownAt(f.Copy, f.At)
-	r.add(at+int64(r.delay), rules.Fact{Kind: rules.ClientLeft, Copy: r.replicaID(f.Copy), Request: r.requests.of(f.Request)})
+	r.add(at+int64(r.delay), rules.Fact{Kind: rules.ClientLeft, Replica: r.replicaID(f.Copy), Request: r.requests.of(f.Request)})
 }
 
 // addAttempts adds the attempts of all requests.
@@ -154,11 +154,11 @@
 		id := r.requests.of(request)
 		for n, a := range attempts {
 			r.add(a.sentAt, rules.Fact{
-				Kind: rules.AttemptSent, Copy: r.replicaID(a.replica), Server: r.serverID(a.server), Request: id, Attempt: uint16(n),
+				Kind: rules.AttemptSent, Replica: r.replicaID(a.replica), Server: r.serverID(a.server), Request: id, Attempt: uint16(n),
 			})
 			if a.ended {
 				r.add(a.endedAt, rules.Fact{
-					Kind: rules.AttemptEnded, Copy: r.replicaID(a.replica), Request: id, Attempt: uint16(n), MayRun: a.mayHaveExecuted,
+					Kind: rules.AttemptEnded, Replica: r.replicaID(a.replica), Request: id, Attempt: uint16(n), MayRun: a.mayHaveExecuted,
 				})
 			}
 		}
--- a/internal/operator/check_sites.go
+++ b/internal/operator/check_sites.go
@@ -151,7 +151,7 @@
 	for i, e := range list {
 		out[i] = vhost.ErrorPage{Codes: e.Codes, Page: e.Page, Named: e.Named, Redirect: e.Redirect, Status: e.Status}
 		if e.OwnStatus {
-			out[i].Status = vhost.Own
+			out[i].Status = vhost.ReplacementStatus
 		}
 		if e.OwnStatus && e.Status != 0 || e.Status < 0 {
 			s.report(fmt.Sprintf("%s.error[%d].status", path, i), errors.New("must not be negative, and is not allowed with own_status"))
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -18,15 +18,15 @@
 
 // The kinds of fact, with the fields that each uses.
 const (
-	RequestReceived Kind = iota + 1 // Copy, Request, Class, Due: a sidecar has accepted a request whose client times out at Due
-	ClientLeft                      // Copy, Request: its client has disconnected
-	AttemptSent                     // Copy, Request, Attempt, Server: an attempt is sent
-	AttemptEnded                    // Copy, Request, Attempt, MayRun: it has ended, and may have been executed or certainly was not
-	RequestAnswered                 // Copy, Request, Answer: the client gets its final answer
-	ReplicaKilled                   // Copy: the sidecar was killed; its open requests are not checked for an answer
+	RequestReceived Kind = iota + 1 // Replica, Request, Class, Due: a sidecar has accepted a request whose client times out at Due
+	ClientLeft                      // Replica, Request: its client has disconnected
+	AttemptSent                     // Replica, Request, Attempt, Server: an attempt is sent
+	AttemptEnded                    // Replica, Request, Attempt, MayRun: it has ended, and may have been executed or certainly was not
+	RequestAnswered                 // Replica, Request, Answer: the client gets its final answer
+	ReplicaKilled                   // Replica: the sidecar was killed; its open requests are not checked for an answer
 	ServerStarted                   // Server, Zone, Cell, Cold: it has started, cold or warm
-	ServerListed                    // Copy, Server, Serves: by the sidecar's server list a server serves, or drains or is gone
-	WorkArrived                     // Server, Copy, Work, Capacity: work of a sidecar has reached a server, which has this capacity then
+	ServerListed                    // Replica, Server, Serves: by the sidecar's server list a server serves, or drains or is gone
+	WorkArrived                     // Server, Replica, Work, Capacity: work of a sidecar has reached a server, which has this capacity then
 	RunEnded                        // the end of the run: open requests get no answer
 )
 
@@ -55,7 +55,7 @@
 	Class    uint16
 	Cell     uint16
 	Zone     uint8
-	Copy     uint32 // number of the sidecar
+	Replica  uint32 // number of the sidecar
 	Server   uint32
 	Request  uint64
 	Due      float64
@@ -65,20 +65,20 @@
 
 // Limits are the limits that the rules check.
 type Limits struct {
-	Classes       []balancer.Class
-	MaxAttempts   int
-	AnswerSlack   float64 // ms after the client's deadline within which an answer counts
-	DrainGrace    float64 // ms after a sidecar's list reports a server as draining, for new requests to it
-	FallMultiple  float64 // highest ratio of the work that reaches a cold server to its capacity
-	FallAfter     float64 // ms over which that ratio is measured
-	InformedShare float64 // lowest ratio of that work from sidecars whose lists had the server, for a violation
+	Classes            []balancer.Class
+	MaxAttempts        int
+	AnswerSlack        float64 // ms after the client's deadline within which an answer counts
+	DrainGrace         float64 // ms after a sidecar's list reports a server as draining, for new requests to it
+	ColdOverloadRatio  float64 // highest ratio of the work that reaches a cold server to its capacity
+	ColdOverloadWindow float64 // ms over which that ratio is measured
+	InformedShare      float64 // lowest ratio of that work from sidecars whose lists had the server, for a violation
 }
 
 // Violation is one violation of a rule.
 type Violation struct {
 	Rule    int     // 1 to 4
 	At      float64 // ms
-	Copy    uint32  // number of the sidecar
+	Replica uint32  // number of the sidecar
 	Server  uint32
 	Request uint64
 	Text    string
@@ -86,7 +86,7 @@
 
 // String returns the violation on one line.
 func (v Violation) String() string {
-	return fmt.Sprintf("rule %d at %.3f ms: copy %d, server %d, request %d: %s", v.Rule, v.At, v.Copy, v.Server, v.Request, v.Text)
+	return fmt.Sprintf("rule %d at %.3f ms: copy %d, server %d, request %d: %s", v.Rule, v.At, v.Replica, v.Server, v.Request, v.Text)
 }
 
 // maxViolations bounds the violations that are kept; all are counted.
@@ -96,7 +96,7 @@
 type Margins struct {
 	Drain  float64 // ms from when a list reported a server as draining or gone to the last new request to it
 	Answer float64 // ms from a client's deadline to its answer
-	Cold   float64 // ratio of the work that reached a cold server to its capacity, over FallAfter
+	Cold   float64 // ratio of the work that reached a cold server to its capacity, over ColdOverloadWindow
 }
 
 // request is the state of an open request.
@@ -123,7 +123,7 @@
 	cell         uint16
 	cold         bool
 	overloaded   bool
-	arrivals     []arrival // work of the last FallAfter, from index first on
+	arrivals     []arrival // work of the last ColdOverloadWindow, from index first on
 	first        int
 	work         float64
 	informedWork float64 // the part of work that is informed
@@ -168,7 +168,7 @@
 func (c *Checker) recordViolation(rule int, f *Fact, format string, args ...any) {
 	c.ViolationCount++
 	if len(c.Violations) < maxViolations {
-		c.Violations = append(c.Violations, Violation{rule, f.At, f.Copy, f.Server, f.Request, fmt.Sprintf(format, args...)})
+		c.Violations = append(c.Violations, Violation{rule, f.At, f.Replica, f.Server, f.Request, fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -206,22 +206,22 @@
 		c.recordViolation(1, f, "received twice")
 		return
 	}
-	c.requests[f.Request] = &request{class: f.Class, replica: f.Copy, due: f.Due}
-	if c.byReplica[f.Copy] == nil {
-		c.byReplica[f.Copy] = map[uint64]bool{}
+	c.requests[f.Request] = &request{class: f.Class, replica: f.Replica, due: f.Due}
+	if c.byReplica[f.Replica] == nil {
+		c.byReplica[f.Replica] = map[uint64]bool{}
 	}
-	c.byReplica[f.Copy][f.Request] = true
+	c.byReplica[f.Replica][f.Request] = true
 }
 
 func (c *Checker) replicaKilled(f *Fact) {
-	for id := range c.byReplica[f.Copy] {
+	for id := range c.byReplica[f.Replica] {
 		delete(c.requests, id)
 	}
-	delete(c.byReplica, f.Copy)
+	delete(c.byReplica, f.Replica)
 }
 
 func (c *Checker) serverListed(f *Fact) {
-	p := replicaServer{f.Copy, f.Server}
+	p := replicaServer{f.Replica, f.Server}
 	c.wasListed[p] = true
 	if f.Serves {
 		delete(c.drainingSince, p)
@@ -235,14 +235,14 @@
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
 		q := c.requests[id]
 		if !q.answered && !q.abandoned && f.At > q.due+c.limits.AnswerSlack {
-			c.recordViolation(1, &Fact{At: f.At, Copy: q.replica, Request: id}, "no final answer %.1f ms past its client's deadline", f.At-q.due)
+			c.recordViolation(1, &Fact{At: f.At, Replica: q.replica, Request: id}, "no final answer %.1f ms past its client's deadline", f.At-q.due)
 		}
 	}
 }
 
 // checkAttempt checks an attempt against rules 1, 2 and 4.
 func (c *Checker) checkAttempt(f *Fact) {
-	if since, ok := c.drainingSince[replicaServer{f.Copy, f.Server}]; ok {
+	if since, ok := c.drainingSince[replicaServer{f.Replica, f.Server}]; ok {
 		c.Margins.Drain = max(c.Margins.Drain, f.At-since)
 		if f.At-since > c.limits.DrainGrace {
 			c.recordViolation(2, f, "sent %.1f ms after the server list reported that the server takes nothing new", f.At-since)
@@ -344,13 +344,13 @@
 	if s == nil || !s.cold || s.overloaded {
 		return
 	}
-	informed := c.wasListed[replicaServer{f.Copy, f.Server}]
+	informed := c.wasListed[replicaServer{f.Replica, f.Server}]
 	s.arrivals = append(s.arrivals, arrival{f.At, f.Work, informed})
 	s.work += f.Work
 	if informed {
 		s.informedWork += f.Work
 	}
-	for s.arrivals[s.first].at < f.At-c.limits.FallAfter {
+	for s.arrivals[s.first].at < f.At-c.limits.ColdOverloadWindow {
 		s.work -= s.arrivals[s.first].work
 		if s.arrivals[s.first].informed {
 			s.informedWork -= s.arrivals[s.first].work
@@ -361,14 +361,14 @@
 		s.arrivals = s.arrivals[:copy(s.arrivals, s.arrivals[s.first:])]
 		s.first = 0
 	}
-	ratio := s.work / max(f.Capacity*c.limits.FallAfter/1000, 1e-9)
+	ratio := s.work / max(f.Capacity*c.limits.ColdOverloadWindow/1000, 1e-9)
 	c.Margins.Cold = max(c.Margins.Cold, ratio)
-	if ratio <= c.limits.FallMultiple {
+	if ratio <= c.limits.ColdOverloadRatio {
 		return
 	}
 	s.overloaded = true
 	if s.informedWork >= c.limits.InformedShare*s.work {
-		c.recordViolation(3, f, "%.2f times the capacity of the cold server reached it within %.0f ms", ratio, c.limits.FallAfter)
+		c.recordViolation(3, f, "%.2f times the capacity of the cold server reached it within %.0f ms", ratio, c.limits.ColdOverloadWindow)
 	}
 }
 
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -14,29 +14,29 @@
 		{Name: "celled", Effect: balancer.Keyed, DedupGroup: balancer.DedupCell, DedupWindow: 1000},
 		{Name: "keyed", Effect: balancer.Keyed, DedupWindow: 1000},
 	},
-	MaxAttempts: 4, AnswerSlack: 20, DrainGrace: 500, FallMultiple: 2.5, FallAfter: 1000, InformedShare: 2. / 3,
+	MaxAttempts: 4, AnswerSlack: 20, DrainGrace: 500, ColdOverloadRatio: 2.5, ColdOverloadWindow: 1000, InformedShare: 2. / 3,
 }
 
 func received(at float64, class uint16) Fact {
-	return Fact{At: at, Kind: RequestReceived, Copy: 1, Request: 1, Class: class, Due: at + 1000}
+	return Fact{At: at, Kind: RequestReceived, Replica: 1, Request: 1, Class: class, Due: at + 1000}
 }
 func sent(at float64, n uint16, server uint32) Fact {
-	return Fact{At: at, Kind: AttemptSent, Copy: 1, Request: 1, Attempt: n, Server: server}
+	return Fact{At: at, Kind: AttemptSent, Replica: 1, Request: 1, Attempt: n, Server: server}
 }
 func ended(at float64, n uint16, mayRun bool) Fact {
-	return Fact{At: at, Kind: AttemptEnded, Copy: 1, Request: 1, Attempt: n, MayRun: mayRun}
+	return Fact{At: at, Kind: AttemptEnded, Replica: 1, Request: 1, Attempt: n, MayRun: mayRun}
 }
 func answered(at float64, a Answer) Fact {
-	return Fact{At: at, Kind: RequestAnswered, Copy: 1, Request: 1, Answer: a}
+	return Fact{At: at, Kind: RequestAnswered, Replica: 1, Request: 1, Answer: a}
 }
 func started(server uint32, zone uint8, cell uint16) Fact {
 	return Fact{Kind: ServerStarted, Server: server, Zone: zone, Cell: cell}
 }
 func listed(at float64, serves bool) Fact {
-	return Fact{At: at, Kind: ServerListed, Copy: 1, Server: 1, Serves: serves}
+	return Fact{At: at, Kind: ServerListed, Replica: 1, Server: 1, Serves: serves}
 }
 func arrived(at float64, replica uint32, work float64) Fact {
-	return Fact{At: at, Kind: WorkArrived, Copy: replica, Server: 1, Work: work, Capacity: 100}
+	return Fact{At: at, Kind: WorkArrived, Replica: replica, Server: 1, Work: work, Capacity: 100}
 }
 
 // Each case violates the rule that it names, or none.
@@ -53,13 +53,13 @@
 		{"answered twice, never sent", []Fact{received(0, 0), answered(5, Refused), answered(6, Failed)}, 1, "second final answer"},
 		{"just in time", []Fact{received(0, 0), answered(1020, Failed)}, 0, ""},
 		{"too late", []Fact{received(0, 0), answered(1021, Failed)}, 1, "past its client's deadline"},
-		{"late, client left", []Fact{received(0, 0), sent(1, 0, 1), {At: 900, Kind: ClientLeft, Copy: 1, Request: 1}, answered(1100, Failed), ended(1101, 0, true)}, 0, ""},
+		{"late, client left", []Fact{received(0, 0), sent(1, 0, 1), {At: 900, Kind: ClientLeft, Replica: 1, Request: 1}, answered(1100, Failed), ended(1101, 0, true)}, 0, ""},
 		{"never", []Fact{received(0, 0), {At: 1100, Kind: RunEnded}}, 1, "no final answer"},
 		{"not yet", []Fact{received(0, 0), {At: 900, Kind: RunEnded}}, 0, ""},
-		{"killed", []Fact{received(0, 0), sent(1, 0, 1), {At: 2, Kind: ReplicaKilled, Copy: 1}, {At: 2000, Kind: RunEnded}}, 0, ""},
+		{"killed", []Fact{received(0, 0), sent(1, 0, 1), {At: 2, Kind: ReplicaKilled, Replica: 1}, {At: 2000, Kind: RunEnded}}, 0, ""},
 		{"after the answer", []Fact{received(0, 0), sent(1, 0, 1), answered(2, Failed), sent(3, 1, 1)}, 1, "after the final answer"},
 		{"after the request ended", []Fact{received(0, 0), answered(2, Failed), sent(3, 0, 1)}, 1, "is over"},
-		{"after the client left", []Fact{received(0, 0), sent(1, 0, 1), {At: 2, Kind: ClientLeft, Copy: 1, Request: 1}, sent(3, 1, 1)}, 1, "after the final answer"},
+		{"after the client left", []Fact{received(0, 0), sent(1, 0, 1), {At: 2, Kind: ClientLeft, Replica: 1, Request: 1}, sent(3, 1, 1)}, 1, "after the final answer"},
 		{"within the grace", []Fact{listed(0, true), listed(10, false), listed(300, false), received(500, 0), sent(510, 0, 1)}, 0, ""},
 		{"past the grace", []Fact{listed(0, true), listed(10, false), listed(300, false), received(500, 0), sent(511, 0, 1)}, 2, "501.0 ms"},
 		{"serves again", []Fact{listed(10, false), listed(20, true), received(900, 0), sent(911, 0, 1)}, 0, ""},
@@ -100,17 +100,17 @@
 	for i := range uint64(1000) {
 		at := float64(10 * i)
 		for _, f := range []Fact{
-			{At: at, Kind: RequestReceived, Copy: 1, Request: i, Due: at + 5},
-			{At: at + 1, Kind: AttemptSent, Copy: 1, Request: i, Server: 1},
-			{At: at + 8, Kind: AttemptEnded, Copy: 1, Request: i, MayRun: true},
-			{At: at + 9, Kind: RequestAnswered, Copy: 1, Request: i, Answer: Served},
+			{At: at, Kind: RequestReceived, Replica: 1, Request: i, Due: at + 5},
+			{At: at + 1, Kind: AttemptSent, Replica: 1, Request: i, Server: 1},
+			{At: at + 8, Kind: AttemptEnded, Replica: 1, Request: i, MayRun: true},
+			{At: at + 9, Kind: RequestAnswered, Replica: 1, Request: i, Answer: Served},
 		} {
 			k.Record(&f)
 		}
 	}
-	k.Record(&Fact{At: 20_000, Kind: ServerListed, Copy: 1, Server: 1})
-	k.Record(&Fact{At: 20_000, Kind: RequestReceived, Copy: 1, Request: 5000, Due: 30_000})
-	k.Record(&Fact{At: 20_123, Kind: AttemptSent, Copy: 1, Request: 5000, Server: 1})
+	k.Record(&Fact{At: 20_000, Kind: ServerListed, Replica: 1, Server: 1})
+	k.Record(&Fact{At: 20_000, Kind: RequestReceived, Replica: 1, Request: 5000, Due: 30_000})
+	k.Record(&Fact{At: 20_123, Kind: AttemptSent, Replica: 1, Request: 5000, Server: 1})
 	if k.ViolationCount > 0 || k.OpenRequests() != 1 || k.Margins.Answer != 4 || k.Margins.Drain != 123 {
 		t.Errorf("%v, %d open, %+v", k.Violations, k.OpenRequests(), k.Margins)
 	}
--- a/internal/sidecar/errorpage.go
+++ b/internal/sidecar/errorpage.go
@@ -78,7 +78,7 @@
 		return nil
 	}
 	if a := out.Answer; a != nil {
-		return &replacement{response: fixedResponse(a.Status, a.Body, a.Location, out.Method), status: vhost.Own}
+		return &replacement{response: fixedResponse(a.Status, a.Body, a.Location, out.Method), status: vhost.ReplacementStatus}
 	}
 	if !h.mayForward(r, &out) {
 		return nil
@@ -102,12 +102,12 @@
 
 // replacePageStatus returns the response of a page with the status that the site gives it.
 func (h *errorPageHandler) replacePageStatus(r *response) *replacement {
-	if h.outcome.Status == vhost.Own || r.isLocal {
+	if h.outcome.Status == vhost.ReplacementStatus || r.isLocal {
 		return nil
 	}
 	page := *r
 	page.status = h.outcome.Status
-	return &replacement{response: &page, status: vhost.Own}
+	return &replacement{response: &page, status: vhost.ReplacementStatus}
 }
 
 // mayForward reports whether the request may be sent to another location after a response.
@@ -177,7 +177,7 @@
 // it also gets the Retry-After.
 func (r *response) replacedBy(next response, status int) response {
 	switch status {
-	case vhost.Own:
+	case vhost.ReplacementStatus:
 		return next
 	case 0:
 		next.status, next.retryAfter, next.callOutcome, next.notExecuted = r.status, r.retryAfter, r.callOutcome, r.notExecuted
--- a/internal/vhost/errors.go
+++ b/internal/vhost/errors.go
@@ -16,11 +16,11 @@
 	Page     string // a template for the path and query of a GET that replaces the request
 	Named    string // a named location that gets the request unchanged
 	Redirect string // a template for a URL
-	Status   int    // of the final response; 0 for that of the error (302 for a redirect), Own for that of the replacement
+	Status   int    // of the final response; 0 for that of the error (302 for a redirect), ReplacementStatus for that of the replacement
 }
 
-// Own is the value of ErrorPage.Status that keeps the status of the replacement.
-const Own = -1
+// ReplacementStatus is the value of ErrorPage.Status that keeps the status of the replacement.
+const ReplacementStatus = -1
 
 const maxPages = 64 // error pages of one server or location
 
@@ -77,7 +77,7 @@
 		return nil
 	case e.Redirect != "" && !route.IsRedirect(e.Status):
 		return fmt.Errorf("%d is no status of a redirect", e.Status)
-	case e.Redirect == "" && e.Status != Own && (e.Status < 200 || e.Status > 599 || hasNoBody(e.Status)):
+	case e.Redirect == "" && e.Status != ReplacementStatus && (e.Status < 200 || e.Status > 599 || hasNoBody(e.Status)):
 		return fmt.Errorf("%d is no status of an answer with a body", e.Status)
 	}
 	return nil
@@ -197,7 +197,7 @@
 		if p.Status == 0 && a.Body == "" && a.Location == "" && a.Status >= 400 {
 			return Outcome{}, false // an error without a body does not replace another
 		}
-		if p.Status != Own && a.Location == "" {
+		if p.Status != ReplacementStatus && a.Location == "" {
 			own := *a
 			if own.Status = p.Status; p.Status == 0 {
 				own.Status = status
--- a/internal/vhost/errors_test.go
+++ b/internal/vhost/errors_test.go
@@ -17,7 +17,7 @@
 			{Codes: []int{502, 504}, Named: "spare"},
 			{Codes: []int{403}, Page: "/calm", Status: 200},
 			{Codes: []int{410}, Redirect: "http://{host}/gone", Status: 301},
-			{Codes: []int{411}, Page: "/teapot", Status: Own},
+			{Codes: []int{411}, Page: "/teapot", Status: ReplacementStatus},
 			{Codes: []int{500}, Page: "/nowhere"},
 		},
 		Locations: []Location{
--- a/internal/vhost/vhost.go
+++ b/internal/vhost/vhost.go
@@ -118,7 +118,7 @@
 	Headers          []Header
 	Answer           *Answer // instead of an action
 	Method           string  // for the server
-	Status           int     // of the final response; 0 for that of the error, Own for that of the replacement
+	Status           int     // of the final response; 0 for that of the error, ReplacementStatus for that of the replacement
 	Page             bool    // whether a request without a body replaces that of the client
 
 	decision *decision // from which an error page continues; nil for none
