--- a/internal/mesh/meshconfig/wire.go
+++ b/internal/mesh/meshconfig/wire.go
@@ -4,14 +4,15 @@
 
 import "github.com/mailru/easyjson"
 
-// document is a configuration in the form in which operators send it.
+// document is a configuration in the form in which operators send it. Values stay as they are written, so
+// that figures are read exactly.
 //
 //easyjson:json
 type document struct {
-	Epoch    string  `json:"epoch"`
-	Routes   table   `json:"routes"`
-	Services table   `json:"services"`
-	Limits   *limits `json:"limits"`
+	Epoch    string `json:"epoch"`
+	Routes   *table `json:"routes"`
+	Services *table `json:"services"`
+	Limits   limits `json:"limits"`
 }
 
 // table is a list of records: the names of their fields, and one tuple of values in that order for
@@ -23,20 +24,15 @@
 	Tuples     [][]easyjson.RawMessage `json:"tuples"`
 }
 
-// limits bound what clients may send; 0 stands for the default.
+// limits bound what clients may send, by name; one that is not given has a default.
 //
 //easyjson:json
-type limits struct {
-	MaxHeaderBytes int64   `json:"max_header_bytes"`
-	MaxBodyBytes   int64   `json:"max_body_bytes"`
-	HeaderTimeout  float64 `json:"header_timeout_s"`
-	IdleTimeout    float64 `json:"idle_timeout_s"`
-}
+type limits map[string]easyjson.RawMessage
 
 //easyjson:json
 type weighted struct {
-	Target string  `json:"target"`
-	Weight float64 `json:"weight"`
+	Target string              `json:"target"`
+	Weight easyjson.RawMessage `json:"weight"`
 }
 
 // split is the list of the weighted targets of a route.
--- a/internal/mesh/meshconfig/wire_easyjson.go
+++ b/internal/mesh/meshconfig/wire_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonF4688553DecodeWhinknotInternalChart(in *jlexer.Lexer, out *weighted) {
+func easyjsonF4688553DecodeMilletmastInternalMeshMeshconfig(in *jlexer.Lexer, out *weighted) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -41,7 +41,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Weight = float64(in.Float64())
+				(out.Weight).UnmarshalEasyJSON(in)
 			}
 		default:
 			in.SkipRecursive()
@@ -53,7 +53,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeWhinknotInternalChart(out *jwriter.Writer, in weighted) {
+func easyjsonF4688553EncodeMilletmastInternalMeshMeshconfig(out *jwriter.Writer, in weighted) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -65,21 +65,21 @@
 	{
 		const prefix string = ",\"weight\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Weight))
+		(in.Weight).MarshalEasyJSON(out)
 	}
 	out.RawByte('}')
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v weighted) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeWhinknotInternalChart(w, v)
+	easyjsonF4688553EncodeMilletmastInternalMeshMeshconfig(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *weighted) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeWhinknotInternalChart(l, v)
+	easyjsonF4688553DecodeMilletmastInternalMeshMeshconfig(l, v)
 }
-func easyjsonF4688553DecodeWhinknotInternalChart1(in *jlexer.Lexer, out *table) {
+func easyjsonF4688553DecodeMilletmastInternalMeshMeshconfig1(in *jlexer.Lexer, out *table) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -178,7 +178,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeWhinknotInternalChart1(out *jwriter.Writer, in table) {
+func easyjsonF4688553EncodeMilletmastInternalMeshMeshconfig1(out *jwriter.Writer, in table) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -230,14 +230,14 @@
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v table) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeWhinknotInternalChart1(w, v)
+	easyjsonF4688553EncodeMilletmastInternalMeshMeshconfig1(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *table) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeWhinknotInternalChart1(l, v)
+	easyjsonF4688553DecodeMilletmastInternalMeshMeshconfig1(l, v)
 }
-func easyjsonF4688553DecodeWhinknotInternalChart2(in *jlexer.Lexer, out *split) {
+func easyjsonF4688553DecodeMilletmastInternalMeshMeshconfig2(in *jlexer.Lexer, out *split) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		in.Skip()
@@ -246,7 +246,7 @@
 		in.Delim('[')
 		if *out == nil {
 			if !in.IsDelim(']') {
-				*out = make(split, 0, 2)
+				*out = make(split, 0, 1)
 			} else {
 				*out = split{}
 			}
@@ -269,7 +269,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeWhinknotInternalChart2(out *jwriter.Writer, in split) {
+func easyjsonF4688553EncodeMilletmastInternalMeshMeshconfig2(out *jwriter.Writer, in split) {
 	if in == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 		out.RawString("null")
 	} else {
@@ -286,98 +286,68 @@
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v split) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeWhinknotInternalChart2(w, v)
+	easyjsonF4688553EncodeMilletmastInternalMeshMeshconfig2(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *split) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeWhinknotInternalChart2(l, v)
+	easyjsonF4688553DecodeMilletmastInternalMeshMeshconfig2(l, v)
 }
-func easyjsonF4688553DecodeWhinknotInternalChart3(in *jlexer.Lexer, out *limits) {
+func easyjsonF4688553DecodeMilletmastInternalMeshMeshconfig3(in *jlexer.Lexer, out *limits) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
 		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "max_header_bytes":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.MaxHeaderBytes = int64(in.Int64())
-			}
-		case "max_body_bytes":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.MaxBodyBytes = int64(in.Int64())
-			}
-		case "header_timeout_s":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.HeaderTimeout = float64(in.Float64())
-			}
-		case "idle_timeout_s":
+	} else {
+		in.Delim('{')
+		*out = make(limits)
+		for !in.IsDelim('}') {
+			key := string(in.String())
+			in.WantColon()
+			var v13 easyjson.RawMessage
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.IdleTimeout = float64(in.Float64())
+				(v13).UnmarshalEasyJSON(in)
 			}
-		default:
-			in.SkipRecursive()
+			(*out)[key] = v13
+			in.WantComma()
 		}
-		in.WantComma()
+		in.Delim('}')
 	}
-	in.Delim('}')
 	if isTopLevel {
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeWhinknotInternalChart3(out *jwriter.Writer, in limits) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"max_header_bytes\":"
-		out.RawString(prefix[1:])
-		out.Int64(int64(in.MaxHeaderBytes))
-	}
-	{
-		const prefix string = ",\"max_body_bytes\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.MaxBodyBytes))
-	}
-	{
-		const prefix string = ",\"header_timeout_s\":"
-		out.RawString(prefix)
-		out.Float64(float64(in.HeaderTimeout))
-	}
-	{
-		const prefix string = ",\"idle_timeout_s\":"
-		out.RawString(prefix)
-		out.Float64(float64(in.IdleTimeout))
+func easyjsonF4688553EncodeMilletmastInternalMeshMeshconfig3(out *jwriter.Writer, in limits) {
+	if in == nil && (out.Flags&jwriter.NilMapAsEmpty) == 0 {
+		out.RawString(`null`)
+	} else {
+		out.RawByte('{')
+		v14First := true
+		for v14Name, v14Value := range in {
+			if v14First {
+				v14First = false
+			} else {
+				out.RawByte(',')
+			}
+			out.String(string(v14Name))
+			out.RawByte(':')
+			(v14Value).MarshalEasyJSON(out)
+		}
+		out.RawByte('}')
 	}
-	out.RawByte('}')
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v limits) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeWhinknotInternalChart3(w, v)
+	easyjsonF4688553EncodeMilletmastInternalMeshMeshconfig3(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *limits) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeWhinknotInternalChart3(l, v)
+	easyjsonF4688553DecodeMilletmastInternalMeshMeshconfig3(l, v)
 }
-func easyjsonF4688553DecodeWhinknotInternalChart4(in *jlexer.Lexer, out *document) {
+func easyjsonF4688553DecodeMilletmastInternalMeshMeshconfig4(in *jlexer.Lexer, out *document) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -400,29 +370,37 @@
 		case "routes":
 			if in.IsNull() {
 				in.Skip()
+				out.Routes = nil
 			} else {
-				(out.Routes).UnmarshalEasyJSON(in)
+				if out.Routes == nil {
+					out.Routes = new(table)
+				}
+				if in.IsNull() {
+					in.Skip()
+				} else {
+					(*out.Routes).UnmarshalEasyJSON(in)
+				}
 			}
 		case "services":
 			if in.IsNull() {
 				in.Skip()
+				out.Services = nil
 			} else {
-				(out.Services).UnmarshalEasyJSON(in)
-			}
-		case "limits":
-			if in.IsNull() {
-				in.Skip()
-				out.Limits = nil
-			} else {
-				if out.Limits == nil {
-					out.Limits = new(limits)
+				if out.Services == nil {
+					out.Services = new(table)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					(*out.Limits).UnmarshalEasyJSON(in)
+					(*out.Services).UnmarshalEasyJSON(in)
 				}
 			}
+		case "limits":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Limits).UnmarshalEasyJSON(in)
+			}
 		default:
 			in.SkipRecursive()
 		}
@@ -433,7 +411,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeWhinknotInternalChart4(out *jwriter.Writer, in document) {
+func easyjsonF4688553EncodeMilletmastInternalMeshMeshconfig4(out *jwriter.Writer, in document) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -445,31 +423,35 @@
 	{
 		const prefix string = ",\"routes\":"
 		out.RawString(prefix)
-		(in.Routes).MarshalEasyJSON(out)
+		if in.Routes == nil {
+			out.RawString("null")
+		} else {
+			(*in.Routes).MarshalEasyJSON(out)
+		}
 	}
 	{
 		const prefix string = ",\"services\":"
 		out.RawString(prefix)
-		(in.Services).MarshalEasyJSON(out)
+		if in.Services == nil {
+			out.RawString("null")
+		} else {
+			(*in.Services).MarshalEasyJSON(out)
+		}
 	}
 	{
 		const prefix string = ",\"limits\":"
 		out.RawString(prefix)
-		if in.Limits == nil {
-			out.RawString("null")
-		} else {
-			(*in.Limits).MarshalEasyJSON(out)
-		}
+		(in.Limits).MarshalEasyJSON(out)
 	}
 	out.RawByte('}')
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v document) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonF4688553EncodeWhinknotInternalChart4(w, v)
+	easyjsonF4688553EncodeMilletmastInternalMeshMeshconfig4(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *document) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonF4688553DecodeWhinknotInternalChart4(l, v)
+	easyjsonF4688553DecodeMilletmastInternalMeshMeshconfig4(l, v)
 }
