--- a/internal/mesh/controlapi/controlapi.go
+++ b/internal/mesh/controlapi/controlapi.go
@@ -15,6 +15,7 @@
 
 	"github.com/joomcode/errorx"
 
+	"milletmast/internal/decimal"
 	"milletmast/internal/mesh/registry"
 )
 
@@ -129,7 +130,7 @@
 		}
 		h := Heartbeat{Address: b.Address, Zone: b.Zone, Epoch: b.Epoch, Sequence: b.Sequence}
 		h.Endpoint = registry.Endpoint{ID: rest, Target: b.Target, State: states[b.State], Capacity: int(min(max(b.Capacity, 0), 1e6))}
-		h.Endpoint.WarmupLeft = time.Duration(min(max(b.WarmupLeft, 0), 1e6) * float64(time.Second))
+		h.Endpoint.WarmupLeft = decimal.Duration(min(max(b.WarmupLeft, 0), 1e6), time.Second)
 		if h.Endpoint.State == 0 || b.Target == "" {
 			return nil, http.StatusBadRequest, InvalidCall.New("heartbeat: state %q or target %q cannot be", b.State, b.Target)
 		}
--- a/internal/mesh/controlapi/controlapi_test.go
+++ b/internal/mesh/controlapi/controlapi_test.go
@@ -1,6 +1,7 @@
 package controlapi
 
 import (
+	"fmt"
 	"net/http"
 	"net/http/httptest"
 	"reflect"
@@ -8,6 +9,8 @@
 	"testing"
 	"time"
 
+	"pgregory.net/rapid"
+
 	"milletmast/internal/mesh/registry"
 )
 
@@ -46,6 +49,43 @@
 }
 
 // The first result of a command is the response and later ones are ignored; a body above the limit is rejected and runs no command.
+// warmupLeft decodes a heartbeat with a number as the remaining warm-up time.
+func warmupLeft(number string) (left time.Duration, status int) {
+	body := strings.Replace(validHeartbeat, "1.5", number, 1)
+	command, status, err := Decode(http.MethodPost, "/api/Endpoints.Heartbeat/i-1", []byte(body))
+	if err != nil {
+		return 0, status
+	}
+	return command.(Heartbeat).Endpoint.WarmupLeft, 0
+}
+
+// A remaining warm-up time is exactly what the heartbeat says, to the nanosecond.
+func TestWarmupLeftIsExact(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		want := time.Duration(rapid.Int64Range(0, 999_999_999_999_999).Draw(t, "ns"))
+		text := fmt.Sprintf("%d.%09d", want/time.Second, want%time.Second)
+		if got, status := warmupLeft(text); got != want || status != 0 {
+			t.Fatalf("%s s is %v with status %d, want %v", text, got, status, want)
+		}
+	})
+}
+
+func TestWarmupLeftBounds(t *testing.T) {
+	for text, want := range map[string]time.Duration{
+		"67.112": 67_112 * time.Millisecond, "0": 0, "-0": 0, "-1": 0, "-1e300": 0, "1e-300": 0, "1e6": 1e6 * time.Second,
+		"1e300": 1e6 * time.Second,
+	} {
+		if got, status := warmupLeft(text); got != want || status != 0 {
+			t.Errorf("%s s is %v with status %d, want %v", text, got, status, want)
+		}
+	}
+	for _, text := range []string{"", "NaN", "Infinity", "0x1p-2", "1_000", "007.5", "1e400", `"1.5"`} {
+		if got, status := warmupLeft(text); status != http.StatusBadRequest {
+			t.Errorf("%q is %v with status %d, want status 400", text, got, status)
+		}
+	}
+}
+
 func TestResults(t *testing.T) {
 	runs := 0
 	h := NewHandler(func(c Command, finish func(Result)) {
--- a/internal/mesh/nodeconfig/settings.go
+++ b/internal/mesh/nodeconfig/settings.go
@@ -14,6 +14,8 @@
 
 	"github.com/joomcode/errorx"
 	"github.com/magiconair/properties"
+
+	"milletmast/internal/decimal"
 )
 
 // PathVariable is the environment variable that holds the path of the settings file.
@@ -22,6 +24,12 @@
 // maxFileBytes bounds the settings file.
 const maxFileBytes = 1 << 20
 
+// The largest numbers that the file may give.
+var (
+	maxNumber = decimal.FromInt(1e12) // of a field
+	maxBound  = decimal.FromInt(1e9)  // of an entry of the field "bounds"
+)
+
 var (
 	space = errorx.NewNamespace("nodeconfig")
 	// Unreadable is the type of errors of a settings file that cannot be read at all.
@@ -125,10 +133,10 @@
 		IP: r.required("ip"), Zone: r.required("zone"), Region: r.values["region"], Zones: map[string]string{},
 		Inbound: r.address("bind.inbound"), Outbound: r.address("bind.outbound"), Readiness: r.address("bind.readiness"),
 		Control: r.address("bind.control"), Seeds: r.list("seeds"), Bootstrap: r.boolean("bootstrap"), InQuorum: r.boolean("in_quorum"),
-		CPU: r.number("limits.cpu_share", 1), MemoryMB: int(r.number("limits.memory_mb", 256)),
-		Descriptors: int(r.number("limits.file_descriptors", 1024)), StateDir: r.values["state_dir"],
-		Heartbeat: r.seconds("heartbeat_s", 1.5), LocalApp: r.address("local_app"), Target: r.values["target"],
-		FaultBudgetMachines: int(r.number("fault_budget.machines", 1)), FaultBudgetZones: int(r.number("fault_budget.zones", 0)),
+		CPU: r.number("limits.cpu_share", "1").Float64(), MemoryMB: r.integer("limits.memory_mb", "256"),
+		Descriptors: r.integer("limits.file_descriptors", "1024"), StateDir: r.values["state_dir"],
+		Heartbeat: r.seconds("heartbeat_s", "1.5"), LocalApp: r.address("local_app"), Target: r.values["target"],
+		FaultBudgetMachines: r.integer("fault_budget.machines", "1"), FaultBudgetZones: r.integer("fault_budget.zones", "0"),
 	}
 	for name, region := range r.values {
 		if zone, ok := strings.CutPrefix(name, "zones."); ok {
@@ -216,20 +224,30 @@
 	return b
 }
 
-func (r *reader) number(field string, fallback float64) float64 {
-	v, ok := r.values[field]
+// number returns the number of a field, or that of the fallback text if the field is not given.
+func (r *reader) number(field, fallback string) decimal.Number {
+	text, ok := r.values[field]
 	if !ok {
-		return fallback
+		text = fallback
 	}
-	n, err := strconv.ParseFloat(v, 64)
-	if err != nil || !(n >= 0) || n > 1e12 {
-		r.addError(field, "%q is not a number from 0 to 1e12", v)
+	n, ok := parseNumber(text, maxNumber)
+	if !ok {
+		r.addError(field, "%q is not a number from 0 to 1e12", text)
 	}
 	return n
 }
 
-func (r *reader) seconds(field string, fallback float64) time.Duration {
-	return time.Duration(r.number(field, fallback) * float64(time.Second))
+// parseNumber parses a decimal number; ok is false if it is not one from 0 to limit.
+func parseNumber(text string, limit decimal.Number) (n decimal.Number, ok bool) {
+	n, err := decimal.Parse(text)
+	return n, err == nil && n.Sign() >= 0 && n.Compare(limit) <= 0
+}
+
+// integer is like number, without the fraction.
+func (r *reader) integer(field, fallback string) int { return int(r.number(field, fallback).Int64()) }
+
+func (r *reader) seconds(field, fallback string) time.Duration {
+	return r.number(field, fallback).Duration(time.Second)
 }
 
 func (r *reader) port(field, text string) int {
@@ -250,30 +268,30 @@
 		}
 		given[name] = value
 	}
-	number := func(name string, fallback float64) float64 {
-		v, ok := given[name]
+	number := func(name, fallback string) decimal.Number {
+		text, ok := given[name]
 		if !ok {
-			return fallback
+			text = fallback
 		}
-		n, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(n >= 0) || n > 1e9 {
-			r.addError("bounds", "%s: %q is not a number from 0 to 1e9", name, v)
+		n, ok := parseNumber(text, maxBound)
+		if !ok {
+			r.addError("bounds", "%s: %q is not a number from 0 to 1e9", name, text)
 		}
 		return n
 	}
 	for name, bound := range map[string]struct {
 		to       *time.Duration
-		fallback float64 // seconds
+		fallback string // seconds
 	}{
-		"seed_lag_s": {&b.SeedLag, 3}, "address_reuse_s": {&b.AddressReuse, 2}, "contact_s": {&b.Contact, 3}, "ack_s": {&b.Ack, 4},
-		"catch_up_s": {&b.CatchUp, 4}, "drain_s": {&b.Drain, 2}, "grace_s": {&b.Grace, 6}, "loss_slack_s": {&b.LossSlack, 0.2},
-		"config_converge_s": {&b.Converge, 2}, "regress_slack_s": {&b.RegressSlack, 0.25}, "skew_bound_s": {&b.Skew, 5},
-		"retry_window_s": {&b.RetryWindow, 10}, "evacuate_s": {&b.Evacuate, 5}, "recovery_s": {&b.Recovery, 15},
+		"seed_lag_s": {&b.SeedLag, "3"}, "address_reuse_s": {&b.AddressReuse, "2"}, "contact_s": {&b.Contact, "3"}, "ack_s": {&b.Ack, "4"},
+		"catch_up_s": {&b.CatchUp, "4"}, "drain_s": {&b.Drain, "2"}, "grace_s": {&b.Grace, "6"}, "loss_slack_s": {&b.LossSlack, "0.2"},
+		"config_converge_s": {&b.Converge, "2"}, "regress_slack_s": {&b.RegressSlack, "0.25"}, "skew_bound_s": {&b.Skew, "5"},
+		"retry_window_s": {&b.RetryWindow, "10"}, "evacuate_s": {&b.Evacuate, "5"}, "recovery_s": {&b.Recovery, "15"},
 	} {
-		*bound.to = time.Duration(number(name, bound.fallback) * float64(time.Second))
+		*bound.to = number(name, bound.fallback).Duration(time.Second)
 	}
-	b.RetryRatio, b.RetrySlack = number("retry_ratio", 0.1), number("retry_slack", 10)
-	b.WarmupExcess, b.WarmupSlack = number("warmup_excess", 1), number("warmup_slack", 0)
+	b.RetryRatio, b.RetrySlack = number("retry_ratio", "0.1").Float64(), number("retry_slack", "10").Float64()
+	b.WarmupExcess, b.WarmupSlack = number("warmup_excess", "1").Float64(), number("warmup_slack", "0").Float64()
 }
 
 // SeedIPs returns the IP addresses of the seeds.
--- a/internal/mesh/proxy/healthcheck.go
+++ b/internal/mesh/proxy/healthcheck.go
@@ -2,9 +2,9 @@
 
 import (
 	"net/http"
-	"strconv"
 	"time"
 
+	"milletmast/internal/decimal"
 	"milletmast/internal/exchange"
 	"milletmast/internal/mesh/admission"
 	"milletmast/internal/sidecar"
@@ -87,15 +87,23 @@
 	}
 }
 
+// Bounds of the number that an endpoint reports as its remaining warm-up time.
+var (
+	maxWarmupSeconds = decimal.FromInt(int64(maxWarmup / time.Second)) // above it, the number is in milliseconds
+	maxWarmupNumber  = decimal.FromInt(1e9)
+)
+
 // parseWarmupLeft returns the remaining warm-up time that an endpoint reports, if it does. A number above maxWarmup in
-// seconds is taken as milliseconds, and one out of range as 0.
-func parseWarmupLeft(h http.Header) (time.Duration, bool) {
-	n, err := strconv.ParseFloat(h.Get(warmupHeader), 64)
-	if err != nil || !(n >= 0) || n > 1e9 {
-		return 0, err == nil
-	}
-	if d := time.Duration(n * float64(time.Second)); d <= maxWarmup {
-		return d, true
+// seconds is taken as milliseconds, and one out of range as 0. A text that is no decimal number reports nothing.
+func parseWarmupLeft(h http.Header) (left time.Duration, reported bool) {
+	n, err := decimal.Parse(h.Get(warmupHeader))
+	switch {
+	case err != nil:
+		return 0, false
+	case n.Sign() < 0 || n.Compare(maxWarmupNumber) > 0:
+		return 0, true
+	case n.Compare(maxWarmupSeconds) <= 0:
+		return n.Duration(time.Second), true
 	}
-	return time.Duration(n * float64(time.Millisecond)), true
+	return n.Duration(time.Millisecond), true
 }
--- a/internal/sidecar/idlelimit.go
+++ b/internal/sidecar/idlelimit.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"milletmast/internal/decimal"
 	"milletmast/internal/exchange"
 )
 
@@ -35,7 +36,7 @@
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") && seconds > 0 {
-			limit := time.Duration(idleLimitFraction * float64(seconds) * float64(time.Second))
+			limit := decimal.Duration(idleLimitFraction*float64(seconds), time.Second)
 			u.mu.Lock()
 			u.maxIdleLimit = min(max(u.maxIdleLimit, u.idleLimit), limit)
 			u.idleLimit = min(u.idleLimit, limit)
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"milletmast/balancer"
+	"milletmast/internal/decimal"
 	"milletmast/internal/override"
 )
 
@@ -155,7 +156,8 @@
 
 func (l *eventLoop) toTime(ms float64) time.Time { return l.start.Add(millis(ms - l.startMS)) }
 
-func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+// millis converts a number of milliseconds to the nearest duration.
+func millis(ms float64) time.Duration { return decimal.Duration(ms, time.Millisecond) }
 
 // run runs the loop until stop is closed.
 func (l *eventLoop) run() {
--- a/internal/sidecar/routing.go
+++ b/internal/sidecar/routing.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"milletmast/internal/budget"
+	"milletmast/internal/decimal"
 	"milletmast/internal/route"
 	"milletmast/internal/vhost"
 )
@@ -134,7 +135,7 @@
 
 // seconds converts a number of seconds to a duration of at most maxSeconds.
 func seconds(s float64) time.Duration {
-	return time.Duration(min(s, maxSeconds) * float64(time.Second))
+	return decimal.Duration(min(s, maxSeconds), time.Second)
 }
 
 // requestTarget is the target of a request in the form that is forwarded to a server.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -24,6 +24,7 @@
 
 	"milletmast/balancer"
 	"milletmast/internal/admin"
+	"milletmast/internal/decimal"
 	"milletmast/internal/hotrestart"
 	"milletmast/internal/operator"
 	"milletmast/internal/wire"
@@ -173,5 +174,5 @@
 	for _, c := range s.cfg.Site.Settings.Classes {
 		longest = max(longest, c.Timeout/1000)
 	}
-	return time.Duration((min(longest, maxKillDelay) + killDelay - exitMargin) * float64(time.Second))
+	return decimal.Duration(min(longest, maxKillDelay)+killDelay-exitMargin, time.Second)
 }
--- a/internal/warmstart/decay.go
+++ b/internal/warmstart/decay.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"milletmast/balancer"
+	"milletmast/internal/decimal"
 )
 
 // The ages from which learned values are dropped.
@@ -59,7 +60,7 @@
 		}
 		decayed.Servers = append(decayed.Servers, server)
 	}
-	return decayed, time.Duration(age * float64(time.Millisecond))
+	return decayed, decimal.Duration(age, time.Millisecond)
 }
 
 // rateDecayTime is the time constant in ms with which a rate decays, as in the module.
--- a/internal/warmstart/decay_test.go
+++ b/internal/warmstart/decay_test.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"testing"
+	"time"
 
 	"pgregory.net/rapid"
 
@@ -37,6 +38,17 @@
 	}
 }
 
+// The age of a state is exact to the nanosecond if its times are.
+func TestAgeIsExact(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		want := time.Duration(rapid.Int64Range(0, int64(MaxAge)-1).Draw(t, "ns"))
+		now := float64(want) / float64(time.Millisecond)
+		if _, age := Decay(balancer.LearnedState{}, now); age != want {
+			t.Fatalf("at %v ms: age %v, want %v", now, age, want)
+		}
+	})
+}
+
 // Trust in a value only falls with age, and no result is negative or not finite, whatever the input.
 func TestTrustOnlyFalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
