--- a/internal/mesh/configstore/command.go
+++ b/internal/mesh/configstore/command.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/gob"
-	"fmt"
 	"slices"
 	"time"
 
@@ -60,13 +59,33 @@
 
 // runCommand starts a command and calls done once, with its result.
 func (s *Server) runCommand(command *controlstate.Command, done func(*controlstate.Result)) {
-	change := consensus.Change{Proposer: s.replica.Self().DiskID, Timeout: command.Timeout}
+	change, err := ChangeOf(command, s.replica.Self().DiskID)
+	if err != nil {
+		done(&controlstate.Result{Status: controlstate.Rejected, Reason: err.Error()})
+		return
+	}
+	if s.storageFailed {
+		done(&controlstate.Result{Status: controlstate.Unknown, Reason: "the disk has failed"})
+		return
+	}
+	if s.stalls.JustResumed(time.Now()) {
+		done(&controlstate.Result{Status: controlstate.Unknown, Reason: "this store was stalled, and the command may be old"})
+		return
+	}
+	s.lastProposalID++
+	s.proposals[s.lastProposalID] = func(r consensus.Result) { done(s.resultOf(&change, &r)) }
+	s.apply(s.replica.Propose(time.Now(), s.lastProposalID, change))
+}
+
+// ChangeOf validates a command and returns the change that a store with the disk proposer proposes for it. The error says why the
+// command is rejected.
+func ChangeOf(command *controlstate.Command, proposer string) (consensus.Change, error) {
+	change := consensus.Change{Proposer: proposer, Timeout: command.Timeout}
 	switch command.Kind {
 	case controlstate.PutConfig:
 		parsed, err := meshconfig.Parse(command.Body)
 		if err != nil {
-			done(&controlstate.Result{Status: controlstate.Rejected, Reason: err.Error()})
-			return
+			return consensus.Change{}, err
 		}
 		change.Kind, change.Key = consensus.PutVersion, configKey
 		change.Version, change.Body = consensus.Version{Number: parsed.Version}, command.Body
@@ -80,27 +99,14 @@
 		var encoded bytes.Buffer
 		err := gob.NewEncoder(&encoded).Encode(outlierwire.FromEjections(command.Ejections))
 		if err != nil || encoded.Len() > maxEjectionsBytes {
-			reason := fmt.Sprintf("the ejections cannot be encoded in %d bytes", maxEjectionsBytes)
-			done(&controlstate.Result{Status: controlstate.Rejected, Reason: reason})
-			return
+			return consensus.Change{}, Rejected.New("the ejections cannot be encoded in %d bytes", maxEjectionsBytes)
 		}
 		change.Kind, change.Key = consensus.CompareAndSwap, ejectionsKey
 		change.Version, change.Body = command.BaseVersion, encoded.Bytes()
 	default:
-		done(&controlstate.Result{Status: controlstate.Rejected, Reason: fmt.Sprintf("command %d is unknown", command.Kind)})
-		return
-	}
-	if s.storageFailed {
-		done(&controlstate.Result{Status: controlstate.Unknown, Reason: "the disk has failed"})
-		return
+		return consensus.Change{}, Rejected.New("command %d is unknown", command.Kind)
 	}
-	if s.stalls.JustResumed(time.Now()) {
-		done(&controlstate.Result{Status: controlstate.Unknown, Reason: "this store was stalled, and the command may be old"})
-		return
-	}
-	s.lastProposalID++
-	s.proposals[s.lastProposalID] = func(r consensus.Result) { done(s.resultOf(&change, &r)) }
-	s.apply(s.replica.Propose(time.Now(), s.lastProposalID, change))
+	return change, nil
 }
 
 // resultOf returns the result of a command for the control plane, by the result of its proposal.
--- a/internal/mesh/configstore/server.go
+++ b/internal/mesh/configstore/server.go
@@ -30,6 +30,9 @@
 // Start is the type of errors that prevent a store from starting.
 var Start = space.NewType("start")
 
+// Rejected is the type of errors of commands that no store can run. Errors of configurations are of the type meshconfig.Invalid.
+var Rejected = space.NewType("rejected")
+
 const (
 	tickInterval      = 300 * time.Millisecond // between two ticks if nothing is due earlier
 	firstBackoff      = 25 * time.Millisecond  // before a connection to a peer is retried
--- a/internal/mesh/modelcheck/check.go
+++ b/internal/mesh/modelcheck/check.go
@@ -36,12 +36,14 @@
 	configs   map[uint64]*consensus.VoterConfig // the committed voter configurations, by epoch
 	handovers []time.Duration                   // the times at which the coordinator role was handed over within the last second
 	newest    *consensus.VoterConfig
+	invalid   map[string]bool // the bodies of invalid configurations
 }
 
 func newHistory() history {
 	return history{
 		lastRead: map[string]consensus.Version{}, acked: map[string][]ackedVersion{}, contentOf: map[string]map[consensus.Version]string{},
 		versionAt: map[string]map[consensus.Ballot]consensus.Version{}, configs: map[uint64]*consensus.VoterConfig{},
+		invalid: map[string]bool{},
 	}
 }
 
@@ -61,6 +63,9 @@
 func (sim *simulation) recordAnswer(x *op, r consensus.Result) {
 	x.returned, x.result = sim.now, r
 	sim.report.Answered++
+	if x.command.Defect != "" {
+		sim.violation("invalid not refused: m%d answers %v to %v", x.target, r.Outcome, x.command)
+	}
 	if r.Value == nil {
 		return
 	}
@@ -72,8 +77,11 @@
 	sim.lastRead[key] = r.Value.Version
 }
 
-// checkContent checks that each version of a key has one content only. Where names the source of v in a violation.
+// checkContent checks that each version of a key has one content only, which is valid. Where names the source of v in a violation.
 func (sim *simulation) checkContent(key string, v *consensus.Value, where string) {
+	if sim.invalid[string(v.Body)] {
+		sim.violation("invalid in force: %s %v: %q from %s", key, v.Version, v.Body, where)
+	}
 	all := sim.contentOf[key]
 	if all == nil {
 		all = map[consensus.Version]string{}
--- a/internal/mesh/modelcheck/draw.go
+++ b/internal/mesh/modelcheck/draw.go
@@ -54,6 +54,7 @@
 			p.Commands[i].Nodes[0] = target
 		}
 	}
+	p.addInvalidCommands()
 	return p
 }
 
--- a/internal/mesh/modelcheck/modelcheck_test.go
+++ b/internal/mesh/modelcheck/modelcheck_test.go
@@ -49,8 +49,8 @@
 	began := time.Now()
 	all, failed := runSeeds(draw, *first, runs)
 	took := time.Since(began)
-	t.Logf("%d runs in %v: %.0f a second, %d events, %d answers, %d histories checked, %d skipped; slowest (seed %d) recovered after %v",
-		runs, took, float64(runs)/took.Seconds(), all.Events, all.Answered, all.CheckedHistories, all.SkippedHistories, all.Epochs, all.RecoveredAfter)
+	t.Logf("%d runs in %v: %.0f a second, %d events, %d answers, %d invalid configurations refused, %d histories checked, %d skipped; slowest (seed %d) recovered after %v",
+		runs, took, float64(runs)/took.Seconds(), all.Events, all.Answered, all.Refused, all.CheckedHistories, all.SkippedHistories, all.Epochs, all.RecoveredAfter)
 	for _, p := range failed {
 		fails := runPlan(p, hooks{})
 		if *shrink {
@@ -84,6 +84,7 @@
 				mu.Lock()
 				all.Events += r.Events
 				all.Answered += r.Answered
+				all.Refused += r.Refused
 				all.CheckedHistories += r.CheckedHistories
 				all.SkippedHistories += r.SkippedHistories
 				all.RepairTimes = append(all.RepairTimes, r.RepairTimes...)
--- a/internal/mesh/modelcheck/overlay_test.go
+++ b/internal/mesh/modelcheck/overlay_test.go
@@ -33,6 +33,7 @@
 	{"a control plane's lease counted from the acknowledgement", "lease/lease.go", "l.set(now, h.sentAt.Add(max(remaining, 0)))", "l.set(now, now.Add(max(remaining, 0)))"},
 	{"a control plane that serves after its lease", "discovery/storecontact.go", "return c.lease.Expiry()\n", "return c.lease.Expiry().Add(3 * time.Second)\n"},
 	{"a proxy uses the configuration received last", "discovery/merged.go", "snapshot.ConfigVersion > s.configVersion {", "snapshot.ConfigVersion != s.configVersion {"},
+	{"invalid configurations accepted", "configstore/command.go", "\t\t\treturn consensus.Change{}, err\n", "\t\t\tparsed = &meshconfig.Config{Version: 500}\n"},
 	{"a proxy uses the evacuation received last", "discovery/merged.go", "e.Version.Compare(old.Version) > 0", "e.Version != old.Version"},
 }
 
@@ -76,7 +77,7 @@
 				t.Fatalf("not found in %d runs: %.500s", *overlayRuns, out)
 			}
 			violation := out[m[2]:]
-			if i := regexp.MustCompile(`(?m)^ +(two|old|not|out of|went|disjoint|rejected|applied|unknown|too many|proxy|panic)[^\n]*`).FindIndex(violation); i != nil {
+			if i := regexp.MustCompile(`(?m)^ +(two|old|not|invalid|out of|went|disjoint|rejected|applied|unknown|too many|proxy|panic)[^\n]*`).FindIndex(violation); i != nil {
 				violation = violation[i[0]:i[1]]
 			}
 			t.Logf("found in run %s, %v: %.160s", out[m[2]:m[3]], time.Since(began).Round(time.Second), strings.TrimSpace(string(violation)))
--- a/internal/mesh/modelcheck/plan.go
+++ b/internal/mesh/modelcheck/plan.go
@@ -43,7 +43,8 @@
 	Key    string
 	Number uint64
 	Body   string
-	Nodes  []int // one attempt each
+	Nodes  []int  // one attempt each
+	Defect string // name of the defect of an invalid configuration; empty for a valid one
 }
 
 func (t Fault) String() string {
@@ -55,7 +56,11 @@
 }
 
 func (o Command) String() string {
-	return fmt.Sprintf("%v %s %s number=%d body=%s to=%v", o.At, o.Kind, o.Key, o.Number, o.Body, o.Nodes)
+	text := fmt.Sprintf("%v %s %s number=%d body=%s to=%v", o.At, o.Kind, o.Key, o.Number, o.Body, o.Nodes)
+	if o.Defect != "" {
+		text += " invalid: " + o.Defect
+	}
+	return text
 }
 
 func (p Plan) String() string {
@@ -85,6 +90,7 @@
 	Epochs           uint64
 	Events           int
 	Answered         int // attempts with a known outcome
+	Refused          int // attempts of invalid configurations that were refused
 	Attempts         int
 	CheckedHistories int             // by porcupine, one for each key
 	SkippedHistories int             // because of too many attempts without an answer, or a timeout of porcupine
--- a/internal/mesh/modelcheck/plantedfault_test.go
+++ b/internal/mesh/modelcheck/plantedfault_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"flag"
+	"strings"
 	"testing"
 	"time"
 
@@ -71,13 +72,31 @@
 	}
 }
 
-// plantedFaults are faults in the storage or network code around the state machines. Each must be found.
-var plantedFaults = []struct {
+// plantedFault is a fault in the code around the state machines.
+type plantedFault struct {
 	name string
 	draw func(uint64) Plan
 	seed uint64 // the first seed that finds it
 	h    hooks
-}{
+}
+
+// finds reports whether a run has found the fault: by a safety violation, and by one about invalid configurations if they are accepted.
+func (x *plantedFault) finds(r *Report) bool {
+	if x.h.acceptInvalid != nil {
+		return strings.HasPrefix(r.Kind(), "invalid ")
+	}
+	return len(r.Violations) > 0 && r.Kind() != "not recovered" && r.Kind() != "no read"
+}
+
+// plantedFaults are faults in the validation, storage or network code around the state machines. Each must be found.
+var plantedFaults = []plantedFault{
+	{"configurations are not validated", Draw, 1, hooks{acceptInvalid: func(string) bool { return true }}},
+	{"a target latency a minute above the deadline is accepted if a binary fraction is below it", Draw, 3, hooks{acceptInvalid: func(defect string) bool {
+		return defect == "target latency a minute above the deadline, in fractions"
+	}}},
+	{"configurations whose weights sum to 0 are accepted", DrawStep, 12, hooks{acceptInvalid: func(defect string) bool {
+		return defect == "weights that sum to 0"
+	}}},
 	{"sent before the disk has synced", Draw, 364, hooks{sendBeforeSync: true}},
 	{"a failed write counts as done", Draw, 54, hooks{ignoreWriteErrors: true}},
 	{"promises lost at a restart", Draw, 13, hooks{restart: func(_ *consensus.VoterConfig, held []consensus.Register) []consensus.Register {
@@ -148,7 +167,7 @@
 				first, last = 1, uint64(*plantRuns)
 			}
 			for seed := first; seed <= last; seed++ {
-				if r := runPlan(x.draw(seed), x.h); len(r.Violations) > 0 && r.Kind() != "not recovered" && r.Kind() != "no read" {
+				if r := runPlan(x.draw(seed), x.h); x.finds(r) {
 					t.Logf("found in run %d: %.300s", seed, r.Violations[0])
 					return
 				}
--- a/internal/mesh/modelcheck/process.go
+++ b/internal/mesh/modelcheck/process.go
@@ -50,8 +50,9 @@
 	respond           func(a *consensus.Request, t *consensus.Response)
 	sendBeforeSync    bool // responses are sent before the disk has synced
 	states            func(digest uint64)
-	keepDiskID        bool // a wiped disk keeps its identity
-	ignoreWriteErrors bool // a failed write counts as done
+	keepDiskID        bool                     // a wiped disk keeps its identity
+	ignoreWriteErrors bool                     // a failed write counts as done
+	acceptInvalid     func(defect string) bool // a store accepts configurations with this defect
 }
 
 // storeProcess is one process of a store. It handles one input at a time, and the next one only after the records of the output are on
--- a/internal/mesh/modelcheck/simulation.go
+++ b/internal/mesh/modelcheck/simulation.go
@@ -29,6 +29,7 @@
 	plan              Plan
 	hooks             hooks
 	rng               *rand.Rand
+	invalidRNG        *rand.Rand // for the invalid commands of operators
 	now               time.Duration
 	queue             events
 	lastEventID       uint64
@@ -131,12 +132,13 @@
 
 func (sim *simulation) runPlan(p Plan, h hooks) *Report {
 	*sim = simulation{
-		plan:     p,
-		hooks:    h,
-		rng:      rand.New(rand.NewPCG(p.Seed, 7)),
-		history:  newHistory(),
-		maxDelay: 2 * time.Millisecond,
-		linkRate: p.LinkBytesPerSecond,
+		plan:       p,
+		hooks:      h,
+		rng:        rand.New(rand.NewPCG(p.Seed, 7)),
+		history:    newHistory(),
+		maxDelay:   2 * time.Millisecond,
+		linkRate:   p.LinkBytesPerSecond,
+		invalidRNG: rand.New(rand.NewPCG(p.Seed, 17)),
 	}
 	defer func() {
 		if x := recover(); x != nil {
--- a/internal/mesh/modelcheck/step.go
+++ b/internal/mesh/modelcheck/step.go
@@ -64,6 +64,7 @@
 		p.LinkBytesPerSecond, body = 1_000_000, "*200000"
 	}
 	p.steadyCommands(rng, partitioned, startAt, body)
+	p.addInvalidCommands()
 	return p
 }
 
--- a/internal/mesh/proxy/path_test.go
+++ b/internal/mesh/proxy/path_test.go
@@ -49,27 +49,34 @@
 
 func newMesh(t *testing.T) *mesh {
 	m := &mesh{t: t, port: freeport.ForTest(t, portsPerMesh).First + portsBelowOwn, client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{}}}
-	ctx, stop := context.WithCancel(context.Background())
-	var core sync.WaitGroup
-	m.stopCore = func() { stop(); core.Wait() }
+	m.stopCore = m.startCore("core", coreIP, true)
 	t.Cleanup(func() {
 		m.stopCore()
 		m.done.Wait()
 		m.client.CloseIdleConnections()
 	})
-	s := m.settings("core", coreIP)
-	s.StateDir, s.Bootstrap, s.InQuorum = t.TempDir(), true, true
+	return m
+}
+
+// startCore starts the control plane and the configuration store of a core machine, and returns the function that stops them. Bootstrap
+// reports that the machine is the first one of the mesh.
+func (m *mesh) startCore(node, ip string, bootstrap bool) (stopCore func()) {
+	m.t.Helper()
+	ctx, stop := context.WithCancel(context.Background())
+	var core sync.WaitGroup
+	s := m.settings(node, ip)
+	s.StateDir, s.Bootstrap, s.InQuorum = m.t.TempDir(), bootstrap, true
 	k, err := configstore.New(s, zerolog.Nop())
 	if err != nil {
-		t.Fatal(err)
+		m.t.Fatal(err)
 	}
 	l, err := controlplane.New(s, zerolog.Nop())
 	if err != nil {
-		t.Fatal(err)
+		m.t.Fatal(err)
 	}
 	core.Go(func() { _ = k.Run(ctx) })
 	core.Go(func() { _ = l.Run(ctx) })
-	return m
+	return func() { stop(); core.Wait() }
 }
 
 // settings returns the settings of a machine.
