--- a/internal/decimal/decimal.go
+++ b/internal/decimal/decimal.go
@@ -3,6 +3,7 @@
 package decimal
 
 import (
+	"cmp"
 	"math"
 	"math/big"
 	"regexp"
@@ -30,12 +31,23 @@
 
 // Number is an exact decimal number. The zero value is 0. It is immutable.
 type Number struct {
-	value *big.Rat // nil for 0
+	coefficient int64
+	scale       int      // the number is coefficient / 10^scale; 0 to maxScale
+	exact       *big.Rat // the number if it is out of the range of the other fields; otherwise nil
 }
 
+// maxScale is the greatest scale; maxDigits is the number of digits that always fit a coefficient.
+const (
+	maxScale  = 18
+	maxDigits = 18
+)
+
 // Parse reads a decimal number. It refuses infinities, NaN, numbers of other bases, texts of over 1000 bytes and
 // exponents outside ±1000.
 func Parse(text string) (Number, error) {
+	if n, ok := parseShort(text); ok {
+		return n, nil
+	}
 	if len(text) > maxLength {
 		return Number{}, Invalid.New("a number of %d bytes is over the limit of %d", len(text), maxLength)
 	}
@@ -50,31 +62,103 @@
 	if !ok {
 		return Number{}, Invalid.New("%q is not a decimal number", text)
 	}
-	return Number{value}, nil
+	return Number{exact: value}, nil
+}
+
+// parseShort reads the usual numbers: digits with at most one point among or after them, and at most maxDigits digits. It
+// reports false for any other text.
+func parseShort(text string) (n Number, ok bool) {
+	if text == "" || text[0] == '.' || len(text) > maxDigits {
+		return Number{}, false
+	}
+	point := len(text)
+	for i := range len(text) {
+		switch c := text[i]; {
+		case c >= '0' && c <= '9':
+			n.coefficient = 10*n.coefficient + int64(c-'0')
+		case c == '.' && point == len(text):
+			point = i
+		default:
+			return Number{}, false
+		}
+	}
+	n.scale = max(len(text)-point-1, 0)
+	return n, true
 }
 
 // FromInt returns an integer.
-func FromInt(n int64) Number { return Number{new(big.Rat).SetInt64(n)} }
+func FromInt(n int64) Number { return Number{coefficient: n} }
+
+// powersOfTen are 10^0 to 10^maxScale.
+var powersOfTen = func() (powers [maxScale + 1]int64) {
+	powers[0] = 1
+	for i := range maxScale {
+		powers[i+1] = 10 * powers[i]
+	}
+	return powers
+}()
 
 func (n Number) rat() *big.Rat {
-	if n.value == nil {
-		return new(big.Rat)
+	if n.exact != nil {
+		return n.exact
 	}
-	return n.value
+	return big.NewRat(n.coefficient, powersOfTen[n.scale])
 }
 
 // Sign returns -1, 0 or 1.
-func (n Number) Sign() int { return n.rat().Sign() }
+func (n Number) Sign() int {
+	if n.exact != nil {
+		return n.exact.Sign()
+	}
+	return cmp.Compare(n.coefficient, 0)
+}
 
 // Compare returns -1 if n is less than m, 0 if they are equal, and 1 if n is greater.
-func (n Number) Compare(m Number) int { return n.rat().Cmp(m.rat()) }
+func (n Number) Compare(m Number) int {
+	if a, b, _, ok := align(n, m); ok {
+		return cmp.Compare(a, b)
+	}
+	return n.rat().Cmp(m.rat())
+}
 
 // Add returns the exact sum.
-func (n Number) Add(m Number) Number { return Number{new(big.Rat).Add(n.rat(), m.rat())} }
+func (n Number) Add(m Number) Number {
+	if a, b, scale, ok := align(n, m); ok {
+		return Number{coefficient: a + b, scale: scale}
+	}
+	return Number{exact: new(big.Rat).Add(n.rat(), m.rat())}
+}
+
+// align returns the coefficients of two numbers with the same scale. It reports false if they, or their sum, may exceed
+// the range of int64.
+func align(n, m Number) (a, b int64, scale int, ok bool) {
+	if n.exact != nil || m.exact != nil {
+		return 0, 0, 0, false
+	}
+	scale = max(n.scale, m.scale)
+	a, aFits := n.rescaled(scale)
+	b, bFits := m.rescaled(scale)
+	return a, b, scale, aFits && bFits
+}
+
+// rescaled returns the coefficient for a scale of at least its own. It reports false beyond half of the range of int64.
+func (n Number) rescaled(scale int) (coefficient int64, ok bool) {
+	power := powersOfTen[scale-n.scale]
+	if limit := math.MaxInt64 / 2 / power; n.coefficient < -limit || n.coefficient > limit {
+		return 0, false
+	}
+	return n.coefficient * power, true
+}
+
+// maxExactFloat bounds the integers up to which float64 has all.
+const maxExactFloat = 1 << 53
 
 // Float64 returns the nearest float64; a number beyond the range of float64 is the greatest or least finite one, and
 // one that is not 0 is never 0.
 func (n Number) Float64() float64 {
+	if n.exact == nil && n.coefficient > -maxExactFloat && n.coefficient < maxExactFloat {
+		return float64(n.coefficient) / float64(powersOfTen[n.scale]) // both are exact, so the quotient is the nearest
+	}
 	f, _ := n.rat().Float64()
 	switch {
 	case math.IsInf(f, 0):
@@ -87,13 +171,22 @@
 
 // Int64 returns the number without its fraction; one beyond the range of int64 is the greatest or least value.
 func (n Number) Int64() int64 {
-	whole := new(big.Int).Quo(n.rat().Num(), n.rat().Denom())
+	if n.exact == nil {
+		return n.coefficient / powersOfTen[n.scale]
+	}
+	whole := new(big.Int).Quo(n.exact.Num(), n.exact.Denom())
 	return saturate(whole)
 }
 
 // Duration returns the duration nearest to n units; halves are rounded away from 0. One beyond the range of
 // time.Duration is the greatest or least value.
 func (n Number) Duration(unit time.Duration) time.Duration {
+	if power := powersOfTen[n.scale]; n.exact == nil && power <= int64(unit) && int64(unit)%power == 0 {
+		perCoefficient := int64(unit) / power
+		if limit := math.MaxInt64 / perCoefficient; n.coefficient >= -limit && n.coefficient <= limit {
+			return time.Duration(n.coefficient * perCoefficient)
+		}
+	}
 	scaled := new(big.Rat).Mul(n.rat(), new(big.Rat).SetInt64(int64(unit)))
 	return time.Duration(saturate(round(scaled)))
 }
--- a/internal/decimal/decimal_test.go
+++ b/internal/decimal/decimal_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -114,3 +115,24 @@
 		t.Errorf("0 + -3 is %v", sum.Float64())
 	}
 }
+
+// Short numbers are read without math/big, and are what math/big makes of them.
+func TestShortNumbersAreExact(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		text := rapid.StringMatching(`[0-9]{1,10}(\.[0-9]{0,9})?`).Draw(t, "text")
+		n, exact := parse(t, text), Number{exact: parse(t, text).rat()}
+		other := parse(t, rapid.StringMatching(`[0-9]{1,10}(\.[0-9]{0,9})?`).Draw(t, "other"))
+		for _, unit := range []time.Duration{time.Second, time.Millisecond, time.Nanosecond, 7} {
+			if got, want := n.Duration(unit), exact.Duration(unit); got != want {
+				t.Fatalf("%s x %v is %v, want %v", text, unit, got, want)
+			}
+		}
+		if want, _ := strconv.ParseFloat(text, 64); n.Float64() != want || exact.Float64() != want {
+			t.Fatalf("%s is %v and %v, want %v", text, n.Float64(), exact.Float64(), want)
+		}
+		if n.Int64() != exact.Int64() || n.Sign() != exact.Sign() || n.Compare(other) != exact.Compare(other) ||
+			n.Compare(exact) != 0 || n.Add(other).Compare(exact.Add(other)) != 0 {
+			t.Fatalf("%s is the integer %d, sign %d; want %d, %d", text, n.Int64(), n.Sign(), exact.Int64(), exact.Sign())
+		}
+	})
+}
