--- a/internal/mesh/meshconfig/drawn_test.go
+++ b/internal/mesh/meshconfig/drawn_test.go
@@ -22,7 +22,6 @@
 // many configurations are valid and each other one has few faults.
 type writer struct {
 	random *rand.Rand
-	text   strings.Builder
 }
 
 // unusual is the share of the values that are drawn from the edges.
@@ -158,8 +157,11 @@
 func compareWithOracle(text []byte) (valid bool, err error) {
 	valid = oracleValid(text)
 	_, fault := Parse(text)
-	if valid != (fault == nil) {
-		return valid, fmt.Errorf("the oracle says valid=%v, Parse: %v\n%s", valid, fault, text)
+	if valid && fault != nil {
+		return valid, fmt.Errorf("refused, but valid by the oracle: %w\n%s", fault, text)
+	}
+	if !valid && fault == nil {
+		return valid, fmt.Errorf("accepted, but invalid by the oracle\n%s", text)
 	}
 	if fault != nil && !errorx.IsOfType(fault, Invalid) {
 		return valid, fmt.Errorf("error of another type: %w\n%s", fault, text)
--- a/internal/mesh/meshconfig/table.go
+++ b/internal/mesh/meshconfig/table.go
@@ -86,14 +86,14 @@
 // The greatest values that the mesh calculates with; a greater figure counts as the greatest, as it cannot be told
 // from it by any request.
 const (
-	maxSeconds = 1_000_000_000 * time.Second // 31 years
-	maxCount   = 1_000_000_000
-	maxBytes   = 1_000_000_000_000
+	maxDuration = 1_000_000_000 * time.Second // 31 years
+	maxCount    = 1_000_000_000
+	maxBytes    = 1_000_000_000_000
 )
 
 func (r *row) seconds(field string) time.Duration { return boundedSeconds(r.number(field)) }
 
-func boundedSeconds(n decimal.Number) time.Duration { return min(n.Duration(time.Second), maxSeconds) }
+func boundedSeconds(n decimal.Number) time.Duration { return min(n.Duration(time.Second), maxDuration) }
 
 func (r *row) count(field string) int { return int(min(r.number(field).Int64(), maxCount)) }
 
