--- a/internal/mesh/configstore/command.go
+++ b/internal/mesh/configstore/command.go
@@ -49,7 +49,7 @@
 			continue
 		}
 		s.loop.Post(func() {
-			s.runCommand(command, func(r *controlstate.Result) {
+			s.runCommand(time.Now(), command, func(r *controlstate.Result) {
 				r.ID = command.ID
 				outbox.Send(controlstatewire.FromUpdate(&controlstate.Update{Result: r, Snapshot: s.snapshot()}))
 			})
@@ -57,8 +57,11 @@
 	}
 }
 
-// runCommand starts a command and calls done once, with its result.
-func (s *Server) runCommand(command *controlstate.Command, done func(*controlstate.Result)) {
+// runCommand starts a command, which the loop has taken up now, and calls done once, with its result. A change that may be old after a
+// stall is not run; a read changes nothing, so it may be old. Validating a large configuration at a small share of a core may itself take
+// as long as a stall, so this is decided by the time before.
+func (s *Server) runCommand(now time.Time, command *controlstate.Command, done func(*controlstate.Result)) {
+	mayBeOld := command.Kind != controlstate.ReadConfig && s.stalls.JustResumed(now)
 	change, err := ChangeOf(command, s.replica.Self().DiskID)
 	if err != nil {
 		done(&controlstate.Result{Status: controlstate.Rejected, Reason: err.Error()})
@@ -68,7 +71,7 @@
 		done(&controlstate.Result{Status: controlstate.Unknown, Reason: "the disk has failed"})
 		return
 	}
-	if s.stalls.JustResumed(time.Now()) {
+	if mayBeOld {
 		done(&controlstate.Result{Status: controlstate.Unknown, Reason: "this store was stalled, and the command may be old"})
 		return
 	}
--- a/internal/mesh/controlplane/api.go
+++ b/internal/mesh/controlplane/api.go
@@ -9,6 +9,10 @@
 	"milletmast/internal/mesh/controlstate"
 )
 
+// readTimeout is the time for reading the configuration. By the protocol, the caller turns to another control plane after a second of
+// silence: without a quorum it gets an answer before that.
+const readTimeout = 800 * time.Millisecond
+
 // handleCall runs a decoded call of the control API and passes its result to done.
 func (s *Server) handleCall(c controlapi.Command, done func(controlapi.Result)) {
 	run := func(command controlstate.Command) {
@@ -19,7 +23,7 @@
 	case controlapi.ReplaceConfig:
 		run(controlstate.Command{Kind: controlstate.PutConfig, Body: c.Body})
 	case controlapi.ReadConfig:
-		run(controlstate.Command{Kind: controlstate.ReadConfig})
+		run(controlstate.Command{Kind: controlstate.ReadConfig, Timeout: readTimeout})
 	case controlapi.BeginEvacuation:
 		s.runWithTicket(
 			controlstate.Command{Kind: controlstate.BeginEvacuation, Zone: c.Zone, Timeout: ticketLifetime},
--- a/internal/mesh/controlplane/stall_test.go
+++ b/internal/mesh/controlplane/stall_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"milletmast/internal/mesh/controlstate"
+	"milletmast/internal/mesh/process"
 	"milletmast/internal/mesh/transport"
 )
 
@@ -30,3 +31,28 @@
 		}
 	}
 }
+
+// A read changes nothing: it is forwarded just after a stall too, unless its caller has gone.
+func TestReadAfterAStallIsForwarded(t *testing.T) {
+	for name, c := range map[string]struct {
+		age         time.Duration
+		isForwarded bool
+	}{
+		"new":              {0, true},
+		"caller waits":     {readTimeout / 2, true},
+		"caller has gone":  {readTimeout, false},
+		"caller long gone": {20 * time.Second, false},
+	} {
+		now := time.Now()
+		server := &Server{loop: process.NewLoop(1)}
+		server.stalls.Tick(now.Add(-20 * time.Second))
+		s := newStoreClient(server)
+		s.outbox = transport.NewOutbox(nil, 1)
+		var got *controlstate.Result
+		read := &controlstate.Command{Kind: controlstate.ReadConfig, Timeout: readTimeout}
+		s.runCommand(read, now.Add(-c.age), func(r *controlstate.Result) { got = r })
+		if isForwarded := got == nil && len(s.pending) == 1; isForwarded != c.isForwarded {
+			t.Errorf("%s: result %+v, %d commands pending; want it forwarded: %v", name, got, len(s.pending), c.isForwarded)
+		}
+	}
+}
--- a/internal/mesh/controlplane/storeclient.go
+++ b/internal/mesh/controlplane/storeclient.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"cmp"
 	"net"
 	"time"
 
@@ -21,7 +22,7 @@
 	outbox         *transport.Outbox                     // owned by the loop; nil while there is no connection
 	lastID         uint64                                // of a command
 	pending        map[uint64]func(*controlstate.Result) // by ID of the command
-	commandTimeout time.Duration                         // after which the result is Unknown
+	commandTimeout time.Duration                         // after which the result is Unknown; a command may have a shorter one
 }
 
 func newStoreClient(server *Server) *storeClient {
@@ -107,16 +108,18 @@
 }
 
 // runCommand sends a command to the store and calls done once, with the result. A command that was
-// received longer than commandTimeout ago when it leaves the queue is dropped, and so is one that
+// received longer than its timeout ago when it leaves the queue is dropped, and so is a change that
 // may be old after a stall: its caller has retried at another control plane, and later commands may
-// have followed.
+// have followed. A read changes nothing, so it may be old.
 func (s *storeClient) runCommand(command *controlstate.Command, receivedAt time.Time, done func(*controlstate.Result)) {
 	now := time.Now()
+	timeout := min(cmp.Or(command.Timeout, s.commandTimeout), s.commandTimeout)
+	mayBeOld := command.Kind != controlstate.ReadConfig && s.server.stalls.JustResumed(now)
 	switch {
 	case s.outbox == nil:
 		done(&controlstate.Result{Status: controlstate.Unknown, Reason: "the configuration store cannot be reached"})
 		return
-	case now.Sub(receivedAt) >= s.commandTimeout, s.server.stalls.JustResumed(now):
+	case now.Sub(receivedAt) >= timeout, mayBeOld:
 		done(&controlstate.Result{Status: controlstate.Unknown, Reason: "this control plane was stalled, and the command may be old"})
 		return
 	}
@@ -125,12 +128,12 @@
 	id := command.ID
 	s.pending[id] = done
 	s.outbox.Send(transport.Deferred(func() any {
-		if time.Since(receivedAt) >= s.commandTimeout {
+		if time.Since(receivedAt) >= timeout {
 			return nil
 		}
 		return controlstatewire.FromCommand(command)
 	}))
-	s.server.loop.PostAfter(s.commandTimeout, func() {
+	s.server.loop.PostAfter(timeout, func() {
 		if done := s.pending[id]; done != nil {
 			delete(s.pending, id)
 			done(&controlstate.Result{Status: controlstate.Unknown, Reason: "the configuration store gave no result in time"})
--- a/internal/mesh/modelcheck/discovery.go
+++ b/internal/mesh/modelcheck/discovery.go
@@ -37,7 +37,15 @@
 		s.every(gossipInterval, func() { s.gossip(p) })
 	}
 	s.every(50*time.Millisecond, s.step)
-	for range 1 + s.rng.IntN(6) { // faults of control planes and proxies
+	if !sim.plan.CalmDiscovery {
+		s.scheduleFaults()
+	}
+}
+
+// scheduleFaults schedules random faults of control planes and proxies.
+func (s *discoverySim) scheduleFaults() {
+	sim := s.sim
+	for range 1 + s.rng.IntN(6) {
 		p, at, d := s.proxies[s.rng.IntN(len(s.proxies))], s.randomDuration(sim.plan.End), s.randomDuration(sim.plan.End/2)
 		switch s.rng.IntN(5) {
 		case 0:
@@ -99,7 +107,11 @@
 	for len(s.controlPlanes) < len(w.nodes) {
 		l := &simControlPlane{node: w.nodes[len(s.controlPlanes)]}
 		s.controlPlanes = append(s.controlPlanes, l)
-		s.every(heartbeatInterval, func() { s.heartbeat(l) })
+		if w.plan.CalmDiscovery {
+			w.after(s.randomDuration(heartbeatInterval), func() { s.heartbeatRegularly(l) })
+		} else {
+			s.every(heartbeatInterval, func() { s.heartbeat(l) })
+		}
 		s.every(pushInterval, func() { s.push(l) })
 	}
 	for _, l := range s.controlPlanes {
--- a/internal/mesh/modelcheck/fault.go
+++ b/internal/mesh/modelcheck/fault.go
@@ -82,6 +82,11 @@
 				sim.crash(x, true, t.Duration)
 			}
 		}
+	case "cpu_quota":
+		if sim.limitProcessor(&m.frozen, t.Duration, func() { sim.thaw(m) }); sim.discovery != nil && len(sim.discovery.proxies) > 0 {
+			p := sim.discovery.proxies[t.Node%len(sim.discovery.proxies)]
+			sim.limitProcessor(&p.frozen, t.Duration, func() { sim.discovery.resume(p) })
+		}
 	case "node_freeze":
 		sim.applyFor(&m.frozen, t.Duration, func() { sim.thaw(m) })
 	case "after_ack_kill", "after_ack_wipe":
@@ -176,12 +181,30 @@
 	sim.after(d, m.start)
 }
 
+// The quota of a share of a core: in each period a process runs at full speed and then stands still.
+const (
+	quotaPeriod = 100 * time.Millisecond
+	quotaStall  = 90 * time.Millisecond
+)
+
+// limitProcessor has a process stand still for quotaStall in every quotaPeriod, for a time or until all faults end.
+func (sim *simulation) limitProcessor(frozen *int, d time.Duration, thaw func()) {
+	if d <= 0 || sim.healedAt > 0 {
+		return
+	}
+	sim.applyFor(frozen, min(d, quotaStall), thaw)
+	sim.after(quotaPeriod, func() { sim.limitProcessor(frozen, d-quotaPeriod, thaw) })
+}
+
 // thaw resumes a frozen process.
 func (sim *simulation) thaw(m *node) {
 	m.frozen = 0
 	if m.process != nil {
 		m.process.drain()
 	}
+	if sim.discovery != nil {
+		sim.discovery.resumeControlPlane(m.index)
+	}
 }
 
 // reset breaks the connections of a node: messages in flight are lost, and both sides reconnect.
--- a/internal/mesh/modelcheck/plan.go
+++ b/internal/mesh/modelcheck/plan.go
@@ -20,6 +20,7 @@
 	End                time.Duration
 	LinkBytesPerSecond int     // of each link in each direction, to the end of the run; 0 for no limit
 	Proxies            int     // 0 for a run without proxies and control planes
+	CalmDiscovery      bool    // control planes and proxies have no random faults of their own, and heartbeats no random intervals
 	TimeScale          float64 // consensus.Settings.TimeScale; 0 means 1
 	Faults             []Fault
 	Commands           []Command
--- a/internal/mesh/modelcheck/simcontrolplane.go
+++ b/internal/mesh/modelcheck/simcontrolplane.go
@@ -19,6 +19,8 @@
 	connFreeAt           time.Duration          // when everything sent on the connection to the store has arrived
 	pending              []func()               // messages received and not handled
 	frozenAlone          int                    // number of faults that freeze it, but not its store
+	missedHeartbeat      bool                   // its next heartbeat was due while it was frozen, and is sent when it resumes
+	missedPush           bool                   // likewise for its messages to the proxies
 	freezeAfterHeartbeat time.Duration          // it is frozen for this time when it has sent its next heartbeat
 }
 
@@ -48,6 +50,24 @@
 	}
 }
 
+// resumeControlPlane has the control plane of a node that is no longer frozen do what was due: timers that expired meanwhile fire once.
+func (s *discoverySim) resumeControlPlane(i int) {
+	l := s.controlPlane(i)
+	if l == nil || l.isFrozen() {
+		return
+	}
+	s.drain(l)
+	s.pushSnapshot(l)
+	heartbeat, push := l.missedHeartbeat, l.missedPush
+	l.missedHeartbeat, l.missedPush = false, false
+	if heartbeat {
+		s.heartbeat(l)
+	}
+	if push {
+		s.push(l)
+	}
+}
+
 // pushSnapshot has a store send its snapshot to its control plane, if it has changed.
 func (s *discoverySim) pushSnapshot(l *simControlPlane) {
 	p, now := l.store, s.sim.time()
@@ -69,6 +89,7 @@
 // heartbeat sends a heartbeat to the store, which sends its present snapshot before the acknowledgement.
 func (s *discoverySim) heartbeat(l *simControlPlane) {
 	if l.incarnation == 0 || l.store == nil || l.isFrozen() || l.store != l.node.process {
+		l.missedHeartbeat = l.isFrozen()
 		return
 	}
 	id, p := l.contact.StartHeartbeat(s.sim.time()), l.store
@@ -95,6 +116,12 @@
 	})
 }
 
+// heartbeatRegularly sends heartbeats at the interval of the program, without the random differences that other runs have.
+func (s *discoverySim) heartbeatRegularly(l *simControlPlane) {
+	s.heartbeat(l)
+	s.sim.after(heartbeatInterval, func() { s.heartbeatRegularly(l) })
+}
+
 // handleUpdate has a control plane handle an update of its store.
 func (s *discoverySim) handleUpdate(l *simControlPlane, update *controlstate.Update) {
 	changed, heartbeat := l.contact.HandleUpdate(s.sim.time(), update)
@@ -110,6 +137,7 @@
 func (s *discoverySim) push(l *simControlPlane) {
 	w := s.sim
 	if l.incarnation == 0 || l.isFrozen() || l.node.process == nil {
+		l.missedPush = l.isFrozen()
 		return
 	}
 	d := &discovery.ControlMessage{HasContact: w.time().Before(l.contact.ServeUntil())}
--- a/internal/mesh/modelcheck/simproxy.go
+++ b/internal/mesh/modelcheck/simproxy.go
@@ -40,11 +40,16 @@
 		return // heal has resumed it already
 	}
 	if p.frozen--; p.frozen == 0 {
-		queue := p.pending
-		p.pending = nil
-		for _, f := range queue {
-			f()
-		}
+		s.resume(p)
+	}
+}
+
+// resume has a proxy that is no longer frozen handle the inputs that waited.
+func (s *discoverySim) resume(p *simProxy) {
+	queue := p.pending
+	p.pending = nil
+	for _, f := range queue {
+		f()
 	}
 }
 
--- a/internal/mesh/proxy/path_test.go
+++ b/internal/mesh/proxy/path_test.go
@@ -200,7 +200,7 @@
 		if r.StatusCode == http.StatusOK {
 			return string(text)
 		}
-		last = r.Status
+		last = r.Status + " " + strings.TrimSpace(string(text))
 	}
 	m.t.Fatalf("%s %s returns %s, want 200", method, url, last)
 	return ""
