--- a/internal/mesh/admission/controller.go
+++ b/internal/mesh/admission/controller.go
@@ -89,8 +89,9 @@
 	warmupUncertain  bool   // the endpoint may be warming up without having reported it
 	inFlight         int
 	queue            []*Ticket
-	admissions       []time.Time // within the last warmupWindow
-	firstAdmission   time.Time   // when the first request was admitted
+	displaced        []QueueOutcome // of requests that others have displaced from the queue since the last ProcessQueue
+	admissions       []time.Time    // within the last warmupWindow
+	firstAdmission   time.Time      // when the first request was admitted
 	lastSequence     uint64
 }
 
--- a/internal/mesh/admission/warmup.go
+++ b/internal/mesh/admission/warmup.go
@@ -35,6 +35,20 @@
 	return at
 }
 
+// nextQueueSlot returns when an endpoint that is warming up may get one more queued request that
+// waits for the end of the warm-up. Queued requests are spread evenly over the window: if a burst
+// emptied the queue, the rest of the window would have no slot, and requests of a high priority with
+// a short wait would expire while those of a low priority outlast it.
+func (c *Controller) nextQueueSlot(now time.Time) time.Time {
+	at := c.nextWarmupSlot(now)
+	if n := len(c.admissions); n > 0 {
+		if spread := c.admissions[n-1].Add(warmupWindow / time.Duration(c.warmupShare(now))); spread.After(at) {
+			at = spread
+		}
+	}
+	return at
+}
+
 // dropOldAdmissions drops admissions that are older than warmupWindow.
 func (c *Controller) dropOldAdmissions(now time.Time) {
 	old := 0
