--- a/internal/mesh/proxy/upstream.go
+++ b/internal/mesh/proxy/upstream.go
@@ -141,15 +141,11 @@
 	}
 }
 
-// rebuildModule replaces the module of a lane by one with its present classes, which takes over
-// what the old one has learned. u.mu is held.
-func (u *upstreamService) rebuildModule(laneIndex int) {
-	lane := &u.lanes[laneIndex]
-	settings := u.proxy.settings
-	zones := u.zoneNames()
-	moduleSettings := balancer.Settings{
+// moduleSettings returns the settings of a decision module for some classes, in a zone with a number.
+func moduleSettings(classes []classKey, zone int) balancer.Settings {
+	out := balancer.Settings{
 		Replicas: moduleReplicas,
-		Zone:     slices.Index(zones, settings.Zone),
+		Zone:     zone,
 		Limits: balancer.Limits{
 			MaxAttempts:             extraAttempts + 2,
 			RetryAfter:              true,
@@ -158,7 +154,7 @@
 			ConnIdleTimeout:         float64(moduleIdleTimeout.Milliseconds()),
 		},
 	}
-	for _, key := range lane.classes {
+	for _, key := range classes {
 		class := balancer.Class{
 			Name:           "class",
 			PriorityWeight: topPriorityWeight / float64(int(1)<<min(max(key.priority, 0), maxPriority)),
@@ -170,14 +166,24 @@
 		if !key.safe {
 			class.Effect = balancer.Unsafe
 		}
-		moduleSettings.Classes = append(moduleSettings.Classes, class)
+		out.Classes = append(out.Classes, class)
 	}
+	return out
+}
+
+// rebuildModule replaces the module of a lane by one with its present classes, which takes over
+// what the old one has learned. u.mu is held.
+func (u *upstreamService) rebuildModule(laneIndex int) {
+	lane := &u.lanes[laneIndex]
+	settings := u.proxy.settings
+	zones := u.zoneNames()
 	var learned *balancer.LearnedState
 	old := lane.service
 	if old != nil {
 		state := old.LearnedState()
 		learned = &state
 	}
+	moduleSettings := moduleSettings(lane.classes, slices.Index(zones, settings.Zone))
 	next, err := sidecar.NewService(moduleSettings, zones, rand.Uint64(), settings.Descriptors/4, learned)
 	if err != nil {
 		u.proxy.log.Error().Err(err).Str("service", u.name).Msg("create decision module")
