--- a/balancer/servers.go
+++ b/balancer/servers.go
@@ -69,10 +69,6 @@
 		s = &server{creditedAt: b.now, lastSent: -b.random(), successesSince: b.now}
 		s.hashOrder = namehash.Mix(uint64(e.ID))
 		s.loadUpdateAt = b.now + loadUpdateInterval*(0.2+0.8*b.random())
-		if n := len(b.homes); n > 0 && int(e.Zone) == b.settings.Zone {
-			// As if it had been listed all the time: without credit it would idle for long at a low rate.
-			s.credit = max(b.homes[int(b.random()*float64(n))].credit, 0)
-		}
 		b.servers[e.ID] = s
 	}
 	restarted := e.StartedAt > s.StartedAt
