--- a/internal/faultdrill/drill.go
+++ b/internal/faultdrill/drill.go
@@ -97,7 +97,7 @@
 	res := &Result{StartTime: time.Since(startedAt)}
 	load := newClientLoad(d, d.seed)
 	loadStart := testcluster.Now()
-	longestStall := testcluster.MeasureStalls(ctx)
+	measuredStalls := testcluster.MeasureStalls(ctx)
 	faults := d.startFaults(ctx)
 	load.sendAll(ctx)
 	faults.Wait() // faults restart the processes that they have ended
@@ -118,10 +118,10 @@
 		}
 	}
 	res.Result = load.result
-	stall := longestStall()
-	d.evaluate(res, d.history.Sorted(), loadStart, stall)
+	stalls := measuredStalls()
+	d.evaluate(res, d.history.Sorted(), loadStart, stalls)
 	res.summarize(end, load.written)
-	res.MaxDelay = max(load.maxDelay, stall)
+	res.MaxDelay = max(load.maxDelay, stalls.Longest())
 	res.ViolationCount += len(exited)
 	res.Violations = append(res.Violations, exited...)
 	if err := d.firstError(); err != nil {
--- a/internal/faultdrill/drill_test.go
+++ b/internal/faultdrill/drill_test.go
@@ -368,7 +368,7 @@
 	}
 	for killed, want := range map[bool]int{true: 0, false: 1} {
 		all := slices.DeleteFunc(slices.Clone(facts), func(f testcluster.Fact) bool { return f.Kind == testcluster.FactKilled && !killed })
-		v := checkHistory("outer", &sc.Pool, &sc.Servers, map[string]ServerPlace{"s0": {}}, all, startOf(all), 0)
+		v := checkHistory("outer", &sc.Pool, &sc.Servers, map[string]ServerPlace{"s0": {}}, all, startOf(all), nil)
 		if v.ViolationCount != want {
 			t.Errorf("killed %v: %d violations, want %d: %v", killed, v.ViolationCount, want, v.Violations)
 		}
--- a/internal/faultdrill/evaluate.go
+++ b/internal/faultdrill/evaluate.go
@@ -4,14 +4,13 @@
 	"net/http"
 	"slices"
 	"strings"
-	"time"
 
 	"milletmast/internal/testcluster"
 )
 
-// evaluate counts the facts of a history and checks the rules for each tier. LoadStart is the start of the load in ns, stall the longest
-// stall of this process.
-func (d *drillRun) evaluate(res *Result, facts []testcluster.Fact, loadStart int64, stall time.Duration) {
+// evaluate counts the facts of a history and checks the rules for each tier. LoadStart is the start of the load in ns, stalls are those of
+// this process.
+func (d *drillRun) evaluate(res *Result, facts []testcluster.Fact, loadStart int64, stalls testcluster.Stalls) {
 	d.countFacts(res, facts, loadStart)
 	places := map[string]ServerPlace{}
 	for _, t := range d.tiers() {
@@ -31,7 +30,7 @@
 			}
 			return strings.HasPrefix(f.Server, servers)
 		}
-		res.Verdicts = append(res.Verdicts, checkHistory(name, t.pool, t.spec, places, ownFacts(facts, isOwn), startOf(facts), stall))
+		res.Verdicts = append(res.Verdicts, checkHistory(name, t.pool, t.spec, places, ownFacts(facts, isOwn), startOf(facts), stalls))
 	}
 }
 
--- a/internal/faultdrill/historychecker.go
+++ b/internal/faultdrill/historychecker.go
@@ -14,7 +14,7 @@
 // of two events of different processes within observationDelay plus the longest stall of the process of the drill.
 const (
 	observationDelay = 100 * time.Millisecond
-	relayDelay       = 2 * time.Millisecond // between two events that a relay reads in succession
+	relayDelay       = 2 * time.Millisecond // between two events that a relay reads in succession, besides its measured lateness
 	informedShare    = 2. / 3               // share of the work overloading a cold server that comes from replicas with its start time
 	maxViolations    = 20                   // violations that are described, besides those of the rules checker
 )
@@ -40,6 +40,7 @@
 	replica, server string
 	sentAt, endedAt int64
 	mayHaveExecuted bool
+	polledAt        int64 // when the link began to wait for the end; 0 if it did not
 	ended           bool
 	answered        bool // ended by a response of the server
 }
@@ -70,6 +71,7 @@
 // historyChecker checks the facts of a tier.
 type historyChecker struct {
 	delay     time.Duration // the longest assumed delay of an observation
+	stalls    testcluster.Stalls
 	result    *TierResult
 	pool      *operator.Pool
 	servers   map[string]ServerPlace
@@ -97,12 +99,12 @@
 	return float64(facts[0].At) / 1e6
 }
 
-// checkHistory checks the facts of a tier. Start is the start of the history in ms, stall the longest stall of this process.
+// checkHistory checks the facts of a tier. Start is the start of the history in ms, stalls are those of this process.
 func checkHistory(
 	tier string, pool *operator.Pool, spec *emulate.ServerSpec, servers map[string]ServerPlace,
-	facts []testcluster.Fact, start float64, stall time.Duration,
+	facts []testcluster.Fact, start float64, stalls testcluster.Stalls,
 ) *TierResult {
-	delay := observationDelay + stall
+	delay := observationDelay + stalls.Longest()
 	v := &TierResult{Tier: tier, Violations: []string{}}
 	v.checker = rules.NewChecker(rules.Limits{
 		Classes:            pool.Settings().Classes,
@@ -115,6 +117,7 @@
 	})
 	h := &historyChecker{
 		delay:          delay,
+		stalls:         stalls,
 		result:         v,
 		pool:           pool,
 		servers:        servers,
@@ -187,7 +190,7 @@
 			open[attemptKey{f.Request, f.Server, f.Conn}] = a
 		case testcluster.FactAttemptEnded:
 			if a := open[attemptKey{f.Request, f.Server, f.Conn}]; a != nil && !a.ended {
-				a.ended, a.endedAt, a.mayHaveExecuted, a.answered = true, f.At, !f.NotRun, f.Status != 0
+				a.ended, a.endedAt, a.polledAt, a.mayHaveExecuted, a.answered = true, f.At, f.Polled, !f.NotRun, f.Status != 0
 			}
 		case testcluster.FactKilled:
 			h.killed[f.Copy] = true
@@ -226,13 +229,14 @@
 // observed only when the relay reads it.
 func (h *historyChecker) orderAttempts(attempts []*attempt, end int64) {
 	delay := int64(h.delay)
+	var before *attempt // the latest one that is not moved
 	for i, a := range attempts {
 		isAborted := a.ended && !a.answered
-		if i > 0 && isAborted && a.endedAt-a.sentAt < int64(relayDelay) {
+		if before != nil && isAborted && h.mayHaveEndedUnread(a) && a.sentAt < before.endedAt && a.sentAt-before.sentAt <= delay {
 			// The attempt was written and aborted before the link read it.
-			if before := attempts[i-1]; a.sentAt < before.endedAt && a.sentAt-before.sentAt <= delay {
-				a.sentAt, a.endedAt = before.sentAt-1, before.sentAt-1
-			}
+			a.sentAt, a.endedAt = before.sentAt-1, before.sentAt-1
+		} else {
+			before = a
 		}
 		if i+1 < len(attempts) && isAborted {
 			if next := attempts[i+1]; a.endedAt > next.sentAt && a.endedAt-next.sentAt <= delay {
@@ -246,6 +250,14 @@
 	}
 }
 
+// mayHaveEndedUnread reports whether an attempt may have ended before the link read it: the end was there as soon as the link polled for
+// it, or the process of the link was stalled meanwhile. Both are measured at the two events, so that a link that was on time is not
+// excused.
+func (h *historyChecker) mayHaveEndedUnread(a *attempt) bool {
+	waited := time.Duration(a.endedAt - max(a.sentAt, a.polledAt))
+	return waited < relayDelay+h.stalls.LongestWithin(a.sentAt, a.endedAt)
+}
+
 // knownAt returns the latest time at which a replica has received what was sent to it at a time: a suspended one receives it after its
 // resumption.
 func (h *historyChecker) knownAt(replica string, at int64) int64 {
--- a/internal/faultdrill/observe.go
+++ b/internal/faultdrill/observe.go
@@ -36,8 +36,8 @@
 		OnOpen:         o.onOpen,
 		OnReceived:     o.onReceived,
 		OnSent:         o.onSent,
-		OnClientClosed: func(id uint64) { o.onEnd(id, "left") },
-		OnEnd:          func(id uint64) { o.onEnd(id, "ended") },
+		OnClientClosed: func(id uint64, at testcluster.ReadTime) { o.onEnd(id, "left", at) },
+		OnEnd:          func(id uint64) { o.onEnd(id, "ended", testcluster.ReadTime{}) },
 	}
 }
 
@@ -57,7 +57,7 @@
 }
 
 // onReceived records requests of the sidecar. They have no bodies.
-func (o *linkObserver) onReceived(id uint64, p []byte) {
+func (o *linkObserver) onReceived(id uint64, p []byte, at testcluster.ReadTime) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	c := o.conn(id)
@@ -72,10 +72,10 @@
 		}
 		request := headerValue(head, "X-Request-Id")
 		c.head = rest
-		o.endAttempt(id, c, testcluster.Fact{Text: "the next request"})
+		o.endAttempt(id, c, testcluster.Fact{At: at.ReadAt, Text: "the next request", Polled: at.PolledAt})
 		c.request = request
 		o.run.history.Record(testcluster.Fact{
-			Kind: testcluster.FactSent, Request: request, Copy: c.sidecar, Server: o.server.name, Conn: id,
+			At: at.ReadAt, Kind: testcluster.FactSent, Request: request, Copy: c.sidecar, Server: o.server.name, Conn: id,
 		})
 	}
 }
@@ -100,11 +100,11 @@
 	o.endAttempt(id, c, testcluster.Fact{Status: status, NotRun: mayReject && headerValue(head, "X-Not-Run") == "1"})
 }
 
-// onEnd records the end of a connection.
-func (o *linkObserver) onEnd(id uint64, reason string) {
+// onEnd records the end of a connection. The time is zero for an end that is reported before the sidecar can detect it.
+func (o *linkObserver) onEnd(id uint64, reason string, at testcluster.ReadTime) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.endAttempt(id, o.conn(id), testcluster.Fact{Text: reason})
+	o.endAttempt(id, o.conn(id), testcluster.Fact{At: at.ReadAt, Text: reason, Polled: at.PolledAt})
 	delete(o.conns, id)
 }
 
--- a/internal/loadbench/trial_test.go
+++ b/internal/loadbench/trial_test.go
@@ -118,7 +118,7 @@
 			var without, with []*Result
 			stopMeasuring := testcluster.MeasureStalls(context.Background())
 			without, with = runPairs(t, 1, func(uint64) Spec { return smallTrial(seed, 5*time.Second, 2) })
-			stall := stopMeasuring()
+			stall := stopMeasuring().Longest()
 			t.Logf("seed %d: stalls of up to %v, p99 of %v without levels", seed, stall, without[0].P99)
 			if stall > maxStall || without[0].P99 > maxP99 {
 				continue
--- a/internal/testcluster/facts.go
+++ b/internal/testcluster/facts.go
@@ -23,7 +23,7 @@
 	FactConnEnded  = "cut"      // the time at which the client detected the end of that connection
 	// Recorded by a link for an attempt (Request, Copy, Server, Conn).
 	FactSent         = "sent" // the sidecar has written the request completely
-	FactAttemptEnded = "over" // the sidecar receives a response (Status, NotRun), or either side has ended the connection
+	FactAttemptEnded = "over" // the sidecar receives a response (Status, NotRun), or either side has ended the connection (Polled)
 	// Recorded by a fake server.
 	FactStarted    = "up"      // the server serves from now on (Cold)
 	FactReceived   = "reached" // a request was received completely (Work, Capacity)
@@ -54,6 +54,7 @@
 	Serves   bool    `json:"serves,omitempty"`
 	Cold     bool    `json:"cold,omitempty"`
 	Due      int64   `json:"due,omitempty"`
+	Polled   int64   `json:"polled,omitempty"`   // when the link began to wait for this event
 	Work     float64 `json:"work,omitempty"`     // ms of one core at full speed
 	Capacity float64 `json:"capacity,omitempty"` // ms of work a second
 	Text     string  `json:"text,omitempty"`
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -46,14 +46,18 @@
 type Observer struct {
 	OnOpen func(conn uint64)
 	// OnReceived is called with bytes from the client, before any fault, and OnSent with bytes for the client, after all faults.
-	OnReceived func(conn uint64, p []byte)
+	OnReceived func(conn uint64, p []byte, at ReadTime)
 	OnSent     func(conn uint64, p []byte)
 	// OnClientClosed is called when the client has closed its side or reset the connection, and OnEnd when the end of the connection by
 	// the server is passed on to the client.
-	OnClientClosed func(conn uint64)
+	OnClientClosed func(conn uint64, at ReadTime)
 	OnEnd          func(conn uint64)
 }
 
+// ReadTime tells when a relay read an event from the client, in ns by Now. An event that was read as soon as the relay polled for it may
+// have happened long before, as the relay was busy or not scheduled until then.
+type ReadTime struct{ PolledAt, ReadAt int64 }
+
 // Link is a directed link: clients that open connections to its address, or send datagrams there, reach the target under the
 // conditions of the link. A link is for TCP, for a Unix socket or for UDP.
 type Link struct {
--- a/internal/testcluster/relay.go
+++ b/internal/testcluster/relay.go
@@ -187,9 +187,9 @@
 
 // reportClientClosed reports that the client has closed its side, or that the connection was reset before everything was relayed.
 // The reader of the client calls it once, however it ends.
-func (l *Link) reportClientClosed(c *relayedConn, d Direction) {
+func (l *Link) reportClientClosed(c *relayedConn, d Direction, at ReadTime) {
 	if d == Forward && l.observer.OnClientClosed != nil {
-		l.observer.OnClientClosed(c.id)
+		l.observer.OnClientClosed(c.id, at)
 	}
 }
 
@@ -208,15 +208,17 @@
 		defer close(queue)
 		buffer := make([]byte, maxChunkSize)
 		for {
+			at := ReadTime{PolledAt: Now()}
 			n, err := from.Read(buffer)
 			now := time.Now()
-			if n > 0 && !l.enqueue(c, d, queue, chunk{receivedAt: now, data: bytes.Clone(buffer[:n])}) {
-				l.reportClientClosed(c, d)
+			at.ReadAt = Now()
+			if n > 0 && !l.enqueue(c, d, queue, chunk{receivedAt: now, data: bytes.Clone(buffer[:n])}, at) {
+				l.reportClientClosed(c, d, ReadTime{PolledAt: at.PolledAt, ReadAt: Now()})
 				return
 			}
 			if err != nil {
-				l.reportClientClosed(c, d)
-				l.enqueue(c, d, queue, chunk{receivedAt: now, last: true, isReset: !errors.Is(err, io.EOF)})
+				l.reportClientClosed(c, d, at)
+				l.enqueue(c, d, queue, chunk{receivedAt: now, last: true, isReset: !errors.Is(err, io.EOF)}, at)
 				return
 			}
 		}
@@ -225,9 +227,9 @@
 }
 
 // enqueue reports and queues a chunk; false if the connection is reset before there is room.
-func (l *Link) enqueue(c *relayedConn, d Direction, queue chan<- chunk, k chunk) bool {
+func (l *Link) enqueue(c *relayedConn, d Direction, queue chan<- chunk, k chunk, at ReadTime) bool {
 	if d == Forward && len(k.data) > 0 && l.observer.OnReceived != nil {
-		l.observer.OnReceived(c.id, k.data)
+		l.observer.OnReceived(c.id, k.data, at)
 	}
 	select {
 	case queue <- k:
--- a/internal/testcluster/relay_bench_test.go
+++ b/internal/testcluster/relay_bench_test.go
@@ -23,7 +23,7 @@
 		b.Fatal(err)
 	}
 	defer r.Close()
-	l, err := r.Listen("a>b", server.Listener.Addr().String(), 1, Observer{OnReceived: func(uint64, []byte) {}, OnSent: func(uint64, []byte) {}})
+	l, err := r.Listen("a>b", server.Listener.Addr().String(), 1, Observer{OnReceived: func(uint64, []byte, ReadTime) {}, OnSent: func(uint64, []byte) {}})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/testcluster/relay_test.go
+++ b/internal/testcluster/relay_test.go
@@ -264,8 +264,8 @@
 	defer server.Close()
 	var receivedChunks, closedConns atomic.Int32
 	link, err := newTestCluster(t).Listen("a>b", server.Addr().String(), 1, Observer{
-		OnReceived:     func(uint64, []byte) { receivedChunks.Add(1) },
-		OnClientClosed: func(uint64) { closedConns.Add(1) },
+		OnReceived:     func(uint64, []byte, ReadTime) { receivedChunks.Add(1) },
+		OnClientClosed: func(uint64, ReadTime) { closedConns.Add(1) },
 	})
 	if err != nil {
 		t.Fatal(err)
