--- a/internal/mesh/proxy/join_test.go
+++ b/internal/mesh/proxy/join_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"strconv"
 	"testing"
 	"time"
 
@@ -96,9 +97,8 @@
 	}
 	if c.affinity != nil {
 		for _, name := range c.affinity.Rank(fmt.Sprint("client ", c.random.Uint64()), affinityDepth) {
-			var id uint32
-			fmt.Sscan(name, &id)
-			event.PreferredServers = append(event.PreferredServers, id)
+			id, _ := strconv.ParseUint(name, 10, 32) // setEndpoints has made the name of a number
+			event.PreferredServers = append(event.PreferredServers, uint32(id))
 		}
 	}
 	c.handle(now, event)
