--- a/internal/mesh/proxy/configread_test.go
+++ b/internal/mesh/proxy/configread_test.go
@@ -1,20 +1,14 @@
 package proxy
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"net/http"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
-
 	"milletmast/internal/freeport"
-	"milletmast/internal/mesh/configstore"
-	"milletmast/internal/mesh/controlplane"
 	"milletmast/internal/mesh/nodeconfig"
 )
 
@@ -61,19 +55,7 @@
 	c.t.Helper()
 	s := c.machineSettings(i)
 	s.StateDir, s.Bootstrap = disk, bootstrap
-	store, err := configstore.New(s, zerolog.Nop())
-	if err != nil {
-		c.t.Fatal(err)
-	}
-	controlPlane, err := controlplane.New(s, zerolog.Nop())
-	if err != nil {
-		c.t.Fatal(err)
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	running.Go(func() { _ = store.Run(ctx) })
-	running.Go(func() { _ = controlPlane.Run(ctx) })
-	c.stops[i] = func() { stop(); running.Wait() }
+	c.stops[i] = c.runCore(s)
 }
 
 func (c *coreCluster) stop(i int) {
--- a/internal/mesh/proxy/path_test.go
+++ b/internal/mesh/proxy/path_test.go
@@ -58,24 +58,31 @@
 	return m
 }
 
-// startCore starts the control plane and the configuration store of a core machine, and returns the function that stops them. Bootstrap
-// reports that the machine is the first one of the mesh.
+// startCore starts the control plane and the configuration store of a core machine with an empty disk, and returns the function that
+// stops them. Bootstrap reports that the machine is the first one of the mesh.
 func (m *mesh) startCore(node, ip string, bootstrap bool) (stopCore func()) {
 	m.t.Helper()
-	ctx, stop := context.WithCancel(context.Background())
-	var core sync.WaitGroup
 	s := m.settings(node, ip)
 	s.StateDir, s.Bootstrap, s.InQuorum = m.t.TempDir(), bootstrap, true
-	k, err := configstore.New(s, zerolog.Nop())
+	return m.runCore(s)
+}
+
+// runCore starts the control plane and the configuration store of a core machine with its settings, and returns the function that stops
+// them.
+func (m *mesh) runCore(s *nodeconfig.Settings) (stopCore func()) {
+	m.t.Helper()
+	store, err := configstore.New(s, zerolog.Nop())
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	l, err := controlplane.New(s, zerolog.Nop())
+	controlPlane, err := controlplane.New(s, zerolog.Nop())
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	core.Go(func() { _ = k.Run(ctx) })
-	core.Go(func() { _ = l.Run(ctx) })
+	ctx, stop := context.WithCancel(context.Background())
+	var core sync.WaitGroup
+	core.Go(func() { _ = store.Run(ctx) })
+	core.Go(func() { _ = controlPlane.Run(ctx) })
 	return func() { stop(); core.Wait() }
 }
 
